--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,7 +1,9 @@
-// Package demand carries the online work in progress from the nodes that forward it to the workers that give out batch
-// items, and the work of all back. A worker so sees a request as soon as it is sent and clears a place for it before it
-// waits, where a runner's report would show only the queue, some hundred milliseconds later; and nodes that choose
-// runners at the same moment see each other's choices.
+// Package demand exchanges counts of online work in progress between the nodes that forward it and the workers
+// that own the runners. Nodes report their requests at each runner; workers answer with the total of the other
+// nodes and their own batch items, and with their batch load, bounds for tenants and granted slots. A request
+// is visible to the worker as soon as it is sent, so that the worker can free a slot before the request queues; a
+// runner's own report would show only the queue, some hundred milliseconds later. Nodes that choose runners at the
+// same time see each other's choices.
 package demand
 
 import (
@@ -14,174 +16,183 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Lifetime is how long what a node told counts without news from it: a few times IdleRefreshEvery, so that one lost call
-// forgets nothing, and no longer than the requests of a dead node may go on at their runners.
+// Lifetime is how long a node's report counts. It is a few times IdleRefreshEvery, so that one lost call does not
+// discard the report, and no longer than the requests of a dead node may continue at their runners.
 const Lifetime = 1500 * time.Millisecond
 
-// OldAfter is how long ago a request was sent that every report of its runner shows which its owner has read: it reads a runner each 200 ms at
-// least where it looks for runs of dead nodes, and a report is some 100 ms old by then.
+// OldAfter is the age from which an online request is included in the newest report that the owner has read from
+// the request's runner. An owner polls a runner at least every 200 ms while it checks for orphaned runs, and a
+// report is about 100 ms old by then.
 const OldAfter = 300 * time.Millisecond
 
-// Count is the online work that one node has at one runner.
+// Count is the online work of one node at one runner.
 type Count struct {
 	Runner ident.Incarnation `json:"runner"`
 	Online int               `json:"online"`
-	// Suspect says that the node passes the runner over, because it could not be reached or did not answer.
+	// Suspect means that the node avoids the runner, because it could not be reached or did not answer.
 	Suspect bool `json:"suspect,omitempty"`
-	// Old are those of the online requests that were sent more than OldAfter ago. It is told until the owner has answered once, so that it
-	// does not take them for runs of dead nodes.
+	// Old is the number of online requests sent more than OldAfter ago. It is reported until the owner has
+	// answered once, so that the owner does not take these requests for orphaned runs.
 	Old int `json:"old,omitempty"`
-	// Tokens are those of the node's online requests there, prompts and the most that may be made.
+	// Tokens is the number of tokens of the node's online requests there: the prompts plus the most that may be
+	// generated.
 	Tokens int `json:"tokens,omitempty"`
-	// Pace is the last that the runner told this node, PaceAgeMs how long before the report that was, in milliseconds. Zero where
-	// the node knows none, or its build does not read it.
+	// Pace is the newest pace that the runner reported to this node. PaceAgeMs is its age in milliseconds when the
+	// report was made. Both are zero if the node knows no pace, or if its build does not read it.
 	Pace      work.Pace `json:"pace,omitempty"`
 	PaceAgeMs int64     `json:"pace_age_ms,omitempty"`
-	// Heard is when that was by this node's clock, which is told to nobody.
+	// Heard is when this node received the pace, by its own clock. It is not sent.
 	Heard time.Time `json:"-"`
 }
 
-// HasWork says whether the count tells of more than a pace.
+// HasWork reports whether the count carries more than a pace.
 func (c Count) HasWork() bool { return c.Online > 0 || c.Suspect }
 
-// withoutPace is the count of the work alone, however old it is.
+// withoutPace returns the count without its pace and without the number of old requests.
 func (c Count) withoutPace() Count {
 	c.Pace, c.PaceAgeMs, c.Heard, c.Old = 0, 0, time.Time{}, 0
 	return c
 }
 
-// Use is what the requests of one tenant take of a service at one node.
+// Use is the capacity of a service that the requests of one tenant use at one node.
 type Use struct {
 	Service string       `json:"service"`
 	Tenant  ident.Tenant `json:"tenant"`
-	// Taken are the places that its requests have, Waiting the requests that have none.
+	// Taken is the number of slots that the tenant's requests have, Waiting the number of requests without a slot.
 	Taken   int `json:"taken,omitempty"`
 	Waiting int `json:"waiting,omitempty"`
 }
 
-// Bound is how many places of a service the requests of a tenant may take at the node that asks, while places are scarce.
+// Bound is the number of slots of a service that a tenant's requests may use at the polling node while slots are
+// scarce.
 type Bound struct {
 	Service string       `json:"service"`
 	Tenant  ident.Tenant `json:"tenant"`
 	Places  int          `json:"places"`
 }
 
-// Waiting are the requests for one service that wait for a place at a node.
+// Waiting counts the requests for one service that wait for a slot at a node.
 type Waiting struct {
 	Service string `json:"service"`
-	// OnTime are those that can still be answered within their objective; the first of them runs out of time in LeftMs milliseconds.
+	// OnTime is the number of requests that can still be answered within their objective; the first of them
+	// reaches its deadline in LeftMs milliseconds.
 	OnTime int   `json:"on_time,omitempty"`
 	LeftMs int64 `json:"left_ms,omitempty"`
-	// Late are the others.
+	// Late is the number of requests that can no longer meet their objective.
 	Late int `json:"late,omitempty"`
 }
 
-// Report is what a node tells the owner of some runners: all its online work at them, and those that it suspects. Runners
-// that it does not name have neither.
+// Report is what a node sends to the owner of some runners: all its online work at them, and the runners that it
+// suspects. The node has no work at runners that are not listed, and does not suspect them.
 type Report struct {
 	Node ident.Node `json:"node"`
 	// Incarnation rises with each start of the node's process, Sequence with each of its reports to one worker.
 	Incarnation int64 `json:"incarnation"`
 	Sequence    int64 `json:"sequence"`
-	// AgeMs is how long the node's process has lived, in milliseconds, at least one. Zero from nodes that have
-	// lived for long, or whose build tells none.
+	// AgeMs is the uptime of the node's process in milliseconds, at least 1. It is zero for a node that has run
+	// for longer than ageReportedFor, or whose build does not report it.
 	AgeMs  int64   `json:"age_ms,omitempty"`
 	Counts []Count `json:"counts"`
-	// EndsRead is how far the node has read what the worker knows of requests that end their runners.
+	// EndsRead is the node's read position in the worker's list of requests that terminate their runners.
 	EndsRead poison.Cursor `json:"ends_read,omitzero"`
-	// Uses are those of the services of which the worker keeps account; empty from nodes of a build that tells none.
+	// Uses are the node's uses of the services for which the worker is the account holder. It is empty from nodes
+	// of a build that does not report it.
 	Uses []Use `json:"uses,omitempty"`
-	// Waiting are the requests that wait for a place of services whose places the worker rations; empty otherwise, and from nodes of a
-	// build that asks for none.
+	// Waiting counts the requests that wait for slots which the worker grants one by one. It is empty otherwise,
+	// and from nodes of a build that requests no grants.
 	Waiting []Waiting `json:"waiting,omitempty"`
 }
 
-// Age is how long the node's process had lived when it made the report, or zero where it does not say.
+// Age returns the uptime of the node's process when it made the report, or zero if unknown.
 func (r *Report) Age() time.Duration { return time.Duration(r.AgeMs) * time.Millisecond }
 
-// Share is what a worker knows of the work at one of its runners.
+// Share is a worker's view of the work at one of its runners.
 type Share struct {
 	Runner ident.Incarnation `json:"runner"`
-	// Others is the online work of all nodes but the one that asks, Batch the items of the worker.
+	// Others is the online work of all nodes but the polling one, Batch the number of batch items of the worker.
 	Others int `json:"others"`
 	Batch  int `json:"batch"`
-	// Silent says that the runner answers neither some node nor the worker.
+	// Silent means that the runner is unresponsive both to some node and to the worker.
 	Silent bool `json:"silent,omitempty"`
-	// Orphans are the runs at the runner that no node tells of: work of nodes that are gone.
+	// Orphans is the number of orphaned runs at the runner: work that no living node accounts for.
 	Orphans int `json:"orphans,omitempty"`
-	// Rationed says that the worker gives out the runner's places one by one: the asking node may begin as many requests there as are
-	// Granted, from its question on, and none more until the next answer.
+	// Rationed means that the worker grants the runner's slots one by one: the polling node may start Granted
+	// requests there, counted from its report on, and no more until the next answer.
 	Rationed bool `json:"rationed,omitempty"`
 	Granted  int  `json:"granted,omitempty"`
-	// GrantedLate says that they may be requests that are late already: none that can be on time waits for them.
+	// GrantedLate means that the grants may be used for requests that are already late, because no request that
+	// can be on time waits for them.
 	GrantedLate bool `json:"granted_late,omitempty"`
-	// Tokens are those of the requests of all nodes but the one that asks, and of the worker's items. Memory is how many the runner can
-	// hold. Both are told only where all together are above half of it.
+	// Tokens is the number of tokens of the requests of all nodes but the polling one, and of the worker's items.
+	// Memory is the number of tokens that the runner can hold. Both are sent only when all tokens together exceed
+	// half of Memory.
 	Tokens int `json:"tokens,omitempty"`
 	Memory int `json:"memory,omitempty"`
-	// Pace is the newest that any node heard of the runner, PaceAgeMs how long before the answer that was, in milliseconds. Zero
-	// where nobody knows it, or the worker's build does not read it.
+	// Pace is the newest pace that any node received from the runner. PaceAgeMs is its age in milliseconds when the
+	// answer was made. Both are zero if no pace is known, or if the worker's build does not read it.
 	Pace      work.Pace `json:"pace,omitempty"`
 	PaceAgeMs int64     `json:"pace_age_ms,omitempty"`
 }
 
-// Batch is the batch work of a worker, for those that choose who runs a job.
+// Batch is the batch load of a worker, used to choose the worker for a job.
 type Batch struct {
 	Node ident.Node `json:"node"`
-	// Lease is what the worker's claims hang on; zero has none, and takes no job.
+	// Lease is the lease that the worker's claims depend on. Without a lease (zero) the worker takes no job.
 	Lease int64 `json:"lease"`
-	// Waiting are the items that no runner has, Places those that its runners could run now.
+	// Waiting is the number of items that are not assigned to a runner, Places the number that its runners could
+	// run now.
 	Waiting int `json:"waiting"`
 	Places  int `json:"places"`
-	// RunMs is the mean time of a run, in milliseconds.
+	// RunMs is the mean run time in milliseconds.
 	RunMs int64 `json:"run_ms"`
 }
 
-// Wait estimates how long items wait that come behind those of the worker and some more.
+// Wait estimates how long new items wait behind those of the worker and some more.
 func (b Batch) Wait(more int) time.Duration {
 	run := time.Duration(b.RunMs) * time.Millisecond
 	return run * time.Duration(b.Waiting+more) / time.Duration(max(b.Places, 1))
 }
 
-// Answer is a worker's answer to a report: the shares of all runners that it owns, its batch work, and what the node lacks of
-// the requests that end their runners. Nodes report twice a second at least, so that they hear of such a request within that.
+// Answer is a worker's answer to a report: the shares of all runners that it owns, its batch load, and the entries
+// that the node has not read yet of the list of requests that terminate their runners. Nodes report to the workers
+// of their own zone at least twice a second, so that such an entry reaches them within half a second.
 type Answer struct {
 	Shares []Share     `json:"shares"`
 	Batch  Batch       `json:"batch"`
 	Ends   poison.News `json:"ends,omitzero"`
-	// Bounds are those of the tenants that have more than their share of places that are scarce. A tenant that is not named is
-	// bounded by nothing.
+	// Bounds are the bounds of the tenants that exceed their share of scarce slots. Tenants that are not listed
+	// are unbounded.
 	Bounds []Bound `json:"bounds,omitempty"`
 }
 
-// Ledger holds what nodes told. It is safe for concurrent use. It is asked some hundred times for each report, so that the
-// work at a runner is added up as reports come and not as it is asked for.
+// Ledger stores the newest report of each node. It is safe for concurrent use. It is queried some hundred times
+// for each report, so sums are maintained when a report arrives and not computed for each query.
 type Ledger struct {
 	mutex sync.Mutex
-	nodes map[ident.Node]*told
-	// totals is the sum of the counts of all nodes that are counted.
+	nodes map[ident.Node]*nodeReport
+	// totals is the sum of the counts of all nodes that are included.
 	totals map[ident.Incarnation]int
 	// tokens is the sum of the tokens of the same nodes.
 	tokens map[ident.Incarnation]int
 	// counted is the number of those nodes.
 	counted int
-	// nextExpiry is no later than the first moment at which a counted node has been silent for too long.
+	// nextExpiry is not later than the time at which the first included report expires.
 	nextExpiry time.Time
 }
 
-// told is the newest report of one node.
-type told struct {
+// nodeReport is the newest report of one node.
+type nodeReport struct {
 	incarnation, sequence int64
 	at                    time.Time
 	counts                map[ident.Incarnation]int
-	// tokens are those of the counts that tell any; nil from a node that tells none.
+	// tokens holds the counts with a token number; nil if the node reports none.
 	tokens map[ident.Incarnation]int
-	// counted says that the counts are part of the ledger's totals: nothing older than Lifetime is.
+	// counted means that the report is included in the ledger's totals. Reports older than Lifetime are not.
 	counted bool
 }
 
-// Take takes over a report. It returns the runners at which the node's work changed; none where a newer report was taken
-// already.
+// Take stores a report. It returns the runners at which the node's work changed, or none if a newer report was
+// stored already.
 func (l *Ledger) Take(report *Report, now time.Time) []ident.Incarnation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -190,16 +201,16 @@
 	if before != nil && !report.newer(before) {
 		return nil
 	}
-	next := &told{
+	next := &nodeReport{
 		incarnation: report.Incarnation, sequence: report.Sequence, at: now,
 		counts: make(map[ident.Incarnation]int, len(report.Counts)),
 	}
 	for _, count := range report.Counts {
 		next.counts[count.Runner] = max(count.Online, 0)
-		next.noteTokens(count)
+		next.recordTokens(count)
 	}
 	if l.nodes == nil {
-		l.nodes, l.totals, l.tokens = map[ident.Node]*told{}, map[ident.Incarnation]int{}, map[ident.Incarnation]int{}
+		l.nodes, l.totals, l.tokens = map[ident.Node]*nodeReport{}, map[ident.Incarnation]int{}, map[ident.Incarnation]int{}
 	}
 	if before != nil {
 		l.uncount(before)
@@ -210,64 +221,65 @@
 }
 
 // count adds a report to the totals. The caller holds the mutex.
-func (l *Ledger) count(kept *told) {
-	kept.counted = true
+func (l *Ledger) count(entry *nodeReport) {
+	entry.counted = true
 	l.counted++
-	for runner, online := range kept.counts {
+	for runner, online := range entry.counts {
 		l.totals[runner] += online
 	}
-	l.countTokens(kept, 1)
-	if until := kept.at.Add(Lifetime); l.counted == 1 || until.Before(l.nextExpiry) {
+	l.addTokens(entry, 1)
+	if until := entry.at.Add(Lifetime); l.counted == 1 || until.Before(l.nextExpiry) {
 		l.nextExpiry = until
 	}
 }
 
-// uncount takes a report out of the totals, if it is part of them. The caller holds the mutex.
-func (l *Ledger) uncount(kept *told) {
-	if !kept.counted {
+// uncount removes a report from the totals, if it is included. The caller holds the mutex.
+func (l *Ledger) uncount(entry *nodeReport) {
+	if !entry.counted {
 		return
 	}
-	kept.counted = false
+	entry.counted = false
 	l.counted--
-	for runner, online := range kept.counts {
+	for runner, online := range entry.counts {
 		l.totals[runner] -= online
 		if l.totals[runner] == 0 {
 			delete(l.totals, runner)
 		}
 	}
-	l.countTokens(kept, -1)
+	l.addTokens(entry, -1)
 }
 
-// expire takes out what silent nodes told, and forgets the nodes that it took out the last time. The caller holds the mutex.
+// expire removes the reports older than Lifetime from the totals, and deletes the entries that an earlier call
+// removed. The caller holds the mutex.
 func (l *Ledger) expire(now time.Time) {
 	if len(l.nodes) == 0 || !now.After(l.nextExpiry) {
 		return
 	}
 	l.nextExpiry = now.Add(Lifetime)
-	for node, kept := range l.nodes {
-		until := kept.at.Add(Lifetime)
+	for node, entry := range l.nodes {
+		until := entry.at.Add(Lifetime)
 		switch {
-		case !kept.counted:
+		case !entry.counted:
 			delete(l.nodes, node)
 		case now.After(until):
-			l.uncount(kept)
+			l.uncount(entry)
 		case until.Before(l.nextExpiry):
 			l.nextExpiry = until
 		}
 	}
 }
 
-// changed returns the runners at which the counts differ from those before, in the order of their names.
-func (t *told) changed(before *told) []ident.Incarnation {
+// changed returns the runners whose counts differ from the previous report, sorted.
+func (r *nodeReport) changed(before *nodeReport) []ident.Incarnation {
 	var changed []ident.Incarnation
-	for runner, online := range t.counts {
+	for runner, online := range r.counts {
 		if before == nil || before.counts[runner] != online {
 			changed = append(changed, runner)
 		}
 	}
 	if before != nil {
 		for runner := range before.counts {
-			if _, stays := t.counts[runner]; !stays {
+			if _, present := r.counts[runner]; !present {
 				changed = append(changed, runner)
 			}
 		}
@@ -276,24 +288,25 @@
 	return changed
 }
 
-func (r *Report) newer(than *told) bool {
-	if r.Incarnation != than.incarnation {
-		return r.Incarnation > than.incarnation
+func (r *Report) newer(other *nodeReport) bool {
+	if r.Incarnation != other.incarnation {
+		return r.Incarnation > other.incarnation
 	}
-	return r.Sequence > than.sequence
+	return r.Sequence > other.sequence
 }
 
-// Heard returns when a node last told of its work, or zero where it did not, or too long ago for it to know what it was answered.
+// Heard returns when a node's newest report arrived, or zero if there is none or its entry was deleted, so that
+// the node's view of earlier answers is out of date.
 func (l *Ledger) Heard(node ident.Node) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if kept := l.nodes[node]; kept != nil {
-		return kept.at
+	if entry := l.nodes[node]; entry != nil {
+		return entry.at
 	}
 	return time.Time{}
 }
 
-// Nodes returns how many nodes tell of their work.
+// Nodes returns the number of nodes with an unexpired report.
 func (l *Ledger) Nodes(now time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -301,7 +314,7 @@
 	return l.counted
 }
 
-// Any says whether nodes tell of their work.
+// Any reports whether any node has an unexpired report.
 func (l *Ledger) Any(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -309,14 +322,14 @@
 	return l.counted > 0
 }
 
-// Online returns the online work at a runner by all nodes but the one named, which may be empty.
+// Online returns the online work at a runner of all nodes except the one named, which may be empty.
 func (l *Ledger) Online(runner ident.Incarnation, except ident.Node, now time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.expire(now)
 	online := l.totals[runner]
-	if kept := l.nodes[except]; kept != nil && kept.counted {
-		online -= kept.counts[runner]
+	if entry := l.nodes[except]; entry != nil && entry.counted {
+		online -= entry.counts[runner]
 	}
 	return online
 }
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -21,20 +21,20 @@
 	return &demand.Report{Node: node, Incarnation: incarnation, Sequence: sequence, Counts: []demand.Count{{Runner: "r", Online: online}}}
 }
 
-// TestNewestReportOfEachNodeCounts has reports overtake each other, a node start again, and one fall silent.
+// TestNewestReportOfEachNodeCounts has reports overtake each other, a node restart, and one become unresponsive.
 func TestNewestReportOfEachNodeCounts(t *testing.T) {
 	var ledger demand.Ledger
 	assert.DeepEqual(t, ledger.Take(report("a", 1, 2, 3), start), []ident.Incarnation{"r"})
-	assert.Equal(t, len(ledger.Take(report("a", 1, 1, 9), start)), 0, "an older report is passed over")
+	assert.Equal(t, len(ledger.Take(report("a", 1, 1, 9), start)), 0, "an older report was stored")
 	assert.DeepEqual(t, ledger.Take(report("b", 1, 1, 1), start), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", start), 4)
 	assert.Equal(t, ledger.Online("r", "a", start), 1)
-	assert.Equal(t, len(ledger.Take(report("a", 1, 3, 3), start)), 0, "nothing changed")
+	assert.Equal(t, len(ledger.Take(report("a", 1, 3, 3), start)), 0, "an unchanged report was taken for a change")
 	assert.DeepEqual(t, ledger.Take(report("a", 1, 4, 2), start), []ident.Incarnation{"r"})
 	assert.DeepEqual(t, ledger.Take(report("a", 2, 1, 5), start), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", start), 6)
 	late := start.Add(demand.Lifetime + time.Millisecond)
-	assert.Equal(t, ledger.Online("r", "", late), 0, "what a silent node told counts no more")
+	assert.Equal(t, ledger.Online("r", "", late), 0, "an expired report was counted")
 	assert.DeepEqual(t, ledger.Take(&demand.Report{Node: "a", Incarnation: 2, Sequence: 2}, late), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", late), 0)
 }
@@ -61,56 +61,56 @@
 	})
 }
 
-// TestLedgerIsTheSumOfWhatIsFresh draws reports of nodes over time, some of which fall silent: at each moment the work at a
-// runner is the sum of the newest reports that are not older than the lifetime, with and without one node.
-func TestLedgerIsTheSumOfWhatIsFresh(t *testing.T) {
+// TestLedgerIsTheSumOfUnexpiredReports draws reports of nodes over time, with pauses. At each moment the work at a
+// runner is the sum of the newest reports not older than Lifetime, with and without one node.
+func TestLedgerIsTheSumOfUnexpiredReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type heard struct {
+		type received struct {
 			at     time.Time
 			online map[ident.Incarnation]int
 		}
 		var ledger demand.Ledger
 		nodes, runners := []ident.Node{"a", "b", "c"}, []ident.Incarnation{"r", "s"}
-		newest := map[ident.Node]heard{}
+		newest := map[ident.Node]received{}
 		now := start
 		for sequence := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			node := rapid.SampledFrom(nodes).Draw(t, "node")
-			told := &demand.Report{Node: node, Incarnation: 1, Sequence: int64(sequence + 1)}
+			latest := &demand.Report{Node: node, Incarnation: 1, Sequence: int64(sequence + 1)}
 			online := map[ident.Incarnation]int{}
 			for _, runner := range runners {
 				if rapid.Bool().Draw(t, "told") {
 					online[runner] = rapid.IntRange(0, 5).Draw(t, "online")
-					told.Counts = append(told.Counts, demand.Count{Runner: runner, Online: online[runner]})
+					latest.Counts = append(latest.Counts, demand.Count{Runner: runner, Online: online[runner]})
 				}
 			}
-			ledger.Take(told, now)
-			newest[node] = heard{at: now, online: online}
-			asked := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later")) * time.Millisecond)
-			now = asked
+			ledger.Take(latest, now)
+			newest[node] = received{at: now, online: online}
+			queryTime := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later")) * time.Millisecond)
+			now = queryTime
 			for _, runner := range runners {
 				for _, except := range append(nodes, "") {
 					want, any := 0, false
 					for node, known := range newest {
-						fresh := asked.Sub(known.at) <= demand.Lifetime
+						fresh := queryTime.Sub(known.at) <= demand.Lifetime
 						any = any || fresh
 						if fresh && node != except {
 							want += known.online[runner]
 						}
 					}
-					assert.Equal(t, ledger.Online(runner, except, asked), want)
-					assert.Equal(t, ledger.Any(asked), any)
+					assert.Equal(t, ledger.Online(runner, except, queryTime), want)
+					assert.Equal(t, ledger.Any(queryTime), any)
 				}
 			}
 		}
 	})
 }
 
-// fakeWork is one runner's work, owned by the worker "w".
+// fakeWork is the online work at one runner, owned by the worker "w".
 type fakeWork struct {
 	mutex  sync.Mutex
 	online int
-	// suspect says that the runner is under suspicion.
+	// suspect marks the runner as suspected.
 	suspect bool
 	taken   []demand.Share
 }
@@ -136,19 +136,19 @@
 	f.taken = answer.Shares
 }
 
-// fakeWorker keeps a ledger, and fails while it is away.
+// fakeWorker stores reports in a ledger, and fails all calls while it is down.
 type fakeWorker struct {
 	mutex  sync.Mutex
-	away   bool
+	down   bool
 	ledger demand.Ledger
 	// suspected counts the reports that suspect the runner.
 	suspected int
 }
 
-func (w *fakeWorker) tell(_ context.Context, address string, report *demand.Report) (*demand.Answer, error) {
+func (w *fakeWorker) send(_ context.Context, address string, report *demand.Report) (*demand.Answer, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.away || address != "w" {
+	if w.down || address != "w" {
 		return nil, failure.Kind("away")
 	}
 	w.ledger.Take(report, time.Now())
@@ -160,20 +160,20 @@
 	return &demand.Answer{Shares: []demand.Share{{Runner: "r", Others: 2}}}, nil
 }
 
-func (w *fakeWorker) setAway(away bool) {
+func (w *fakeWorker) setDown(down bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.away = away
+	w.down = down
 }
 
 func (w *fakeWorker) online() int { return w.ledger.Online("r", "", time.Now()) }
 
-// TestWorkerHearsOfEachChange tells a start at once, an end soon, goes on telling what does not change, and tells anew
-// after the worker was away.
-func TestWorkerHearsOfEachChange(t *testing.T) {
+// TestWorkerReceivesEachChange checks that a start is reported at once and an end soon, that unchanged work is
+// reported repeatedly, and that it is reported anew after the worker was down.
+func TestWorkerReceivesEachChange(t *testing.T) {
 	work, worker := &fakeWork{}, &fakeWorker{}
 	teller := demand.NewTeller("front", work, time.Now)
-	teller.Tell = worker.tell
+	teller.Tell = worker.send
 	supervisor := new(tomb.Tomb)
 	teller.Start(supervisor)
 	t.Cleanup(func() {
@@ -184,7 +184,7 @@
 		work.set(online)
 		teller.Changed(started)
 	}
-	hears := func(online int) {
+	expectOnline := func(online int) {
 		t.Helper()
 		for range 2000 {
 			if worker.online() == online {
@@ -192,45 +192,45 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Fatalf("the worker hears of %d requests, not of %d", worker.online(), online)
+		t.Fatalf("the worker received %d requests, want %d", worker.online(), online)
 	}
 	change(1, true)
-	hears(1)
+	expectOnline(1)
 	change(3, true)
-	hears(3)
+	expectOnline(3)
 	change(2, false)
-	hears(2)
+	expectOnline(2)
 	time.Sleep(demand.Lifetime + demand.IdleRefreshEvery)
-	hears(2)
-	worker.setAway(true)
+	expectOnline(2)
+	worker.setDown(true)
 	change(4, true)
 	time.Sleep(2 * demand.IdleRefreshEvery)
-	worker.setAway(false)
-	hears(4)
+	worker.setDown(false)
+	expectOnline(4)
 	change(0, false)
-	hears(0)
+	expectOnline(0)
 	work.mutex.Lock()
 	work.suspect = true
 	work.mutex.Unlock()
 	teller.Changed(false)
-	hearsOfSuspicion := func() bool {
+	suspicionReceived := func() bool {
 		worker.mutex.Lock()
 		defer worker.mutex.Unlock()
 		return worker.suspected > 0
 	}
-	for end := time.Now().Add(10 * time.Second); !hearsOfSuspicion() && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !suspicionReceived() && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 	}
-	assert.Assert(t, hearsOfSuspicion(), "a suspicion without work was not told of")
+	assert.Assert(t, suspicionReceived(), "a suspected runner without work was not reported")
 	work.mutex.Lock()
 	defer work.mutex.Unlock()
 	assert.DeepEqual(t, work.taken, []demand.Share{{Runner: "r", Others: 2}})
 }
 
-// TestWordOfASilentNodeIsForgotten states the bound that docs/design/beliefs.md gives for demand.
-func TestWordOfASilentNodeIsForgotten(t *testing.T) {
-	const forgottenAfter = 1500 * time.Millisecond
+// TestReportOfASilentNodeExpires states the bound that docs/design/beliefs.md gives for demand.
+func TestReportOfASilentNodeExpires(t *testing.T) {
+	const expiresAfter = 1500 * time.Millisecond
 	var ledger demand.Ledger
 	ledger.Take(report("a", 1, 1, 3), start)
-	assert.Equal(t, ledger.Online("r", "", start.Add(forgottenAfter)), 3)
-	assert.Equal(t, ledger.Online("r", "", start.Add(forgottenAfter+time.Millisecond)), 0)
+	assert.Equal(t, ledger.Online("r", "", start.Add(expiresAfter)), 3)
+	assert.Equal(t, ledger.Online("r", "", start.Add(expiresAfter+time.Millisecond)), 0)
 }
--- a/internal/demand/ask_test.go
+++ b/internal/demand/poll_test.go
@@ -13,7 +13,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// fleetWork is a node's work at workers of its zone and of another one, and what it took over.
+// fleetWork is a node's online work at workers of its own and of another zone; it counts the answers it receives.
 type fleetWork struct {
 	mutex  sync.Mutex
 	online map[string]Owned
@@ -44,14 +44,14 @@
 	w.online[address] = owned
 }
 
-// fleetWorkers answer, but for those that are dead, and keep the reports.
+// fleetWorkers simulates workers and records their reports. Dead workers do not answer.
 type fleetWorkers struct {
 	mutex   sync.Mutex
 	dead    map[string]bool
 	reports map[string][]*Report
 }
 
-func (w *fleetWorkers) tell(ctx context.Context, address string, report *Report) (*Answer, error) {
+func (w *fleetWorkers) send(ctx context.Context, address string, report *Report) (*Answer, error) {
 	w.mutex.Lock()
 	w.reports[address] = append(w.reports[address], report)
 	dead := w.dead[address]
@@ -69,28 +69,28 @@
 	return len(w.reports[address])
 }
 
-// paces returns the counts with a pace that a worker was told, in order.
+// paces returns, in order, the counts with a pace that were reported to a worker.
 func (w *fleetWorkers) paces(address string) []Count {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	var told []Count
+	var reported []Count
 	for _, report := range w.reports[address] {
 		for _, count := range report.Counts {
 			if count.Pace.Known() {
-				told = append(told, count)
+				reported = append(reported, count)
 			}
 		}
 	}
-	return told
+	return reported
 }
 
-// startAsked starts a teller for two workers of its zone and one of another.
-func startAsked(t *testing.T) (*Teller, *fleetWork, *fleetWorkers) {
+// startTeller starts a teller for two workers of its own zone and one of another.
+func startTeller(t *testing.T) (*Teller, *fleetWork, *fleetWorkers) {
 	t.Helper()
 	work := &fleetWork{online: map[string]Owned{"near-1": {}, "near-2": {}, "far": {Far: true}}, taken: map[string]int{}}
 	workers := &fleetWorkers{dead: map[string]bool{}, reports: map[string][]*Report{}}
 	teller := NewTeller("front", work, time.Now)
-	teller.Tell = workers.tell
+	teller.Tell = workers.send
 	supervisor := new(tomb.Tomb)
 	teller.Start(supervisor)
 	t.Cleanup(func() {
@@ -111,25 +111,25 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("it never came true")
+	t.Fatal("condition not met within 10 s")
 }
 
-// TestWorkersAreAskedBeforeAChoiceWhereTheirWordIsOld asks for words younger than some: those of the zone, or those named; nobody where all
-// are fresh.
-func TestWorkersAreAskedBeforeAChoiceWhereTheirWordIsOld(t *testing.T) {
-	teller, work, workers := startAsked(t)
+// TestStaleWorkersArePolledOnRequest requests answers below some age: from the workers of the zone or from those
+// named. Workers with a fresh answer are not called.
+func TestStaleWorkersArePolledOnRequest(t *testing.T) {
+	teller, work, workers := startTeller(t)
 	near, far := workers.calls("near-1"), workers.calls("far")
 	assert.Assert(t, !teller.Ask(t.Context(), []string{"near-1", "far"}, time.Hour))
 	teller.AskNear(t.Context(), time.Hour)
-	assert.Equal(t, workers.calls("near-1"), near, "its word is fresh")
+	assert.Equal(t, workers.calls("near-1"), near, "a worker with a fresh answer was called")
 	work.mutex.Lock()
 	before := work.taken["near-1"]
 	work.mutex.Unlock()
 	teller.AskNear(t.Context(), time.Nanosecond)
 	assert.Assert(t, workers.calls("near-1") > near)
-	assert.Equal(t, workers.calls("far"), far, "one of another zone was asked")
+	assert.Equal(t, workers.calls("far"), far, "a worker of another zone was called")
 	work.mutex.Lock()
-	assert.Assert(t, work.taken["near-1"] > before, "the answer was not waited for")
+	assert.Assert(t, work.taken["near-1"] > before, "AskNear returned before the answer was applied")
 	work.mutex.Unlock()
 	assert.Assert(t, teller.Ask(t.Context(), []string{"far"}, time.Nanosecond))
 	assert.Assert(t, workers.calls("far") > far)
@@ -137,73 +137,74 @@
 	assert.Assert(t, !teller.Ask(t.Context(), nil, time.Nanosecond))
 }
 
-// TestDeadWorkerHoldsUpNoRequestForLong asks one that does not answer: a question ends with its context, and once the call has been
-// on its way for longer than that, further ones do not wait at all. Nor do they after it failed.
-func TestDeadWorkerHoldsUpNoRequestForLong(t *testing.T) {
+// TestUnresponsiveWorkerDelaysNoRequestForLong polls a worker that does not answer. The poll ends with its
+// context; requests do not wait for a call that is older than joinWindow, nor during the backoff after a failure.
+func TestUnresponsiveWorkerDelaysNoRequestForLong(t *testing.T) {
 	now := time.Unix(100, 0)
-	waiting := &correspondent{called: make(chan struct{}), lastAt: now}
-	assert.Assert(t, waiting.stale(time.Millisecond, now.Add(awaitedFor-time.Millisecond)))
-	assert.Assert(t, !waiting.stale(time.Millisecond, now.Add(awaitedFor)))
-	failed := &correspondent{notBefore: now.Add(time.Second)}
+	waiting := &workerState{callDone: make(chan struct{}), calledAt: now}
+	assert.Assert(t, waiting.stale(time.Millisecond, now.Add(joinWindow-time.Millisecond)))
+	assert.Assert(t, !waiting.stale(time.Millisecond, now.Add(joinWindow)))
+	failed := &workerState{notBefore: now.Add(time.Second)}
 	assert.Assert(t, !failed.stale(time.Millisecond, now))
 
-	teller, _, workers := startAsked(t)
+	teller, _, workers := startTeller(t)
 	workers.mutex.Lock()
 	workers.dead["near-2"] = true
 	workers.mutex.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
-	asked := make(chan struct{})
+	polled := make(chan struct{})
 	go func() {
 		teller.Ask(ctx, []string{"near-2"}, time.Nanosecond)
-		close(asked)
+		close(polled)
 	}()
 	cancel()
 	select {
-	case <-asked:
+	case <-polled:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the question did not end with its context")
+		t.Fatal("the poll did not end with its context")
 	}
 }
 
-// TestNobodyIsAskedOnceTheTellerHasEnded asks one whose loop is over.
-func TestNobodyIsAskedOnceTheTellerHasEnded(t *testing.T) {
+// TestPollAfterTheTellerEndedReturns polls through a teller whose loop does not run.
+func TestPollAfterTheTellerEndedReturns(t *testing.T) {
 	teller := NewTeller("front", &fleetWork{}, time.Now)
-	teller.workers["near"] = &correspondent{}
+	teller.workers["near"] = &workerState{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	teller.AskNear(ctx, time.Nanosecond)
 }
 
-// TestEachWordOfAPaceIsToldOnce hears words of a runner at which this node has nothing: each is told with its age, and none again. The age
-// makes no report due; a worker that did not answer is told again.
-func TestEachWordOfAPaceIsToldOnce(t *testing.T) {
-	heard := time.Unix(100, 0)
-	now := heard.Add(30 * time.Millisecond)
-	word := Count{Runner: "r", Pace: 2.5, Heard: heard}
-	known := &correspondent{lastAt: now}
-	assert.Assert(t, known.lacks([]Count{word}, time.Hour, now))
-	report := known.next([]Count{word}, now)
+// TestEachPaceIsReportedOnce receives paces of a runner at which this node has no requests. Each is reported once,
+// with its age, and the age alone makes no report due. A newer pace is reported again.
+func TestEachPaceIsReportedOnce(t *testing.T) {
+	receivedAt := time.Unix(100, 0)
+	now := receivedAt.Add(30 * time.Millisecond)
+	count := Count{Runner: "r", Pace: 2.5, Heard: receivedAt}
+	state := &workerState{calledAt: now}
+	assert.Assert(t, state.reportDue([]Count{count}, time.Hour, now))
+	report := state.nextReport([]Count{count}, now)
 	assert.Equal(t, len(report.Counts), 1)
-	assert.Equal(t, report.Counts[0].Pace, word.Pace)
+	assert.Equal(t, report.Counts[0].Pace, count.Pace)
 	assert.Equal(t, report.Counts[0].PaceAgeMs, int64(30))
-	known.answered(report, now)
+	state.acknowledge(report, now)
 	later := now.Add(time.Second)
-	assert.Assert(t, !known.lacks([]Count{word}, time.Hour, later), "its age made a report due")
-	assert.Equal(t, len(known.next([]Count{word}, later).Counts), 0)
-	word.Heard = later
-	assert.Assert(t, known.lacks([]Count{word}, time.Hour, later), "a newer word is told")
-
-	online := Count{Runner: "r", Online: 2, Pace: 2.5, Heard: heard}
-	other := &correspondent{}
-	other.answered(other.next([]Count{online}, now), now)
-	assert.Assert(t, !other.lacks([]Count{online}, time.Hour, now.Add(RefreshEvery-time.Millisecond)))
-	repeated := other.next([]Count{online}, now)
+	assert.Assert(t, !state.reportDue([]Count{count}, time.Hour, later), "the age of a pace made a report due")
+	assert.Equal(t, len(state.nextReport([]Count{count}, later).Counts), 0)
+	count.Heard = later
+	assert.Assert(t, state.reportDue([]Count{count}, time.Hour, later), "a newer pace makes no report due")
+
+	online := Count{Runner: "r", Online: 2, Pace: 2.5, Heard: receivedAt}
+	other := &workerState{}
+	other.acknowledge(other.nextReport([]Count{online}, now), now)
+	assert.Assert(t, !other.reportDue([]Count{online}, time.Hour, now.Add(RefreshEvery-time.Millisecond)))
+	repeated := other.nextReport([]Count{online}, now)
 	assert.DeepEqual(t, repeated.Counts, []Count{{Runner: "r", Online: 2}})
 }
 
-// TestPaceIsToldWhereTheRequestHasEnded has a node tell a worker of a runner's pace, fail, and tell it again once the worker answers.
-func TestPaceIsToldWhereTheRequestHasEnded(t *testing.T) {
-	teller, work, workers := startAsked(t)
+// TestPaceIsReportedAfterTheRequestEnded has a node report a runner's pace without online requests there. After a
+// failed call the pace is reported again.
+func TestPaceIsReportedAfterTheRequestEnded(t *testing.T) {
+	teller, work, workers := startTeller(t)
 	work.set("far", Count{Runner: "r", Pace: 3, Heard: time.Now()})
 	teller.Changed(false)
 	eventually(t, func() bool { return len(workers.paces("far")) == 1 })
--- a/internal/demand/teller_test.go
+++ b/internal/demand/teller_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-func far(idle, used int) map[string]Owned {
+func farFleet(idle, used int) map[string]Owned {
 	online := map[string]Owned{"near": {}}
 	for index := range idle {
 		online[fmt.Sprint("idle-", index)] = Owned{Far: true}
@@ -23,71 +23,73 @@
 	return online
 }
 
-// TestCallsToIdleWorkersOfOtherZonesAreBounded draws fleets: however many workers there are, a node without work makes no
-// more calls a second than its bound, and with few workers it hears of them as often as of near ones.
+// TestCallsToIdleWorkersOfOtherZonesAreBounded draws fleets. However many workers there are, a node without work
+// makes no more calls a second than its bound; with few workers it polls them as often as those of its own zone.
 func TestCallsToIdleWorkersOfOtherZonesAreBounded(t *testing.T) {
-	assert.Equal(t, idleFarEvery(far(0, 3)), IdleRefreshEvery)
-	assert.Equal(t, idleFarEvery(far(2, 40)), IdleRefreshEvery)
-	assert.Equal(t, idleFarEvery(far(38, 0)), 9500*time.Millisecond)
+	assert.Equal(t, idleFarInterval(farFleet(0, 3)), IdleRefreshEvery)
+	assert.Equal(t, idleFarInterval(farFleet(2, 40)), IdleRefreshEvery)
+	assert.Equal(t, idleFarInterval(farFleet(38, 0)), 9500*time.Millisecond)
 	rapid.Check(t, func(t *rapid.T) {
 		idle := rapid.IntRange(1, 400).Draw(t, "idle")
-		every := idleFarEvery(far(idle, rapid.IntRange(0, 20).Draw(t, "used")))
+		every := idleFarInterval(farFleet(idle, rapid.IntRange(0, 20).Draw(t, "used")))
 		assert.Assert(t, every >= IdleRefreshEvery)
-		assert.Assert(t, float64(idle)/every.Seconds() <= farCallsEach)
+		assert.Assert(t, float64(idle)/every.Seconds() <= farCallsPerSecond)
 	})
 }
 
-// TestWorkAtAFarWorkerIsToldAtOnce has a node that was silent towards a far worker have work there.
-func TestWorkAtAFarWorkerIsToldAtOnce(t *testing.T) {
+// TestWorkAtAFarWorkerIsReportedAtOnce has a node start work at a far worker that is not due for an idle report
+// yet.
+func TestWorkAtAFarWorkerIsReportedAtOnce(t *testing.T) {
 	now := time.Unix(100, 0)
-	known := &correspondent{lastAt: now}
-	assert.Assert(t, !known.lacks(nil, 9*time.Second, now.Add(8*time.Second)))
-	assert.Assert(t, known.lacks(nil, 9*time.Second, now.Add(9*time.Second)))
-	assert.Assert(t, known.lacks([]Count{{Runner: "r", Online: 1}}, 9*time.Second, now))
+	state := &workerState{calledAt: now}
+	assert.Assert(t, !state.reportDue(nil, 9*time.Second, now.Add(8*time.Second)))
+	assert.Assert(t, state.reportDue(nil, 9*time.Second, now.Add(9*time.Second)))
+	assert.Assert(t, state.reportDue([]Count{{Runner: "r", Online: 1}}, 9*time.Second, now))
 }
 
-// takenWork notes as of when answers were taken over.
-type takenWork struct {
+// answerTimes records the time as of which answers were applied.
+type answerTimes struct {
 	Work
 	asOf time.Time
 }
 
-func (w *takenWork) Take(_ string, _ *Answer, asOf time.Time) { w.asOf = asOf }
+func (w *answerTimes) Take(_ string, _ *Answer, asOf time.Time) { w.asOf = asOf }
 
-// TestAnswerReadAfterAFreezeIsAsOldAsItsQuestion stands still for longer than an answer is believed, between the question and
-// the reading of its answer. What the worker knew before counts no more.
-func TestAnswerReadAfterAFreezeIsAsOldAsItsQuestion(t *testing.T) {
+// TestAnswerReadAfterAFreezeCountsFromItsReport freezes the process for longer than Lifetime between sending a
+// report and reading the answer. The answer must not count as fresh.
+func TestAnswerReadAfterAFreezeCountsFromItsReport(t *testing.T) {
 	now := time.Unix(100, 0)
-	work := &takenWork{}
+	work := &answerTimes{}
 	teller := NewTeller(ident.Node("front"), work, func() time.Time { return now })
 	teller.Tell = func(context.Context, string, *Report) (*Answer, error) {
 		now = now.Add(2 * Lifetime)
 		return &Answer{}, nil
 	}
-	teller.tell(t.Context(), "w", &correspondent{}, &Report{})
-	assert.Assert(t, now.Sub(work.asOf) >= 2*Lifetime, "the answer is believed for another %v", Lifetime-now.Sub(work.asOf))
+	teller.send(t.Context(), "w", &workerState{}, &Report{})
+	assert.Assert(t, now.Sub(work.asOf) >= 2*Lifetime, "the answer counts for another %v", Lifetime-now.Sub(work.asOf))
 }
 
-// TestAgeIsToldWhileAnOwnerMayAskForIt: an owner that started with this node goes by the age; later it would be bytes in each report.
-func TestAgeIsToldWhileAnOwnerMayAskForIt(t *testing.T) {
+// TestAgeIsReportedOnlyAfterStart checks that the age is reported while an owner that started with this node may
+// need it, and omitted later to save bytes.
+func TestAgeIsReportedOnlyAfterStart(t *testing.T) {
 	began := time.Unix(100, 0)
-	teller := NewTeller(ident.Node("front"), &takenWork{}, func() time.Time { return began })
+	teller := NewTeller(ident.Node("front"), &answerTimes{}, func() time.Time { return began })
 	assert.Equal(t, teller.age(began), int64(1))
 	assert.Equal(t, teller.age(began.Add(13*time.Second)), int64(13_000))
 	assert.Equal(t, teller.age(began.Add(16*time.Second)), int64(0))
 }
 
-// TestOldRequestsAreToldUntilTheOwnerAnswers has a node report three times: what is old grows with time alone, is no news, and is told until
-// an answer came.
-func TestOldRequestsAreToldUntilTheOwnerAnswers(t *testing.T) {
+// TestOldRequestsAreReportedUntilTheOwnerAnswers has a node report three times. The number of old requests grows
+// with time alone; it makes no report due, and is sent until the first answer.
+func TestOldRequestsAreReportedUntilTheOwnerAnswers(t *testing.T) {
 	now := time.Unix(100, 0)
-	known := &correspondent{}
+	state := &workerState{}
 	counts := []Count{{Runner: "r", Online: 3, Old: 1}}
-	assert.Equal(t, known.next(counts, now).Counts[0].Old, 1)
+	assert.Equal(t, state.nextReport(counts, now).Counts[0].Old, 1)
 	counts[0].Old = 2
-	assert.Assert(t, !known.lacks(counts, IdleRefreshEvery, now), "a request that grew old makes a report due")
-	second := known.next(counts, now.Add(time.Second))
+	assert.Assert(t, !state.reportDue(counts, IdleRefreshEvery, now), "a change of the number of old requests made a report due")
+	second := state.nextReport(counts, now.Add(time.Second))
 	assert.Equal(t, second.Counts[0].Old, 2)
-	known.answered(second, now.Add(time.Second))
-	assert.Equal(t, known.next(counts, now.Add(2*time.Second)).Counts[0].Old, 0)
+	state.acknowledge(second, now.Add(time.Second))
+	assert.Equal(t, state.nextReport(counts, now.Add(2*time.Second)).Counts[0].Old, 0)
 }
--- a/internal/demand/tokens_test.go
+++ b/internal/demand/tokens_test.go
@@ -9,8 +9,8 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 )
 
-// TestTokensOfAllNodesAreAddedUp has two nodes tell of theirs, and one of an older build that tells none; what a node told is forgotten
-// with its work.
+// TestTokensOfAllNodesAreAddedUp has two nodes report tokens, and one of an older build report none. The tokens of
+// a report expire with it.
 func TestTokensOfAllNodesAreAddedUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var ledger demand.Ledger
--- a/internal/demand/uses.go
+++ b/internal/demand/uses.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// UsesEvery is the time between two reports of what tenants take and wait for, while places are scarce: a worker so hears some of them
-// within Lifetime, and a node spends less than half of what it may on control.
+// UsesEvery is the time between two reports of tenants' uses while slots are scarce. A worker receives several of
+// them within Lifetime, and a node spends less than half of its control traffic on them.
 const UsesEvery = 400 * time.Millisecond
 
-// lacksUses says whether the worker is to be told now of what tenants take and wait for.
-func (c *correspondent) lacksUses(uses []Use, now time.Time) bool {
-	return len(uses) > 0 && now.Sub(c.usesAt) >= UsesEvery && !now.Before(c.notBefore)
+// usesDue reports whether the tenants' uses have to be reported to the worker now.
+func (c *workerState) usesDue(uses []Use, now time.Time) bool {
+	return len(uses) > 0 && now.Sub(c.usesSentAt) >= UsesEvery && !now.Before(c.notBefore)
 }
 
-// nextUses are those of the next report: all, or none where the worker was told a moment ago.
-func (c *correspondent) nextUses(uses []Use, now time.Time) []Use {
-	if !c.lacksUses(uses, now) {
+// nextUses returns the uses for the next report: all of them, or none within UsesEvery of the previous ones.
+func (c *workerState) nextUses(uses []Use, now time.Time) []Use {
+	if !c.usesDue(uses, now) {
 		return nil
 	}
-	c.usesAt = now
+	c.usesSentAt = now
 	return uses
 }
--- a/internal/demand/uses_test.go
+++ b/internal/demand/uses_test.go
@@ -7,33 +7,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUsesAreToldNowAndThen has a node with work at a worker tell it each 50 ms: what tenants take goes along at once, and then with every eighth
-// report; a worker that is to be told nothing of tenants hears nothing.
-func TestUsesAreToldNowAndThen(t *testing.T) {
+// TestUsesAreReportedAtIntervals has a node with work at a worker report every 50 ms. The uses are part of the
+// first and of every eighth report; without uses no report is due.
+func TestUsesAreReportedAtIntervals(t *testing.T) {
 	now := time.Unix(100, 0)
-	known := &correspondent{}
+	state := &workerState{}
 	uses := []Use{{Service: "s", Tenant: "a", Taken: 3}}
 	counts := []Count{{Runner: "r", Online: 1}}
-	told := 0
+	reported := 0
 	for range 17 {
-		if known.lacks(counts, IdleRefreshEvery, now) || known.lacksUses(uses, now) {
-			report := known.next(counts, now)
-			if report.Uses = known.nextUses(uses, now); report.Uses != nil {
-				told++
+		if state.reportDue(counts, IdleRefreshEvery, now) || state.usesDue(uses, now) {
+			report := state.nextReport(counts, now)
+			if report.Uses = state.nextUses(uses, now); report.Uses != nil {
+				reported++
 			}
 		}
 		now = now.Add(RefreshEvery)
 	}
-	assert.Equal(t, told, 3)
-	assert.Assert(t, !known.lacksUses(nil, now.Add(time.Hour)))
+	assert.Equal(t, reported, 3)
+	assert.Assert(t, !state.usesDue(nil, now.Add(time.Hour)))
 }
 
-// TestUsesAreToldToAWorkerWithoutWorkOfThisNode has nothing but uses to tell, to a worker of another zone.
-func TestUsesAreToldToAWorkerWithoutWorkOfThisNode(t *testing.T) {
+// TestUsesAreReportedToAWorkerWithoutWorkOfThisNode has only uses to report, to a worker of another zone.
+func TestUsesAreReportedToAWorkerWithoutWorkOfThisNode(t *testing.T) {
 	now := time.Unix(100, 0)
-	known := &correspondent{lastAt: now}
-	assert.Assert(t, !known.lacks(nil, 9*time.Second, now.Add(time.Millisecond)))
-	assert.Assert(t, known.lacksUses([]Use{{Service: "s", Tenant: "a", Taken: 3}}, now.Add(time.Millisecond)))
-	known.notBefore = now.Add(time.Second)
-	assert.Assert(t, !known.lacksUses([]Use{{Service: "s", Tenant: "a", Taken: 3}}, now.Add(time.Millisecond)), "it did not answer a moment ago")
+	state := &workerState{calledAt: now}
+	assert.Assert(t, !state.reportDue(nil, 9*time.Second, now.Add(time.Millisecond)))
+	assert.Assert(t, state.usesDue([]Use{{Service: "s", Tenant: "a", Taken: 3}}, now.Add(time.Millisecond)))
+	state.notBefore = now.Add(time.Second)
+	assert.Assert(t, !state.usesDue([]Use{{Service: "s", Tenant: "a", Taken: 3}}, now.Add(time.Millisecond)), "a report is due during the backoff after a failure")
 }
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -15,34 +15,39 @@
 )
 
 const (
-	// scarceFor is how long the places of a service count as scarce after a request was last told to wait: some reports of each
-	// node, so that moments without one don't have bounds come and go.
-	scarceFor = time.Second
-	// divideEvery is the time between two divisions of a service's places: a fraction of what nodes' reports are apart.
-	divideEvery = 50 * time.Millisecond
-	// divideForNewEvery is that time where a node tells for the first time: many begin to at the same moment, and each that has no bound
-	// yet takes what it can.
-	divideForNewEvery = 10 * time.Millisecond
-	// mostOver is how much more than its share a tenant may want that is bounded no more; wantsLessFor is how long.
-	mostOver     = 0.9
-	wantsLessFor = time.Second
-	// takenMemory is how long the most places that nodes had count: the next requests need a moment to take those that came free.
-	takenMemory = time.Second
-	// turnsEvery is the time after which parts of a place go to other nodes.
-	turnsEvery = 2 * time.Second
+	// scarcityPeriod is how long the slots of a service count as scarce after a request was last reported as
+	// waiting. It spans several reports of each node, so that bounds do not flap when a single report has no
+	// waiting request.
+	scarcityPeriod = time.Second
+	// divisionInterval is the time between two divisions of a service's slots: a fraction of the time between two
+	// reports of a node.
+	divisionInterval = 50 * time.Millisecond
+	// newNodeDivisionInterval is that time if a node reports for the first time. Many nodes start to report at the
+	// same moment, and each takes as many slots as it can until it has a bound.
+	newNodeDivisionInterval = 10 * time.Millisecond
+	// releaseRatio and releaseDelay define when a bound ends: once the tenant has wanted no more than releaseRatio
+	// of its share for releaseDelay.
+	releaseRatio = 0.9
+	releaseDelay = time.Second
+	// peakWindow is how long the peak number of used slots counts: the next requests take a moment to use the
+	// slots that became free.
+	peakWindow = time.Second
+	// rotationInterval is the time after which fractions of a slot are rounded in favour of other nodes.
+	rotationInterval = 2 * time.Second
 )
 
-// Fleet is what a division depends on beside what nodes tell.
+// Fleet is the state of the fleet that a division depends on, besides the nodes' reports.
 type Fleet struct {
-	// Slots are those of the ready runners of the service.
+	// Slots is the number of slots of the service's ready runners.
 	Slots int
 	// Weight returns the weight of a tenant.
 	Weight func(ident.Tenant) float64
-	// Weights is the sum over all tenants of the configuration.
+	// Weights is the sum of the weights of all tenants of the configuration.
 	Weights float64
 }
 
-// Account is what nodes told of the places of some services. It is safe for concurrent use; the zero Account knows nothing.
+// Account records the nodes' reported use of the slots of some services. It is safe for concurrent use. The zero
+// Account is empty.
 type Account struct {
 	mutex    sync.Mutex
 	services map[string]*service
@@ -50,38 +55,38 @@
 
 // service is the account of one service.
 type service struct {
-	nodes map[ident.Node]*told
-	// scarceUntil is until when the places count as scarce.
+	nodes map[ident.Node]*nodeReport
+	// scarceUntil is the time until which the slots count as scarce.
 	scarceUntil time.Time
-	// none is when the nodes that tell last had no place at all.
-	none time.Time
-	// most is the most places that nodes had lately, of which mostAt is the moment.
-	most   int
-	mostAt time.Time
-	// divided is when the places were last divided.
-	divided time.Time
-	over    map[ident.Tenant]*bounded
-	places  float64
-	// parts are the bounds of the tenants over their share at each node that has something of them.
+	// noSlotsAt is when the reporting nodes last had no slot at all.
+	noSlotsAt time.Time
+	// peak is the highest number of slots in use within peakWindow, peakAt the time when it was reached.
+	peak   int
+	peakAt time.Time
+	// dividedAt is when the slots were last divided.
+	dividedAt time.Time
+	over      map[ident.Tenant]*boundState
+	slots     float64
+	// parts holds the bounds for each node: those of the tenants over their share that have requests there.
 	parts map[ident.Node][]demand.Bound
 }
 
-// told is the newest word of one node.
-type told struct {
+// nodeReport is the newest report of one node.
+type nodeReport struct {
 	incarnation, sequence int64
 	at                    time.Time
 	uses                  map[ident.Tenant]demand.Use
 }
 
-// bounded is a tenant that wants more than its share, or did so a moment ago.
-type bounded struct {
+// boundState is the state of a tenant that wants more than its share, or did so recently.
+type boundState struct {
 	share float64
 	wants int
-	// since is when it last wanted nearly as much as its share.
-	since time.Time
+	// overAt is when it last wanted more than releaseRatio of its share.
+	overAt time.Time
 }
 
-// Take takes over what a node told of the services that this account is of. An older report than the last one is passed over.
+// Take records the uses that a node reported. Reports older than the newest one are ignored.
 func (a *Account) Take(report *demand.Report, now time.Time) {
 	if len(report.Uses) == 0 {
 		return
@@ -91,32 +96,32 @@
 	if a.services == nil {
 		a.services = map[string]*service{}
 	}
-	news := map[string]*told{}
+	byService := map[string]*nodeReport{}
 	for _, use := range report.Uses {
-		known := news[use.Service]
-		if known == nil {
-			known = &told{incarnation: report.Incarnation, sequence: report.Sequence, at: now, uses: map[ident.Tenant]demand.Use{}}
-			news[use.Service] = known
+		entry := byService[use.Service]
+		if entry == nil {
+			entry = &nodeReport{incarnation: report.Incarnation, sequence: report.Sequence, at: now, uses: map[ident.Tenant]demand.Use{}}
+			byService[use.Service] = entry
 		}
 		use.Taken, use.Waiting = max(use.Taken, 0), max(use.Waiting, 0)
-		known.uses[use.Tenant] = use
+		entry.uses[use.Tenant] = use
 	}
-	for name, next := range news {
-		a.service(name).take(report.Node, next, now)
+	for name, next := range byService {
+		a.service(name).record(report.Node, next, now)
 	}
 }
 
-// service returns the account of one. The caller holds the mutex.
+// service returns the account of a service, and creates it if necessary. The caller holds the mutex.
 func (a *Account) service(name string) *service {
-	known := a.services[name]
-	if known == nil {
-		known = &service{nodes: map[ident.Node]*told{}, over: map[ident.Tenant]*bounded{}}
-		a.services[name] = known
+	entry := a.services[name]
+	if entry == nil {
+		entry = &service{nodes: map[ident.Node]*nodeReport{}, over: map[ident.Tenant]*boundState{}}
+		a.services[name] = entry
 	}
-	return known
+	return entry
 }
 
-func (s *service) take(node ident.Node, next *told, now time.Time) {
+func (s *service) record(node ident.Node, next *nodeReport, now time.Time) {
 	before := s.nodes[node]
 	if before != nil && !next.newer(before) {
 		return
@@ -124,34 +129,34 @@
 	s.nodes[node] = next
 	for _, use := range next.uses {
 		if use.Waiting > 0 {
-			s.scarceUntil = now.Add(scarceFor)
+			s.scarceUntil = now.Add(scarcityPeriod)
 		}
 	}
 }
 
-func (t *told) newer(than *told) bool {
-	return cmp.Or(cmp.Compare(t.incarnation, than.incarnation), cmp.Compare(t.sequence, than.sequence)) > 0
+func (r *nodeReport) newer(other *nodeReport) bool {
+	return cmp.Or(cmp.Compare(r.incarnation, other.incarnation), cmp.Compare(r.sequence, other.sequence)) > 0
 }
 
-// Bounds returns what a node is told: for each service whose places are scarce an entry without a tenant, and one for each tenant over
-// its share that the node told of.
+// Bounds returns the bounds to send to a node. For each service whose slots are scarce there is an entry without a
+// tenant, and one for each tenant over its share for which the node reported requests.
 func (a *Account) Bounds(report *demand.Report, fleet func(service string) Fleet, now time.Time) []demand.Bound {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	var bounds []demand.Bound
-	for name, known := range a.services {
-		if now.After(known.scarceUntil) {
-			known.forget(now)
-			if len(known.nodes) == 0 {
+	for name, entry := range a.services {
+		if now.After(entry.scarceUntil) {
+			entry.expire(now)
+			if len(entry.nodes) == 0 {
 				delete(a.services, name)
 			}
 			continue
 		}
-		if now.Sub(known.divided) >= known.divideAfter(report.Node) {
-			known.divide(name, fleet(name), now)
+		if now.Sub(entry.dividedAt) >= entry.divideAfter(report.Node) {
+			entry.divide(name, fleet(name), now)
 		}
-		bounds = append(bounds, demand.Bound{Service: name, Places: known.sharedOut()})
-		bounds = append(bounds, known.parts[report.Node]...)
+		bounds = append(bounds, demand.Bound{Service: name, Places: entry.dividedSlots()})
+		bounds = append(bounds, entry.parts[report.Node]...)
 	}
 	slices.SortFunc(bounds, func(first, second demand.Bound) int {
 		return cmp.Or(cmp.Compare(first.Service, second.Service), cmp.Compare(first.Tenant, second.Tenant))
@@ -159,77 +164,81 @@
 	return bounds
 }
 
-// sharedOut is what the entry without a tenant tells: the places that are divided, or none while no tenant is bounded.
-func (s *service) sharedOut() int {
+// dividedSlots returns the value of the entry without a tenant: the number of slots that are divided, or zero
+// while no tenant is bounded.
+func (s *service) dividedSlots() int {
 	if len(s.over) == 0 {
 		return 0
 	}
-	return max(int(s.places), 1)
+	return max(int(s.slots), 1)
 }
 
-// forget drops what is too old to count.
-func (s *service) forget(now time.Time) {
-	maps.DeleteFunc(s.nodes, func(_ ident.Node, known *told) bool { return now.Sub(known.at) > demand.Lifetime })
+// expire deletes the reports older than demand.Lifetime.
+func (s *service) expire(now time.Time) {
+	maps.DeleteFunc(s.nodes, func(_ ident.Node, entry *nodeReport) bool { return now.Sub(entry.at) > demand.Lifetime })
 	if len(s.nodes) == 0 {
 		clear(s.over)
-		s.most = 0
+		s.peak = 0
 	}
 }
 
-// divideAfter is the time since the last division after which there is another one for a node that asks.
-func (s *service) divideAfter(asking ident.Node) time.Duration {
-	if own := s.nodes[asking]; own != nil && s.parts[asking] == nil && own.at.After(s.divided) {
-		return divideForNewEvery
+// divideAfter returns the time that has to pass since the last division before a report of the given node causes
+// another one.
+func (s *service) divideAfter(reporting ident.Node) time.Duration {
+	if own := s.nodes[reporting]; own != nil && s.parts[reporting] == nil && own.at.After(s.dividedAt) {
+		return newNodeDivisionInterval
 	}
-	return divideEvery
+	return divisionInterval
 }
 
-// divide finds the tenants that want more than their share, and each node's part of it.
+// divide finds the tenants that want more than their share, and divides each share among the nodes.
 func (s *service) divide(name string, fleet Fleet, now time.Time) {
-	s.divided = now
-	s.forget(now)
+	s.dividedAt = now
+	s.expire(now)
 	claims, rest, taken := s.claims(fleet)
-	s.places = s.placesOf(taken, fleet, now)
+	s.slots = s.availableSlots(taken, fleet, now)
 	s.parts = make(map[ident.Node][]demand.Bound, len(s.nodes))
 	if len(claims) < 2 && rest == 0 {
-		// A tenant alone has all places.
+		// A single tenant may use all slots.
 		clear(s.over)
 		return
 	}
-	// The tenants that no node names have few places each, and what they want.
-	shares := Shares(s.places-float64(rest), claims)
-	most := mostForWeight(claims, shares, s.places)
+	// The tenants that nodes report together have few slots each, and get what they want.
+	shares := Shares(s.slots-float64(rest), claims)
+	maxPerWeight := slotsPerWeight(claims, shares, s.slots)
 	for index, claim := range claims {
-		// One that has all it wants could have as much as the others. No tenant has less than it would have were all of the
-		// configuration to want more than their share.
-		share := max(shares[index], min(most*claim.Weight, s.places), s.places*claim.Weight/max(fleet.Weights, claim.Weight))
+		// A tenant that has all it wants may use as many slots as the others. No tenant is bounded below the share
+		// that it would have if all tenants of the configuration wanted more than theirs.
+		share := max(shares[index], min(maxPerWeight*claim.Weight, s.slots), s.slots*claim.Weight/max(fleet.Weights, claim.Weight))
 		s.bound(claim, share, now)
 	}
-	nodes := s.inTurn(now)
+	nodes := s.roundingOrder(now)
 	for _, tenant := range slices.Sorted(maps.Keys(s.over)) {
-		if known := s.over[tenant]; now.Sub(known.since) > wantsLessFor {
+		if entry := s.over[tenant]; now.Sub(entry.overAt) > releaseDelay {
 			delete(s.over, tenant)
 			continue
 		}
-		s.part(name, tenant, nodes)
+		s.allocate(name, tenant, nodes)
 	}
 }
 
-// mostForWeight is what those have for their weight that have less than they want; all places where there are none.
-func mostForWeight(claims []Claim, shares []float64, places float64) float64 {
+// slotsPerWeight returns the slots per unit of weight of the tenants that get less than they want, or a value that
+// allows all slots if there are none.
+func slotsPerWeight(claims []Claim, shares []float64, slots float64) float64 {
 	for index, claim := range claims {
 		if shares[index] < float64(claim.Wants)-roundingSlack {
 			return shares[index] / claim.Weight
 		}
 	}
-	return places / Weight(mostRank)
+	return slots / Weight(maxRank)
 }
 
-// claims adds up what nodes told: by tenant, what the others want, and all places that are taken.
+// claims sums the nodes' reports: the claims by tenant, the slots that the unnamed tenants want, and the number of
+// all slots in use.
 func (s *service) claims(fleet Fleet) (claims []Claim, rest, taken int) {
 	wants := map[ident.Tenant]int{}
-	for _, known := range s.nodes {
-		for tenant, use := range known.uses {
+	for _, entry := range s.nodes {
+		for tenant, use := range entry.uses {
 			taken += use.Taken
 			if tenant == "" {
 				rest += use.Taken + use.Waiting
@@ -244,42 +253,45 @@
 	return claims, rest, taken
 }
 
-// placesOf is how many places there are to divide: those that the requests of the nodes that tell have at the slots of runners. Where
-// they had none a moment ago all slots count: their requests waited because no runner was heard of, and would be held to the few places that
-// the first of them have.
-func (s *service) placesOf(taken int, fleet Fleet, now time.Time) float64 {
-	if taken >= s.most || now.Sub(s.mostAt) > takenMemory {
-		s.most, s.mostAt = taken, now
+// availableSlots returns the number of slots to divide: the recent peak of the slots in use by the reporting
+// nodes, at most the runners' slots. If the nodes had none within peakWindow, all slots of the runners count.
+// Their requests then waited because no runner was known yet, and would otherwise be bounded to the few slots that
+// the first of them got.
+func (s *service) availableSlots(taken int, fleet Fleet, now time.Time) float64 {
+	if taken >= s.peak || now.Sub(s.peakAt) > peakWindow {
+		s.peak, s.peakAt = taken, now
 	}
 	if taken == 0 {
-		s.none = now
+		s.noSlotsAt = now
 	}
-	if now.Sub(s.none) < takenMemory {
+	if now.Sub(s.noSlotsAt) < peakWindow {
 		return float64(fleet.Slots)
 	}
-	return float64(min(s.most, fleet.Slots))
+	return float64(min(s.peak, fleet.Slots))
 }
 
-// bound bounds a tenant that wants more than its share, and keeps the bound of one that does so nearly.
+// bound sets the bound of a tenant that wants more than its share, and keeps an existing bound while the tenant
+// wants nearly as much.
 func (s *service) bound(claim Claim, share float64, now time.Time) {
-	known := s.over[claim.Tenant]
+	entry := s.over[claim.Tenant]
 	wants := float64(claim.Wants)
 	switch {
-	case known == nil && wants <= share:
+	case entry == nil && wants <= share:
 		return
-	case known == nil:
-		known = &bounded{}
-		s.over[claim.Tenant] = known
+	case entry == nil:
+		entry = &boundState{}
+		s.over[claim.Tenant] = entry
 		fallthrough
-	case wants > mostOver*share:
-		known.since = now
+	case wants > releaseRatio*share:
+		entry.overAt = now
 	}
-	known.share, known.wants = share, claim.Wants
+	entry.share, entry.wants = share, claim.Wants
 }
 
-// inTurn returns the nodes in the order in which parts of a place are rounded, which changes with time.
-func (s *service) inTurn(now time.Time) []ident.Node {
-	turn := uint64(now.UnixNano() / int64(turnsEvery))
+// roundingOrder returns the nodes in the order in which fractions of a slot are rounded. It changes every
+// rotationInterval.
+func (s *service) roundingOrder(now time.Time) []ident.Node {
+	turn := uint64(now.UnixNano() / int64(rotationInterval))
 	rank := make(map[ident.Node]uint64, len(s.nodes))
 	for node := range s.nodes {
 		rank[node] = xxhash.Sum64String(string(node)) * (2*turn + 1)
@@ -289,16 +301,16 @@
 	})
 }
 
-// part divides a tenant's share over the nodes in proportion to what its requests take and wait for there. The parts add up to the share,
-// rounded up.
-func (s *service) part(name string, tenant ident.Tenant, nodes []ident.Node) {
+// allocate divides a tenant's share among the nodes in proportion to the tenant's used slots and waiting requests
+// there. The parts add up to the share, rounded up.
+func (s *service) allocate(name string, tenant ident.Tenant, nodes []ident.Node) {
 	wants := 0
 	for _, node := range nodes {
 		use := s.nodes[node].uses[tenant]
 		wants += use.Taken + use.Waiting
 	}
 	each := s.over[tenant].share / float64(max(wants, 1))
-	given, before := 0, 0
+	allocated, before := 0, 0
 	for _, node := range nodes {
 		use := s.nodes[node].uses[tenant]
 		has := use.Taken + use.Waiting
@@ -307,22 +319,23 @@
 		}
 		before += has
 		upTo := int(math.Ceil(each*float64(before) - roundingSlack))
-		s.parts[node] = append(s.parts[node], demand.Bound{Service: name, Tenant: tenant, Places: upTo - given})
-		given = upTo
+		s.parts[node] = append(s.parts[node], demand.Bound{Service: name, Tenant: tenant, Places: upTo - allocated})
+		allocated = upTo
 	}
 }
 
-// roundingSlack keeps sums of parts that make a whole number from being rounded up beyond it.
+// roundingSlack prevents floating-point errors from rounding a sum of parts up beyond a whole number.
 const roundingSlack = 1e-9
 
-// Summary is what an operator is told of a service whose places are scarce.
+// Summary describes a service whose slots are scarce, for the operator.
 type Summary struct {
 	Service string
-	// Nodes tell of what their requests take; Taken and Waiting are the places and the requests without one that they told of.
+	// Nodes is the number of reporting nodes; Taken and Waiting are the slots in use and the waiting requests that
+	// they reported.
 	Nodes, Taken, Waiting int
-	// Places are those that are divided.
+	// Places is the number of slots that are divided.
 	Places int
-	// Over are the tenants that want more than their share.
+	// Over lists the tenants that want more than their share.
 	Over []Over
 }
 
@@ -332,25 +345,25 @@
 	Wants, Share int
 }
 
-// Summaries returns what there is to tell of the services whose places are scarce.
+// Summaries returns a summary of each service that has scarce slots and a tenant over its share.
 func (a *Account) Summaries(now time.Time) []Summary {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	var summaries []Summary
 	for _, name := range slices.Sorted(maps.Keys(a.services)) {
-		known := a.services[name]
-		if now.After(known.scarceUntil) || len(known.over) == 0 {
+		entry := a.services[name]
+		if now.After(entry.scarceUntil) || len(entry.over) == 0 {
 			continue
 		}
-		summary := Summary{Service: name, Nodes: len(known.nodes), Places: int(known.places)}
-		for _, node := range known.nodes {
+		summary := Summary{Service: name, Nodes: len(entry.nodes), Places: int(entry.slots)}
+		for _, node := range entry.nodes {
 			for _, use := range node.uses {
 				summary.Taken += use.Taken
 				summary.Waiting += use.Waiting
 			}
 		}
-		for _, tenant := range slices.Sorted(maps.Keys(known.over)) {
-			over := known.over[tenant]
+		for _, tenant := range slices.Sorted(maps.Keys(entry.over)) {
+			over := entry.over[tenant]
 			summary.Over = append(summary.Over, Over{Tenant: tenant, Wants: over.wants, Share: int(math.Ceil(over.share))})
 		}
 		slices.SortStableFunc(summary.Over, func(first, second Over) int { return cmp.Compare(second.Wants, first.Wants) })
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,7 +1,8 @@
-// Package fairshare divides the places of a service among tenants while there are fewer than their requests want: each has its
-// share by weight, and what one does not use goes to the others. One worker keeps account of a service, of what nodes tell, and
-// bounds those that want more than their share, over all nodes; at each node a request beyond its tenant's bound yields to the
-// others. No place is held empty for anybody. The package makes no calls; times are arguments.
+// Package fairshare divides the slots of a service among tenants while there are fewer than their requests want.
+// Each tenant has a share by weight, and what one does not use goes to the others. One worker is the account
+// holder of a service: it records what nodes report and bounds the tenants that want more than their share, over
+// all nodes. At each node a request beyond its tenant's bound yields to the others. No slot is reserved. The
+// package also orders work of several tenants by weight. It makes no calls; times are arguments.
 package fairshare
 
 import (
@@ -12,24 +13,24 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// mostRank bounds the ranks that are told apart.
-const mostRank = 4
+// maxRank is the highest rank with a weight of its own; higher ranks weigh the same.
+const maxRank = 4
 
-// Weight is the weight of a rank, zero the most urgent: half of that of the next more urgent one.
-func Weight(rank int) float64 { return math.Exp2(-float64(min(max(rank, 0), mostRank))) }
+// Weight returns the weight of a rank. Rank zero is the most urgent; each further rank weighs half as much.
+func Weight(rank int) float64 { return math.Exp2(-float64(min(max(rank, 0), maxRank))) }
 
-// Claim is what one tenant takes and waits for.
+// Claim is the demand of one tenant.
 type Claim struct {
 	Tenant ident.Tenant
-	// Weight is above zero.
+	// Weight is positive.
 	Weight float64
-	// Wants are the places that its requests have and the requests that wait for one.
+	// Wants is the number of slots in use by its requests plus the number of its waiting requests.
 	Wants int
 }
 
-// Shares divides places in proportion to the weights of the claims; what a claim doesn't want goes to the others. It returns the
-// share of each claim, in their order: what it wants, or less where that is more than its part.
-func Shares(places float64, claims []Claim) []float64 {
+// Shares divides slots in proportion to the weights of the claims; what a claim does not want goes to the others.
+// It returns the share of each claim, in the order of the claims: at most what it wants.
+func Shares(slots float64, claims []Claim) []float64 {
 	shares := make([]float64, len(claims))
 	order := make([]int, len(claims))
 	weights := 0.0
@@ -37,15 +38,15 @@
 		order[index] = index
 		weights += claim.Weight
 	}
-	// The one that wants the least for its weight is satisfied first; once one can't be, none after it can.
+	// Claims are satisfied in the order of demand per weight. Once one cannot be satisfied, none after it can.
 	slices.SortFunc(order, func(first, second int) int {
 		return cmp.Compare(float64(claims[first].Wants)/claims[first].Weight, float64(claims[second].Wants)/claims[second].Weight)
 	})
-	left := max(places, 0)
+	remaining := max(slots, 0)
 	for _, index := range order {
 		claim := claims[index]
-		shares[index] = min(float64(claim.Wants), left*claim.Weight/weights)
-		left -= shares[index]
+		shares[index] = min(float64(claim.Wants), remaining*claim.Weight/weights)
+		remaining -= shares[index]
 		weights -= claim.Weight
 	}
 	return shares
--- a/internal/fairshare/load_test.go
+++ b/internal/fairshare/load_test.go
@@ -15,52 +15,56 @@
 	"mallowlatch.example/mallowlatch/internal/waitline"
 )
 
-// The load: some tenants of unequal size ask for the places of one service at several nodes. Their usual demand takes usualLoad of the
-// slots; one tenant, the largest, sends many times its usual for some seconds.
+// The simulated load: tenants of unequal size send requests for the slots of one service through several nodes.
+// Their normal demand uses usualLoad of the slots; the largest tenant sends a multiple of its normal rate for some
+// seconds.
 const (
-	tick      = 2 * time.Millisecond
-	run       = 100 * time.Millisecond
-	objective = 300 * time.Millisecond
-	patience  = 1500 * time.Millisecond
-	usualLoad = 0.6
-	tenants   = 40
-	hotShare  = 0.2
-	hotFrom   = time.Second
-	hotUntil  = 4 * time.Second
-	lasts     = 5 * time.Second
-	// newsEvery is how often a node hears what the others have at the runners, lookEvery how often it looks while requests wait.
-	newsEvery = 50 * time.Millisecond
-	lookEvery = 20 * time.Millisecond
-	queued    = 0.25
+	tick          = 2 * time.Millisecond
+	runTime       = 100 * time.Millisecond
+	objective     = 300 * time.Millisecond
+	callerTimeout = 1500 * time.Millisecond
+	usualLoad     = 0.6
+	tenants       = 40
+	hotShare      = 0.2
+	hotFrom       = time.Second
+	hotUntil      = 4 * time.Second
+	simulatedTime = 5 * time.Second
+	// reportInterval is how often a node receives the other nodes' use of the runners, retryInterval how often its
+	// waiting requests retry.
+	reportInterval = 50 * time.Millisecond
+	retryInterval  = 20 * time.Millisecond
+	queueRatio     = 0.25
 )
 
-var begin = time.Unix(1_700_000_000, 0)
+var start = time.Unix(1_700_000_000, 0)
 
-// site is the fleet: what its runners work on, its nodes and the keepers of the account.
+// site is the simulated fleet: its runners' work, its nodes and the account holders.
 type site struct {
-	random  *rand.Rand
-	now     time.Time
-	slots   int
-	running []*call
-	queue   []*call
-	nodes   []*node
-	keepers []*fairshare.Account
-	// keeper is the one that nodes tell, tells says whether a node does.
-	keeper func(*node, time.Time) *fairshare.Account
-	tally  map[ident.Tenant]*tally
-	// waited is slots times ticks while requests waited, empty the part of it in which slots had no work.
-	waited, empty int
-	// alsoHot is a further tenant that is hot, zero for none; without are nodes whose requests are not counted.
-	alsoHot int
-	without []*node
+	random   *rand.Rand
+	now      time.Time
+	slots    int
+	running  []*call
+	queue    []*call
+	nodes    []*node
+	accounts []*fairshare.Account
+	// account returns the account to which a node reports, or nil if the node does not report.
+	account func(*node, time.Time) *fairshare.Account
+	tally   map[ident.Tenant]*tally
+	// contended is the number of slots times the ticks during which requests waited, idle the part of it in which
+	// slots had no work.
+	contended, idle int
+	// alsoHot is the index of a second tenant with a high load, zero for none. Requests at the uncounted nodes are
+	// not counted.
+	alsoHot   int
+	uncounted []*node
 }
 
-type tally struct{ asked, inTime int }
+type tally struct{ sent, onTime int }
 
 type call struct {
 	node   *node
 	waiter *waitline.Waiter
-	// began is when it was sent, and then when a runner began it.
+	// began is when the request was sent, and later when a runner started it.
 	began time.Time
 }
 
@@ -79,14 +83,14 @@
 
 func newSite(nodes int, seed uint64) *site {
 	fleet := &site{
-		random: rand.New(rand.NewPCG(seed, 1)), now: begin, slots: 160 + 2*nodes, tally: map[ident.Tenant]*tally{},
-		keepers: []*fairshare.Account{{}, {}},
+		random: rand.New(rand.NewPCG(seed, 1)), now: start, slots: 160 + 2*nodes, tally: map[ident.Tenant]*tally{},
+		accounts: []*fairshare.Account{{}, {}},
 	}
-	fleet.keeper = func(*node, time.Time) *fairshare.Account { return fleet.keepers[0] }
+	fleet.account = func(*node, time.Time) *fairshare.Account { return fleet.accounts[0] }
 	for index := range nodes {
 		added := &node{
 			site: fleet, name: ident.Node(fmt.Sprint("n-", index)), waiting: map[ident.Tenant]int{},
-			phase: time.Duration(fleet.random.Int64N(int64(newsEvery/tick))) * tick,
+			phase: time.Duration(fleet.random.Int64N(int64(reportInterval/tick))) * tick,
 		}
 		added.line.Yields = func(waiter *waitline.Waiter) bool { return added.local.Yields(waiter.Tenant, false, fleet.now) }
 		fleet.nodes = append(fleet.nodes, added)
@@ -98,11 +102,11 @@
 	return fairshare.Fleet{Slots: s.slots, Weight: func(ident.Tenant) float64 { return 1 }, Weights: tenants}
 }
 
-// try gives a request a place if its node thinks that there is one.
-func (n *node) try(waiter *waitline.Waiter) bool {
+// admit gives a request a slot if its node's view is that one is free.
+func (n *node) admit(waiter *waitline.Waiter) bool {
 	limit := float64(n.site.slots)
 	if !n.local.Yields(waiter.Tenant, false, n.site.now) {
-		limit *= 1 + queued
+		limit *= 1 + queueRatio
 	}
 	if float64(n.own+n.others+1) > limit {
 		return false
@@ -116,9 +120,9 @@
 
 func (n *node) arrive(tenant ident.Tenant) {
 	now := n.site.now
-	waiter := &waitline.Waiter{Tenant: tenant, OnTime: now.Add(objective), Latest: now.Add(patience)}
-	n.site.count(n, tenant).asked++
-	if !n.line.MustWait(waiter) && n.try(waiter) {
+	waiter := &waitline.Waiter{Tenant: tenant, OnTime: now.Add(objective), Latest: now.Add(callerTimeout)}
+	n.site.count(n, tenant).sent++
+	if !n.line.MustWait(waiter) && n.admit(waiter) {
 		return
 	}
 	n.local.Waited(now)
@@ -128,14 +132,14 @@
 	n.waiting[tenant]++
 }
 
-// look has the next request look for a place, and those after it while there are more.
-func (n *node) look(extra int) {
+// retry lets the next request try to get a slot, and those after it while there are extra slots.
+func (n *node) retry(extra int) {
 	if extra == 0 && n.line.NextYields() {
 		return
 	}
 	for waiter := n.line.Next(); waiter != nil; waiter = n.line.Next() {
 		n.local.Waited(n.site.now)
-		if !n.try(waiter) {
+		if !n.admit(waiter) {
 			n.line.Again(waiter)
 			return
 		}
@@ -151,7 +155,7 @@
 
 // count returns the tally of a tenant's requests at a node.
 func (s *site) count(at *node, tenant ident.Tenant) *tally {
-	if at.isOneOf(s.without) {
+	if at.isOneOf(s.uncounted) {
 		return &tally{}
 	}
 	return s.of(tenant)
@@ -164,98 +168,101 @@
 	return s.tally[tenant]
 }
 
-// step lets a tick pass: runs end, others begin, nodes hear of each other and tell the keeper.
+// step simulates one tick: runs end, others start, nodes receive each other's use and report to the account
+// holder.
 func (s *site) step() {
 	s.now = s.now.Add(tick)
 	var freed []*node
-	still := s.running[:0]
+	remaining := s.running[:0]
 	for _, one := range s.running {
-		if s.now.Sub(one.began) < run {
-			still = append(still, one)
+		if s.now.Sub(one.began) < runTime {
+			remaining = append(remaining, one)
 			continue
 		}
 		one.node.own--
-		one.node.line.Freed(run, s.now)
+		one.node.line.Freed(runTime, s.now)
 		one.node.local.Gave(one.waiter.Tenant)
 		freed = append(freed, one.node)
 	}
-	s.running = still
-	s.begin()
+	s.running = remaining
+	s.start()
 	for _, one := range freed {
-		one.look(1)
+		one.retry(1)
 	}
-	since := s.now.Sub(begin)
+	since := s.now.Sub(start)
 	total := len(s.running) + len(s.queue)
 	for _, one := range s.nodes {
-		if (since+one.phase)%newsEvery == 0 {
+		if (since+one.phase)%reportInterval == 0 {
 			one.others = total - one.own
-			one.tell()
+			one.send()
 		}
-		if (since+one.phase)%lookEvery == 0 {
-			one.look(one.line.Extra())
+		if (since+one.phase)%retryInterval == 0 {
+			one.retry(one.line.Extra())
 		}
 	}
-	s.begin()
+	s.start()
 	waiting := 0
 	for _, one := range s.nodes {
 		waiting += one.line.Len()
 	}
 	if waiting > 0 {
-		s.waited += s.slots
-		s.empty += min(s.slots-len(s.running), waiting)
+		s.contended += s.slots
+		s.idle += min(s.slots-len(s.running), waiting)
 	}
 }
 
-// begin has runners begin what waits there.
-func (s *site) begin() {
+// start lets runners start the requests in their queue.
+func (s *site) start() {
 	for len(s.queue) > 0 && len(s.running) < s.slots {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
 		next.began = s.now
 		s.running = append(s.running, next)
 		if !s.now.After(next.waiter.OnTime) {
-			s.count(next.node, next.waiter.Tenant).inTime++
+			s.count(next.node, next.waiter.Tenant).onTime++
 		}
 	}
 }
 
-// tell tells the keeper what is due.
-func (n *node) tell() {
-	keeper := n.site.keeper(n, n.site.now)
-	if keeper == nil {
+// send reports the due uses to the account holder and applies its bounds.
+func (n *node) send() {
+	account := n.site.account(n, n.site.now)
+	if account == nil {
 		return
 	}
 	n.sequence++
 	report := &demand.Report{Node: n.name, Incarnation: 1, Sequence: n.sequence}
 	if n.site.now.Sub(n.usesAt) >= demand.UsesEvery {
-		report.Uses = n.local.Uses("s", n.waiting, n.queuedLong(), n.site.now)
+		report.Uses = n.local.Uses("s", n.waiting, n.queuedAtRunners(), n.site.now)
 		if len(report.Uses) > 0 {
 			n.usesAt = n.site.now
 		}
 	}
-	keeper.Take(report, n.site.now)
-	n.local.Learn(keeper.Bounds(report, n.site.fleet, n.site.now), n.site.now)
+	account.Take(report, n.site.now)
+	n.local.Learn(account.Bounds(report, n.site.fleet, n.site.now), n.site.now)
 }
 
-// queuedLong counts the requests of the node that have waited at runners for longer than a first event takes.
-func (n *node) queuedLong() map[ident.Tenant]int {
-	queued := map[ident.Tenant]int{}
+// queuedAtRunners counts the requests of the node that have waited at runners for longer than the first event of an
+// answer normally takes.
+func (n *node) queuedAtRunners() map[ident.Tenant]int {
+	counts := map[ident.Tenant]int{}
 	for _, one := range n.site.queue {
 		if one.node == n && n.site.now.Sub(one.began) > objective/4 {
-			queued[one.waiter.Tenant]++
+			counts[one.waiter.Tenant]++
 			n.local.Waited(n.site.now)
 		}
 	}
-	return queued
+	return counts
 }
 
 func tenantName(index int) ident.Tenant { return ident.Tenant(fmt.Sprint("t-", index)) }
 
-// play lets the day pass: the largest tenant sends times its usual for a while, at one node or at all.
-func (s *site) play(times float64, atOne bool) {
-	perTick := usualLoad * float64(s.slots) / float64(run/tick)
-	owed := make([]float64, tenants)
-	for since := time.Duration(0); since < lasts; since += tick {
+// simulate runs the load: the largest tenant sends a multiple of its normal rate for a while, at one node or at
+// all.
+func (s *site) simulate(times float64, atOne bool) {
+	perTick := usualLoad * float64(s.slots) / float64(runTime/tick)
+	backlog := make([]float64, tenants)
+	for since := time.Duration(0); since < simulatedTime; since += tick {
 		for index := range tenants {
 			part := (1 - hotShare) / (tenants - 1)
 			hot := (index == 0 || index == s.alsoHot) && since >= hotFrom && since < hotUntil
@@ -265,8 +272,8 @@
 			if hot {
 				part *= times
 			}
-			owed[index] += part * perTick * (0.5 + s.random.Float64())
-			for ; owed[index] >= 1; owed[index]-- {
+			backlog[index] += part * perTick * (0.5 + s.random.Float64())
+			for ; backlog[index] >= 1; backlog[index]-- {
 				at := s.nodes[s.random.IntN(len(s.nodes))]
 				if hot && atOne {
 					at = s.nodes[0]
@@ -278,121 +285,124 @@
 	}
 }
 
-// others is the part of the requests of all tenants but the hot one that were in time.
+// others returns the fraction of the requests on time, of all tenants without a high load.
 func (s *site) others() float64 {
-	asked, inTime := 0, 0
+	sent, onTime := 0, 0
 	for tenant, counted := range s.tally {
 		if tenant != tenantName(0) && tenant != tenantName(s.alsoHot) {
-			asked += counted.asked
-			inTime += counted.inTime
+			sent += counted.sent
+			onTime += counted.onTime
 		}
 	}
-	return float64(inTime) / float64(asked)
+	return float64(onTime) / float64(sent)
 }
 
-func (s *site) emptyPart() float64 { return float64(s.empty) / float64(max(s.waited, 1)) }
+func (s *site) idleFraction() float64 { return float64(s.idle) / float64(max(s.contended, 1)) }
 
 func (s *site) String() string {
 	hot := s.of(tenantName(0))
-	return fmt.Sprintf("others in time %.4f, empty %.4f, hot in time %d of %d", s.others(), s.emptyPart(), hot.inTime, hot.asked)
+	return fmt.Sprintf("others on time %.4f, idle %.4f, hot on time %d of %d", s.others(), s.idleFraction(), hot.onTime, hot.sent)
 }
 
-// enoughInTime is the part of what the other tenants have in time without a hot one that they keep beside it: three requests in two hundred
-// are lost to what nodes could not know yet when it began. mostEmpty is how much of the slots' time may pass without work while requests
-// wait: nodes hear of each other each 50 ms, which is half a run, so that a slot which comes free at a node where nobody waits stands idle
-// for a moment; a fiftieth of the slots is noticed by nobody.
+// minOnTimeRatio is the fraction of the other tenants' baseline on-time rate that they must keep beside a tenant
+// with a high load. Three requests in two hundred may be lost before the nodes have detected that load.
+// maxIdleFraction is the fraction of slot time that may pass without work while requests wait. Nodes receive each
+// other's use every 50 ms, which is half a run, so a slot that becomes free at a node without waiting requests is
+// idle for a moment. Two percent of the slots has no noticeable effect.
 const (
-	enoughInTime = 0.985
-	mostEmpty    = 0.02
+	minOnTimeRatio  = 0.985
+	maxIdleFraction = 0.02
 )
 
-// usual is the others' part in time without a hot tenant.
-func usual(nodes int, seed uint64) float64 {
+// baseline returns the others' on-time rate without a tenant with a high load.
+func baseline(nodes int, seed uint64) float64 {
 	site := newSite(nodes, seed)
-	site.play(1, false)
+	site.simulate(1, false)
 	return site.others()
 }
 
-// TestOneHotTenantLeavesTheOthersInTime has one tenant send up to twenty times its usual, at one node or at all.
+// TestOneHotTenantLeavesTheOthersInTime has one tenant send up to twenty times its normal rate, at one node or at
+// all.
 func TestOneHotTenantLeavesTheOthersInTime(t *testing.T) {
 	for _, nodes := range []int{1, 9, 58, 330} {
-		without := usual(nodes, 1)
+		usual := baseline(nodes, 1)
 		for _, times := range []float64{1, 3, 7.5, 20} {
 			for _, atOne := range []bool{true, false} {
 				if nodes == 1 && !atOne {
 					continue
 				}
 				site := newSite(nodes, 1)
-				site.play(times, atOne)
-				assert.Check(t, site.others() >= enoughInTime*without, "%d nodes, %v times, at one %v: %v", nodes, times, atOne, site)
-				assert.Check(t, site.emptyPart() <= mostEmpty, "%d nodes, %v times, at one %v: %v", nodes, times, atOne, site)
+				site.simulate(times, atOne)
+				assert.Check(t, site.others() >= minOnTimeRatio*usual, "%d nodes, %v times, at one %v: %v", nodes, times, atOne, site)
+				assert.Check(t, site.idleFraction() <= maxIdleFraction, "%d nodes, %v times, at one %v: %v", nodes, times, atOne, site)
 			}
 		}
 	}
 }
 
-// TestTwoHotTenantsLeaveTheOthersInTime has another tenant be hot beside the largest.
+// TestTwoHotTenantsLeaveTheOthersInTime adds a second tenant with a high load.
 func TestTwoHotTenantsLeaveTheOthersInTime(t *testing.T) {
 	site := newSite(58, 3)
 	site.alsoHot = 1
-	site.play(7.5, false)
-	assert.Check(t, site.others() >= enoughInTime*usual(58, 3), "%v", site)
-	assert.Check(t, site.emptyPart() <= mostEmpty, "%v", site)
+	site.simulate(7.5, false)
+	assert.Check(t, site.others() >= minOnTimeRatio*baseline(58, 3), "%v", site)
+	assert.Check(t, site.idleFraction() <= maxIdleFraction, "%v", site)
 }
 
-// TestNodeCutOffFromTheKeeper has two of nine nodes hear nothing from the middle of the heat on. Their bounds end, they go on with their own
-// line's turns, and the others' requests at the nodes that hear are in time as before.
-func TestNodeCutOffFromTheKeeper(t *testing.T) {
+// TestNodePartitionedFromTheAccountHolder partitions two of nine nodes from the account holder during the high
+// load. Their bounds expire and they continue with the order of their own queue; requests of the other tenants at
+// the remaining nodes stay on time.
+func TestNodePartitionedFromTheAccountHolder(t *testing.T) {
 	site := newSite(9, 1)
-	from := begin.Add(3 * time.Second)
-	site.keeper = func(asking *node, now time.Time) *fairshare.Account {
-		if now.After(from) && asking.isOneOf(site.nodes[:2]) {
+	from := start.Add(3 * time.Second)
+	site.account = func(reporting *node, now time.Time) *fairshare.Account {
+		if now.After(from) && reporting.isOneOf(site.nodes[:2]) {
 			return nil
 		}
-		return site.keepers[0]
+		return site.accounts[0]
 	}
-	site.without = site.nodes[:2]
-	site.play(7.5, false)
-	assert.Check(t, site.others() >= enoughInTime*usual(9, 1), "%v", site)
+	site.uncounted = site.nodes[:2]
+	site.simulate(7.5, false)
+	assert.Check(t, site.others() >= minOnTimeRatio*baseline(9, 1), "%v", site)
 	for _, cut := range site.nodes[:2] {
-		assert.Assert(t, !cut.local.Bounded(tenantName(0), from.Add(demand.Lifetime+newsEvery+tick)))
+		assert.Assert(t, !cut.local.Bounded(tenantName(0), from.Add(demand.Lifetime+reportInterval+tick)))
 	}
 }
 
-// TestKeeperIsLost has the keeper be lost in the heat: nobody answers for as long as it takes to notice, then another one does that knows
-// nothing.
-func TestKeeperIsLost(t *testing.T) {
-	const noticed = 300 * time.Millisecond
+// TestAccountHolderIsLost stops the account holder during the high load. There is none until the failure is
+// detected; then another worker takes over with an empty account.
+func TestAccountHolderIsLost(t *testing.T) {
+	const detectionTime = 300 * time.Millisecond
 	site := newSite(58, 1)
-	site.keeper = func(_ *node, now time.Time) *fairshare.Account {
-		switch lost := begin.Add(3 * time.Second); {
+	site.account = func(_ *node, now time.Time) *fairshare.Account {
+		switch lost := start.Add(3 * time.Second); {
 		case now.Before(lost):
-			return site.keepers[0]
-		case now.Before(lost.Add(noticed)):
+			return site.accounts[0]
+		case now.Before(lost.Add(detectionTime)):
 			return nil
 		}
-		return site.keepers[1]
+		return site.accounts[1]
 	}
-	site.play(7.5, false)
-	assert.Check(t, site.others() >= enoughInTime*usual(58, 1), "%v", site)
-	assert.Check(t, site.emptyPart() <= mostEmpty, "%v", site)
+	site.simulate(7.5, false)
+	assert.Check(t, site.others() >= minOnTimeRatio*baseline(58, 1), "%v", site)
+	assert.Check(t, site.idleFraction() <= maxIdleFraction, "%v", site)
 }
 
-// TestNodesOfAnOlderBuildTellNothing has a third of the nodes tell nothing and hear nothing. The others are no worse off than were all of the
-// older build, nor are the other tenants there.
-func TestNodesOfAnOlderBuildTellNothing(t *testing.T) {
+// TestNodesOfAnOlderBuildReportNothing has a third of the nodes neither report nor receive bounds. The other
+// tenants are served no worse than if all nodes were of the older build.
+func TestNodesOfAnOlderBuildReportNothing(t *testing.T) {
 	mixed, older := newSite(9, 1), newSite(9, 1)
-	mixed.keeper = func(asking *node, _ time.Time) *fairshare.Account {
-		if asking.isOneOf(mixed.nodes[:3]) {
+	mixed.account = func(reporting *node, _ time.Time) *fairshare.Account {
+		if reporting.isOneOf(mixed.nodes[:3]) {
 			return nil
 		}
-		return mixed.keepers[0]
+		return mixed.accounts[0]
 	}
-	older.keeper = func(*node, time.Time) *fairshare.Account { return nil }
-	mixed.play(7.5, false)
-	older.play(7.5, false)
+	older.account = func(*node, time.Time) *fairshare.Account { return nil }
+	mixed.simulate(7.5, false)
+	older.simulate(7.5, false)
 	assert.Check(t, mixed.others() >= older.others(), "%v, all of the older build: %v", mixed, older)
-	assert.Check(t, older.others() < enoughInTime, "the heat harms nobody: %v", older)
+	assert.Check(t, older.others() < minOnTimeRatio, "the high load harms no other tenant: %v", older)
 }
 
 func (n *node) isOneOf(nodes []*node) bool { return slices.Contains(nodes, n) }
--- a/internal/fairshare/local.go
+++ b/internal/fairshare/local.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// mostNamed is how many tenants a node names to the keeper of a service's account; the others are told together.
-	mostNamed = 6
+	// maxReportedTenants is the number of tenants that a node reports by name to the account holder of a service;
+	// the others are reported as one sum.
+	maxReportedTenants = 6
 )
 
-// Local is what a node has of the places of one service, by tenant, and what it was told to keep to. The zero Local has nothing.
+// Local is a node's use of the slots of one service, by tenant, and the bounds that the account holder set. The
+// zero Local is empty.
 type Local struct {
-	// taken are the places that requests have.
+	// taken is the number of slots in use.
 	taken map[ident.Tenant]int
-	// bounds are those that count until a moment each.
+	// bounds holds the bounds by tenant, each with its expiry.
 	bounds map[ident.Tenant]bound
-	// waited is when a request last had to wait here; scarceUntil is until when the keeper's word counts that places are scarce,
-	// boundedUntil that some tenant is bounded.
-	waited, scarceUntil, boundedUntil time.Time
+	// lastWait is when a request last had to wait here. scarceUntil and boundedUntil are the times until which the
+	// account holder's last answer counts that slots are scarce, and that some tenant is bounded.
+	lastWait, scarceUntil, boundedUntil time.Time
 }
 
 type bound struct {
-	places int
-	until  time.Time
+	slots int
+	until time.Time
 }
 
-// Took notes that a request of a tenant got a place.
+// Took records that a request of a tenant got a slot.
 func (l *Local) Took(tenant ident.Tenant) {
 	if tenant == "" {
 		return
@@ -41,7 +43,7 @@
 	l.taken[tenant]++
 }
 
-// Gave notes that one gave its place back.
+// Gave records that a request of a tenant released its slot.
 func (l *Local) Gave(tenant ident.Tenant) {
 	if l.taken[tenant] <= 1 {
 		delete(l.taken, tenant)
@@ -50,11 +52,12 @@
 	l.taken[tenant]--
 }
 
-// Waited notes that a request had to wait.
-func (l *Local) Waited(now time.Time) { l.waited = now }
+// Waited records that a request had to wait.
+func (l *Local) Waited(now time.Time) { l.lastWait = now }
 
-// Yields says whether a request takes no more than the places that nobody else wants: its tenant has as many at this node as its bound,
-// or some tenant is bounded and the request is of a kind that is less urgent than others of the service.
+// Yields reports whether a request may only use slots that no other request wants: its tenant uses as many slots
+// at this node as its bound, or some tenant is bounded and the request is of a less urgent kind than others of the
+// service.
 func (l *Local) Yields(tenant ident.Tenant, lessUrgent bool, now time.Time) bool {
 	if tenant == "" {
 		return false
@@ -63,49 +66,52 @@
 		return true
 	}
 	bound, bounded := l.bounds[tenant]
-	return bounded && now.Before(bound.until) && l.taken[tenant] >= bound.places
+	return bounded && now.Before(bound.until) && l.taken[tenant] >= bound.slots
 }
 
-// Bounded says whether a tenant has a bound here.
+// Bounded reports whether a tenant has a bound here.
 func (l *Local) Bounded(tenant ident.Tenant, now time.Time) bool {
 	bound, bounded := l.bounds[tenant]
 	return bounded && now.Before(bound.until)
 }
 
-// Learn takes over what the keeper said of the service, as of a moment. What it doesn't name keeps its bound until that ends.
-func (l *Local) Learn(told []demand.Bound, asOf time.Time) {
+// Learn applies the account holder's bounds for the service, as of the given time. Tenants that are not listed
+// keep their bound until it expires.
+func (l *Local) Learn(received []demand.Bound, asOf time.Time) {
 	until := asOf.Add(demand.Lifetime)
-	for _, word := range told {
-		if word.Tenant != "" {
+	for _, update := range received {
+		if update.Tenant != "" {
 			if l.bounds == nil {
 				l.bounds = map[ident.Tenant]bound{}
 			}
-			if until.After(l.bounds[word.Tenant].until) {
-				l.bounds[word.Tenant] = bound{places: max(word.Places, 0), until: until}
+			if until.After(l.bounds[update.Tenant].until) {
+				l.bounds[update.Tenant] = bound{slots: max(update.Places, 0), until: until}
 			}
 			continue
 		}
 		if until.After(l.scarceUntil) {
 			l.scarceUntil = until
 		}
-		if word.Places > 0 && until.After(l.boundedUntil) {
+		if update.Places > 0 && until.After(l.boundedUntil) {
 			l.boundedUntil = until
 		}
 	}
-	for tenant, known := range l.bounds {
-		if asOf.After(known.until) {
+	for tenant, current := range l.bounds {
+		if asOf.After(current.until) {
 			delete(l.bounds, tenant)
 		}
 	}
 }
 
-// Scarce says whether the keeper is to be told: requests had to wait here a moment ago, or the keeper said that they do elsewhere.
+// Scarce reports whether uses have to be reported to the account holder: requests had to wait here within
+// scarcityPeriod, or the account holder reported that they wait elsewhere.
 func (l *Local) Scarce(now time.Time) bool {
-	return now.Sub(l.waited) <= scarceFor || now.Before(l.scarceUntil)
+	return now.Sub(l.lastWait) <= scarcityPeriod || now.Before(l.scarceUntil)
 }
 
-// Uses returns what the keeper is told, with the requests that wait by tenant, in the line or at runners; those at runners count among the
-// places too and are queued. It returns nothing while places are not scarce, nor where no tenant has any.
+// Uses returns the uses to report to the account holder. waiting counts the requests without a slot by tenant,
+// queued those that have a slot but wait in a runner's queue; the latter are reported as waiting. Uses returns
+// nothing while slots are not scarce, or if no tenant has requests.
 func (l *Local) Uses(service string, waiting, queued map[ident.Tenant]int, now time.Time) []demand.Use {
 	if !l.Scarce(now) {
 		return nil
@@ -120,16 +126,16 @@
 			uses = append(uses, demand.Use{Service: service, Tenant: tenant, Waiting: count})
 		}
 	}
-	if len(uses) <= mostNamed {
+	if len(uses) <= maxReportedTenants {
 		return uses
 	}
 	slices.SortFunc(uses, func(first, second demand.Use) int {
 		return cmp.Or(cmp.Compare(second.Taken+second.Waiting, first.Taken+first.Waiting), cmp.Compare(first.Tenant, second.Tenant))
 	})
 	others := demand.Use{Service: service}
-	for _, use := range uses[mostNamed:] {
+	for _, use := range uses[maxReportedTenants:] {
 		others.Taken += use.Taken
 		others.Waiting += use.Waiting
 	}
-	return append(uses[:mostNamed], others)
+	return append(uses[:maxReportedTenants], others)
 }
--- a/internal/fairshare/turns.go
+++ b/internal/fairshare/turns.go
@@ -6,55 +6,55 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Turns gives turns to tenants so that what they get stays in proportion to their weights: the next is the one that has the least for its
-// weight. What they have before the first turn counts.
+// Turns schedules tenants so that what they receive stays in proportion to their weights: the next one is the
+// tenant that has received the least for its weight. Amounts recorded before the first turn count too.
 type Turns struct {
-	weight func(ident.Tenant) float64
-	had    map[ident.Tenant]float64
+	weight   func(ident.Tenant) float64
+	consumed map[ident.Tenant]float64
 }
 
-// NewTurns returns turns of tenants that have nothing.
+// NewTurns returns a Turns in which no tenant has received anything.
 func NewTurns(weight func(ident.Tenant) float64) *Turns {
-	return &Turns{weight: weight, had: map[ident.Tenant]float64{}}
+	return &Turns{weight: weight, consumed: map[ident.Tenant]float64{}}
 }
 
-// Had counts what a tenant has or gets.
+// Had adds to the amount that a tenant has received.
 func (t *Turns) Had(tenant ident.Tenant, amount int) {
-	t.had[tenant] += float64(max(amount, 1)) / t.weight(tenant)
+	t.consumed[tenant] += float64(max(amount, 1)) / t.weight(tenant)
 }
 
-// Compare orders two tenants: the one whose turn is first.
+// Compare orders two tenants by their next turn.
 func (t *Turns) Compare(first, second ident.Tenant) int {
-	return cmp.Or(cmp.Compare(t.had[first], t.had[second]), cmp.Compare(first, second))
+	return cmp.Or(cmp.Compare(t.consumed[first], t.consumed[second]), cmp.Compare(first, second))
 }
 
-// InTurn returns some things in the order of their tenants' turns, those of one tenant in the order given. amount is what a thing counts
-// for. With one tenant it returns the order given.
-func InTurn[T any](turns *Turns, things []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
+// InTurn returns elements in the order of their tenants' turns; those of one tenant keep the given order. amount
+// returns the cost of an element. If there is only one tenant, InTurn returns the given order and records nothing.
+func InTurn[T any](turns *Turns, elements []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
 	byTenant := map[ident.Tenant][]T{}
 	var tenants []ident.Tenant
-	for _, thing := range things {
-		name := tenant(thing)
+	for _, element := range elements {
+		name := tenant(element)
 		if byTenant[name] == nil {
 			tenants = append(tenants, name)
 		}
-		byTenant[name] = append(byTenant[name], thing)
+		byTenant[name] = append(byTenant[name], element)
 	}
 	if len(tenants) < 2 {
-		return things
+		return elements
 	}
-	ordered := make([]T, 0, len(things))
+	ordered := make([]T, 0, len(elements))
 	for len(tenants) > 0 {
 		next := 0
-		for position := range tenants {
-			if turns.Compare(tenants[position], tenants[next]) < 0 {
-				next = position
+		for index := range tenants {
+			if turns.Compare(tenants[index], tenants[next]) < 0 {
+				next = index
 			}
 		}
 		name := tenants[next]
-		thing := byTenant[name][0]
-		ordered = append(ordered, thing)
-		turns.Had(name, amount(thing))
+		element := byTenant[name][0]
+		ordered = append(ordered, element)
+		turns.Had(name, amount(element))
 		if byTenant[name] = byTenant[name][1:]; len(byTenant[name]) == 0 {
 			tenants = append(tenants[:next], tenants[next+1:]...)
 		}
