--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -22,7 +22,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// source is a configuration that a gate reads anew.
+// source is a configuration store that a gate reads from.
 type source struct {
 	routes   *routetable.Table
 	newest   *work.Catalog
@@ -58,7 +58,8 @@
 
 func codeOf(err error) failure.Code { return failure.As(err).Code }
 
-// TestUnknownKeyIsRefusedOnlyByTheNewestConfiguration asks with a key that a newer configuration has, and with one that none has.
+// TestUnknownKeyIsRefusedOnlyByTheNewestConfiguration uses a key that only a newer configuration has, and one that
+// none has.
 func TestUnknownKeyIsRefusedOnlyByTheNewestConfiguration(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		gate, from := newGate(catalog(1, "clinic", "old"))
@@ -68,7 +69,7 @@
 		assert.Equal(t, holder.Name, ident.Tenant("clinic"))
 		_, err = gate.Tenant(t.Context(), "never", false)
 		assert.Equal(t, codeOf(err), failure.CodeInvalidKey)
-		// What was read a moment ago proves nothing of a key that was added since.
+		// A recent read does not count for a key that was added since.
 		for version := int64(3); version < 10; version++ {
 			key := fmt.Sprint("key of version ", version)
 			from.newest = catalog(version, "clinic", "old", key)
@@ -78,8 +79,9 @@
 	})
 }
 
-// TestOneReadingServesAllThatWait asks with many unknown keys at once, and again and again: what unknown keys cause is bounded.
-func TestOneReadingServesAllThatWait(t *testing.T) {
+// TestOneReadServesAllWaitingRequests uses many unknown keys at once, and then repeatedly. The number of reads
+// that unknown keys cause must stay bounded.
+func TestOneReadServesAllWaitingRequests(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		gate, from := newGate(catalog(1, "clinic", "old"))
 		for range 50 {
@@ -90,7 +92,7 @@
 		}
 		synctest.Wait()
 		time.Sleep(time.Second)
-		assert.Assert(t, from.readings.Load() <= 2, "%d readings for requests that came together", from.readings.Load())
+		assert.Assert(t, from.readings.Load() <= 2, "%d reads for concurrent requests", from.readings.Load())
 		before, began := from.readings.Load(), time.Now()
 		for client := range 20 {
 			go func() {
@@ -101,23 +103,23 @@
 			}()
 		}
 		time.Sleep(11 * time.Second)
-		assert.Assert(t, from.readings.Load()-before <= 102, "%d readings in ten seconds", from.readings.Load()-before)
+		assert.Assert(t, from.readings.Load()-before <= 102, "%d reads in ten seconds", from.readings.Load()-before)
 	})
 }
 
-// TestKeyThatCannotBeMadeSureOfIsNotRefusedForGood has the configuration out of reach.
-func TestKeyThatCannotBeMadeSureOfIsNotRefusedForGood(t *testing.T) {
+// TestKeyThatCannotBeVerifiedIsRefusedTemporarily makes the configuration unreachable.
+func TestKeyThatCannotBeVerifiedIsRefusedTemporarily(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		gate, from := newGate(catalog(1, "clinic", "old"))
 		from.err = kv.ErrUnavailable
 		_, err := gate.Tenant(t.Context(), "new", false)
-		told := failure.As(err)
-		assert.Equal(t, told.Code, failure.CodeConfigUnavailable)
-		assert.Equal(t, told.Outcome, outcome.NotRun)
-		assert.Assert(t, told.RetryAfter > 0)
+		refusal := failure.As(err)
+		assert.Equal(t, refusal.Code, failure.CodeConfigUnavailable)
+		assert.Equal(t, refusal.Outcome, outcome.NotRun)
+		assert.Assert(t, refusal.RetryAfter > 0)
 		_, err = gate.Tenant(t.Context(), "old", false)
 		assert.NilError(t, err)
-		// A reading that failed says nothing: the next key is looked for again.
+		// A failed read is no evidence: the next key causes another read.
 		from.err, from.newest = nil, catalog(2, "clinic", "new")
 		_, err = gate.Tenant(t.Context(), "new", false)
 		assert.NilError(t, err)
@@ -126,8 +128,9 @@
 	})
 }
 
-// TestNodeWithoutAConfigurationFindsOutWhetherKeysAreNeeded serves nothing before it knows.
-func TestNodeWithoutAConfigurationFindsOutWhetherKeysAreNeeded(t *testing.T) {
+// TestNodeWithoutAConfigurationReadsItFirst has a node refuse requests until it has read whether keys are
+// required.
+func TestNodeWithoutAConfigurationReadsItFirst(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		gate, from := newGate(nil)
 		from.err = kv.ErrUnavailable
--- a/internal/access/limiter.go
+++ b/internal/access/limiter.go
@@ -19,43 +19,48 @@
 )
 
 const (
-	// askFor is how long a request waits for credit. A worker that is gone is noticed within tellTimeout, and another one asked.
-	askFor      = 250 * time.Millisecond
-	tellTimeout = 100 * time.Millisecond
-	// ownersAsked is how many owners of a tenant a request is asked for before the node decides alone.
-	ownersAsked = 2
-	// tellEvery is the time between two looks for what owners are to be told without being asked.
-	tellEvery = 100 * time.Millisecond
-	// spread is the least time over which the callers that were refused together come back.
-	spread = 500 * time.Millisecond
-	// usageEvery is the time between two lines of what tenants sent, usageTold how many tenants a line names.
-	usageEvery = 10 * time.Second
-	usageTold  = 8
+	// decisionTimeout is how long a request waits for credit. Within it, a dead worker is detected after
+	// callTimeout, and another one is asked.
+	decisionTimeout = 250 * time.Millisecond
+	callTimeout     = 100 * time.Millisecond
+	// maxOwners is the number of failed calls to ledger owners of a tenant after which the node decides without
+	// one.
+	maxOwners = 2
+	// reportInterval is the time between two checks for spending that has to be reported to ledger owners without
+	// a request waiting for it.
+	reportInterval = 100 * time.Millisecond
+	// minRetrySpread is the shortest period over which the retries of callers that were refused together are
+	// spread.
+	minRetrySpread = 500 * time.Millisecond
+	// usageLogInterval is the time between two log lines on tenants' usage, usageLogTenants the number of tenants
+	// that a line names.
+	usageLogInterval = 10 * time.Second
+	usageLogTenants  = 8
 )
 
-// ErrOverLimit means that a request is beyond what its tenant may send over all nodes.
-const ErrOverLimit = failure.Kind("access: beyond the tenant's limit")
+// ErrOverLimit means that a request exceeds its tenant's limit over all nodes.
+const ErrOverLimit = failure.Kind("access: tenant limit exceeded")
 
-// Limiter keeps the requests of tenants within their limits. Its exported fields are set before Start; it is safe for concurrent use. A
-// nil Limiter limits nothing.
+// Limiter keeps tenants' requests within their limits. Its exported fields are set before Start; it is safe for
+// concurrent use. A nil Limiter admits all requests.
 type Limiter struct {
 	Meter *quota.Meter
-	// Owner returns the worker that keeps account of a tenant, or an empty address where none is reached. kept is false where the
-	// workers are of a build that keeps none.
+	// Owner returns the ledger owner of a tenant, or an empty address if none is reachable. kept is false if the
+	// workers are of a build that keeps no ledger.
 	Owner func(tenant ident.Tenant) (address string, kept bool)
-	// Tell tells a worker what was let through and returns its answer.
+	// Tell reports the admitted requests to a worker and returns its answer.
 	Tell   func(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error)
 	Logger zerolog.Logger
 	Now    func() time.Time
 
 	tomb  *tomb.Tomb
 	mutex sync.Mutex
-	// news is closed when an owner has answered, or failed to.
-	news chan struct{}
-	// usage is what tenants sent since it was logged last.
-	usage      map[ident.Tenant]*usage
-	usageSince time.Time
-	returns    returns
+	// answered is closed and replaced when a call to a ledger owner has ended, successfully or not.
+	answered chan struct{}
+	// usage counts the tenants' requests since the last log line.
+	usage        map[ident.Tenant]*usage
+	usageSince   time.Time
+	retryTracker retryTracker
 }
 
 // usage counts the requests of a tenant.
@@ -64,55 +69,55 @@
 	passed, refused int
 }
 
-// Start tells owners what is due until the tomb dies.
+// Start reports due spending to the ledger owners until the tomb dies.
 func (l *Limiter) Start(parent *tomb.Tomb) {
-	l.tomb, l.news, l.usage, l.usageSince = parent, make(chan struct{}), map[ident.Tenant]*usage{}, l.Now()
+	l.tomb, l.answered, l.usage, l.usageSince = parent, make(chan struct{}), map[ident.Tenant]*usage{}, l.Now()
 	parent.Go(func() error {
-		ticker := time.NewTicker(tellEvery)
+		ticker := time.NewTicker(reportInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-parent.Dying():
 				return nil
 			case <-ticker.C:
-				l.tellDue()
-				l.tellUsage()
+				l.sendDue()
+				l.logUsage()
 			}
 		}
 	})
 }
 
-// Admit returns nil for a request within its tenant's limit. While requests of the tenant are refused that can be on time, one that comes
-// again too late for that is refused for them: it would take the place of one of theirs. The error is a *failure.Error of a request that
-// was not run.
+// Admit returns nil for a request within its tenant's limit. While the tenant has requests refused that can still
+// meet their objective, it also refuses retries that cannot, because they would use the limit of the former. The
+// error is a *failure.Error of a request that was not run.
 func (l *Limiter) Admit(ctx context.Context, tenant *work.Tenant, asked Asked) error {
 	if l == nil || tenant == nil {
 		return nil
 	}
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
-	again, gives := l.givesWay(tenant.Name, limit, asked)
-	verdict := quota.Verdict{Decision: quota.Refuse, After: spread}
-	if !gives {
+	lateRetry, refuse := l.checkRetry(tenant.Name, limit, asked)
+	verdict := quota.Verdict{Decision: quota.Refuse, After: minRetrySpread}
+	if !refuse {
 		verdict = l.Meter.Take(tenant.Name, limit, l.Now())
 	}
 	if verdict.Decision == quota.Ask {
 		verdict = l.await(ctx, tenant.Name, limit)
 	}
-	l.count(tenant.Name, verdict.Decision, again)
+	l.count(tenant.Name, verdict.Decision, lateRetry)
 	if verdict.Decision == quota.Admit {
 		return nil
 	}
-	after := verdict.After + time.Duration(rand.Int64N(int64(max(verdict.After, spread))))
-	return failure.New(failure.CodeRateLimited, "the tenant has sent as many requests as it may").WithRetryAfter(after).WithCause(ErrOverLimit)
+	after := verdict.After + time.Duration(rand.Int64N(int64(max(verdict.After, minRetrySpread))))
+	return failure.New(failure.CodeRateLimited, "the tenant has exceeded its request limit").WithRetryAfter(after).WithCause(ErrOverLimit)
 }
 
-// await decides on a request for which the owner has to be asked.
+// await decides on a request that needs credit from the tenant's ledger owner.
 func (l *Limiter) await(ctx context.Context, tenant ident.Tenant, limit quota.Limit) quota.Verdict {
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
 	failures := l.Meter.Wait(tenant, limit)
 	defer l.Meter.Leave(tenant)
-	for ctx.Err() == nil && l.Meter.Failures(tenant)-failures < ownersAsked {
+	for ctx.Err() == nil && l.Meter.Failures(tenant)-failures < maxOwners {
 		owner, kept := l.Owner(tenant)
 		if !kept {
 			l.Meter.Pass(tenant, limit, l.Now())
@@ -121,10 +126,10 @@
 		if owner == "" {
 			break
 		}
-		news := l.nextNews()
-		l.tellDue()
+		answered := l.nextAnswer()
+		l.sendDue()
 		select {
-		case <-news:
+		case <-answered:
 		case <-ctx.Done():
 		}
 		if verdict := l.Meter.Take(tenant, limit, l.Now()); verdict.Decision != quota.Ask {
@@ -134,33 +139,34 @@
 	return l.Meter.TakeAlone(tenant, limit, l.Now())
 }
 
-func (l *Limiter) nextNews() <-chan struct{} {
+func (l *Limiter) nextAnswer() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.news
+	return l.answered
 }
 
-func (l *Limiter) tellNews() {
+func (l *Limiter) notifyWaiters() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.answered)
+	l.answered = make(chan struct{})
 }
 
-// tellDue tells each owner what is due, in the background.
-func (l *Limiter) tellDue() {
+// sendDue reports the due spending to each ledger owner, in the background.
+func (l *Limiter) sendDue() {
 	owner := func(tenant ident.Tenant) string {
 		address, _ := l.Owner(tenant)
 		return address
 	}
 	for address, spending := range l.Meter.Due(owner, l.Now()) {
-		// Each call has a tomb of its own: requests are served for a while when that of the process takes no more.
-		new(tomb.Tomb).Go(func() error { l.tell(address, spending); return nil })
+		// Each call has its own tomb: during shutdown requests are still served for a while after the process's
+		// tomb accepts no more goroutines.
+		new(tomb.Tomb).Go(func() error { l.send(address, spending); return nil })
 	}
 }
 
-func (l *Limiter) tell(address string, spending *quota.Spending) {
-	ctx, cancel := context.WithTimeout(l.tomb.Context(context.Background()), tellTimeout)
+func (l *Limiter) send(address string, spending *quota.Spending) {
+	ctx, cancel := context.WithTimeout(l.tomb.Context(context.Background()), callTimeout)
 	defer cancel()
 	sent := l.Now()
 	answer, err := l.Tell(ctx, address, spending)
@@ -169,64 +175,65 @@
 	} else {
 		l.Meter.Failed(spending)
 	}
-	l.tellNews()
+	l.notifyWaiters()
 }
 
-// givesWay says whether a request comes again too late to be on time, and whether it is refused for those that can be.
-func (l *Limiter) givesWay(tenant ident.Tenant, limit quota.Limit, asked Asked) (again, gives bool) {
+// checkRetry reports whether a request is a retry that is too late to meet its objective, and whether it has to be
+// refused in favour of requests that can.
+func (l *Limiter) checkRetry(tenant ident.Tenant, limit quota.Limit, asked Asked) (lateRetry, refuse bool) {
 	if !limit.Bounded() {
 		return false, false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.Now()
-	again = l.returns.again(tenant, asked, now)
-	return again, again && l.returns.isPressed(tenant, now)
+	lateRetry = l.retryTracker.lateRetry(tenant, asked, now)
+	return lateRetry, lateRetry && l.retryTracker.recentlyRefused(tenant, now)
 }
 
-// count notes what became of a request.
-func (l *Limiter) count(tenant ident.Tenant, decision quota.Decision, again bool) {
+// count records the decision on a request.
+func (l *Limiter) count(tenant ident.Tenant, decision quota.Decision, lateRetry bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if decision != quota.Admit && !again {
-		l.returns.press(tenant, l.Now())
+	if decision != quota.Admit && !lateRetry {
+		l.retryTracker.recordRefusal(tenant, l.Now())
 	}
-	counted := l.usage[tenant]
-	if counted == nil {
-		counted = &usage{tenant: tenant}
-		l.usage[tenant] = counted
+	entry := l.usage[tenant]
+	if entry == nil {
+		entry = &usage{tenant: tenant}
+		l.usage[tenant] = entry
 	}
 	if decision == quota.Admit {
-		counted.passed++
+		entry.passed++
 	} else {
-		counted.refused++
+		entry.refused++
 	}
 }
 
-// tellUsage writes a line of what tenants sent now and then: the largest by name, the others together.
-func (l *Limiter) tellUsage() {
+// logUsage logs tenants' usage every usageLogInterval: the largest tenants by name, the others as one sum.
+func (l *Limiter) logUsage() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.Now().Sub(l.usageSince) < usageEvery || len(l.usage) == 0 {
+	if l.Now().Sub(l.usageSince) < usageLogInterval || len(l.usage) == 0 {
 		return
 	}
-	counted := make([]*usage, 0, len(l.usage))
-	for _, one := range l.usage {
-		counted = append(counted, one)
+	entries := make([]*usage, 0, len(l.usage))
+	for _, entry := range l.usage {
+		entries = append(entries, entry)
 	}
 	l.usage, l.usageSince = map[ident.Tenant]*usage{}, l.Now()
-	slices.SortFunc(counted, func(first, second *usage) int {
+	slices.SortFunc(entries, func(first, second *usage) int {
 		return cmp.Or(cmp.Compare(second.passed+second.refused, first.passed+first.refused), cmp.Compare(first.tenant, second.tenant))
 	})
 	named, others := zerolog.Dict(), usage{}
-	for position, one := range counted {
-		if position < usageTold {
-			named.Ints(string(one.tenant), []int{one.passed, one.refused})
+	for position, entry := range entries {
+		if position < usageLogTenants {
+			named.Ints(string(entry.tenant), []int{entry.passed, entry.refused})
 			continue
 		}
-		others.passed += one.passed
-		others.refused += one.refused
+		others.passed += entry.passed
+		others.refused += entry.refused
 	}
-	event.TenantUsage.Log(l.Logger).Dict("passed_refused", named).Int("others", max(len(counted)-usageTold, 0)).
+	event.TenantUsage.Log(l.Logger).Dict("passed_refused", named).Int("others", max(len(entries)-usageLogTenants, 0)).
 		Int("others_passed", others.passed).Int("others_refused", others.refused).Send()
 }
--- a/internal/access/limiter_test.go
+++ b/internal/access/limiter_test.go
@@ -20,23 +20,23 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// account is two workers that keep account of tenants, as nodes reach them.
+// account simulates two workers that can own the ledger of a tenant, as nodes reach them.
 type account struct {
 	mutex   sync.Mutex
 	ledgers map[string]*quota.Ledger
-	// gone workers do not answer; old says that they keep no account.
-	gone  map[string]bool
-	old   bool
-	limit quota.Limit
-	calls int
-	// avoided are those that did not answer a node.
+	// Workers in unresponsive do not answer; olderBuild means that the workers keep no ledger.
+	unresponsive map[string]bool
+	olderBuild   bool
+	limit        quota.Limit
+	calls        int
+	// avoided are the workers that did not answer a node.
 	avoided map[string]bool
 }
 
-var errGone = errors.New("gone")
+var errUnresponsive = errors.New("gone")
 
 func newAccount(limit quota.Limit) *account {
-	return &account{limit: limit, gone: map[string]bool{}, avoided: map[string]bool{}, ledgers: map[string]*quota.Ledger{
+	return &account{limit: limit, unresponsive: map[string]bool{}, avoided: map[string]bool{}, ledgers: map[string]*quota.Ledger{
 		"first": quota.NewLedger(window, time.Now().Add(-time.Minute)), "second": quota.NewLedger(window, time.Now().Add(-time.Minute)),
 	}}
 }
@@ -44,7 +44,7 @@
 func (a *account) owner(ident.Tenant) (string, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.old {
+	if a.olderBuild {
 		return "", false
 	}
 	for _, name := range []string{"first", "second"} {
@@ -55,17 +55,17 @@
 	return "", true
 }
 
-func (a *account) tell(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error) {
+func (a *account) send(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error) {
 	time.Sleep(time.Millisecond)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.calls++
-	if a.gone[address] {
+	if a.unresponsive[address] {
 		a.mutex.Unlock()
 		<-ctx.Done()
 		a.mutex.Lock()
 		a.avoided[address] = true
-		return nil, errGone
+		return nil, errUnresponsive
 	}
 	return a.ledgers[address].Settle(spending, func(ident.Tenant) (quota.Limit, bool) { return a.limit, true }, time.Now()), nil
 }
@@ -74,19 +74,19 @@
 
 func (a *account) limiter(node ident.Node, parent *tomb.Tomb) *access.Limiter {
 	limiter := &access.Limiter{
-		Meter: quota.NewMeter(node, 1, window, time.Now().Add(-time.Minute)), Owner: a.owner, Tell: a.tell, Logger: zerolog.Nop(), Now: time.Now,
+		Meter: quota.NewMeter(node, 1, window, time.Now().Add(-time.Minute)), Owner: a.owner, Tell: a.send, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	limiter.Start(parent)
 	return limiter
 }
 
-// play sends requests a second to each of some limiters for a while and returns how many were let through.
-func play(t *testing.T, limiters []*access.Limiter, tenant *work.Tenant, rate float64, lasts time.Duration) int {
+// sendRequests sends requests to each limiter at a rate per second, and returns how many were admitted.
+func sendRequests(t *testing.T, limiters []*access.Limiter, tenant *work.Tenant, rate float64, duration time.Duration) int {
 	var mutex sync.Mutex
 	var all sync.WaitGroup
 	passed := 0
 	for _, limiter := range limiters {
-		for sent := range int(rate * lasts.Seconds()) {
+		for sent := range int(rate * duration.Seconds()) {
 			all.Add(1)
 			go func() {
 				defer all.Done()
@@ -98,8 +98,8 @@
 					passed++
 					return
 				}
-				told := failure.As(err)
-				assert.Check(t, told.Code == failure.CodeRateLimited && told.Outcome == outcome.NotRun && told.RetryAfter > 0)
+				refusal := failure.As(err)
+				assert.Check(t, refusal.Code == failure.CodeRateLimited && refusal.Outcome == outcome.NotRun && refusal.RetryAfter > 0)
 				assert.Check(t, errors.Is(err, access.ErrOverLimit))
 			}()
 		}
@@ -119,56 +119,58 @@
 		run(account, limiters)
 		parent.Kill(nil)
 		assert.NilError(t, parent.Wait())
-		// Calls that are under way end by themselves.
+		// Calls in flight end by themselves.
 		time.Sleep(time.Second)
 	})
 }
 
 var clinic = &work.Tenant{Name: "clinic", Rate: 20, Burst: 20}
 
-// TestTenantWithinItsLimitIsServedAtEachNode spreads what a tenant may send over nodes, each of which sees little of it.
+// TestTenantWithinItsLimitIsServedAtEachNode spreads the requests that a tenant may send over nodes, each of which
+// receives few of them.
 func TestTenantWithinItsLimitIsServedAtEachNode(t *testing.T) {
 	withNodes(t, clinic, 9, func(_ *account, limiters []*access.Limiter) {
-		passed := play(t, limiters, clinic, 2, 20*time.Second)
+		passed := sendRequests(t, limiters, clinic, 2, 20*time.Second)
 		assert.Check(t, passed == 9*2*20)
 	})
 }
 
-// TestTenantBeyondItsLimitIsRefused sends ten times the limit, at one node and spread.
+// TestTenantBeyondItsLimitIsRefused sends ten times the limit, at one node and spread over nine.
 func TestTenantBeyondItsLimitIsRefused(t *testing.T) {
 	for _, nodes := range []int{1, 9} {
 		withNodes(t, clinic, nodes, func(_ *account, limiters []*access.Limiter) {
 			const windows = 4
-			passed := play(t, limiters, clinic, 200/float64(nodes), windows*window)
+			passed := sendRequests(t, limiters, clinic, 200/float64(nodes), windows*window)
 			allowed := clinic.Rate*window.Seconds() + clinic.Burst
-			assert.Check(t, float64(passed) <= windows*allowed*1.1, "%d let through", passed)
-			assert.Check(t, float64(passed) >= windows*clinic.Rate*window.Seconds(), "%d let through", passed)
+			assert.Check(t, float64(passed) <= windows*allowed*1.1, "%d admitted", passed)
+			assert.Check(t, float64(passed) >= windows*clinic.Rate*window.Seconds(), "%d admitted", passed)
 		})
 	}
 }
 
-// TestAnotherOwnerIsAskedForOneThatIsGone has the first owner of the tenant go.
-func TestAnotherOwnerIsAskedForOneThatIsGone(t *testing.T) {
+// TestUnresponsiveOwnerIsReplaced has the first ledger owner of the tenant become unresponsive.
+func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	withNodes(t, clinic, 9, func(account *account, limiters []*access.Limiter) {
-		assert.Check(t, play(t, limiters, clinic, 1, 5*time.Second) == 45)
-		account.gone["first"] = true
-		assert.Check(t, play(t, limiters, clinic, 1, 5*time.Second) == 45)
+		assert.Check(t, sendRequests(t, limiters, clinic, 1, 5*time.Second) == 45)
+		account.unresponsive["first"] = true
+		assert.Check(t, sendRequests(t, limiters, clinic, 1, 5*time.Second) == 45)
 	})
 }
 
-// TestNodesThatReachNoOwnerUseTheirShare cuts all nodes off: together they let through no more than the limit.
+// TestNodesThatReachNoOwnerUseTheirShare makes all ledger owners unresponsive. Together the nodes admit no more
+// than the limit.
 func TestNodesThatReachNoOwnerUseTheirShare(t *testing.T) {
 	withNodes(t, clinic, 5, func(account *account, limiters []*access.Limiter) {
-		play(t, limiters, clinic, 3, 5*time.Second)
-		account.gone["first"], account.gone["second"] = true, true
-		passed := play(t, limiters, clinic, 40, 5*time.Second)
-		assert.Check(t, passed <= (5*20+20)*11/10+20, "%d let through", passed)
-		assert.Check(t, passed >= 40, "%d let through", passed)
+		sendRequests(t, limiters, clinic, 3, 5*time.Second)
+		account.unresponsive["first"], account.unresponsive["second"] = true, true
+		passed := sendRequests(t, limiters, clinic, 40, 5*time.Second)
+		assert.Check(t, passed <= (5*20+20)*11/10+20, "%d admitted", passed)
+		assert.Check(t, passed >= 40, "%d admitted", passed)
 	})
 }
 
-// TestRequestIsDecidedOnWhileTheProcessStops has a request come after the tomb of the process took its last call.
-func TestRequestIsDecidedOnWhileTheProcessStops(t *testing.T) {
+// TestRequestIsDecidedOnDuringShutdown sends a request after the process's tomb has ended.
+func TestRequestIsDecidedOnDuringShutdown(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		parent := new(tomb.Tomb)
 		limiter := newAccount(quota.Limit{Rate: clinic.Rate, Burst: clinic.Burst}).limiter("a", parent)
@@ -179,19 +181,19 @@
 	})
 }
 
-// TestWorkersOfAnOlderBuildLimitNothing has no worker that keeps account, as before there were limits.
+// TestWorkersOfAnOlderBuildLimitNothing has no worker that keeps a ledger.
 func TestWorkersOfAnOlderBuildLimitNothing(t *testing.T) {
 	withNodes(t, clinic, 2, func(account *account, limiters []*access.Limiter) {
-		account.old = true
-		assert.Check(t, play(t, limiters, clinic, 100, time.Second) == 200)
+		account.olderBuild = true
+		assert.Check(t, sendRequests(t, limiters, clinic, 100, time.Second) == 200)
 	})
 }
 
-// TestTenantWithoutALimitAsksNobody sends as much as it likes, and causes no call.
-func TestTenantWithoutALimitAsksNobody(t *testing.T) {
+// TestTenantWithoutALimitCausesNoCalls sends requests of a tenant without a limit.
+func TestTenantWithoutALimitCausesNoCalls(t *testing.T) {
 	free := &work.Tenant{Name: "free"}
 	withNodes(t, free, 2, func(account *account, limiters []*access.Limiter) {
-		assert.Check(t, play(t, limiters, free, 100, time.Second) == 200)
+		assert.Check(t, sendRequests(t, limiters, free, 100, time.Second) == 200)
 		assert.Check(t, account.calls == 0)
 		var none *access.Limiter
 		assert.Check(t, none.Admit(context.Background(), clinic, access.Asked{}) == nil)
--- a/internal/access/retries.go
+++ b/internal/access/retries.go
@@ -8,83 +8,85 @@
 )
 
 const (
-	// pressedFor is how long after a request was refused its tenant counts as pressed: what it may send is wanted by requests that can be on
-	// time.
-	pressedFor = 500 * time.Millisecond
-	// usualAfter is how many requests that give the same time make it a usual one: callers give round times at first, and whatever is left of
-	// them when they come again.
-	usualAfter = 3
-	// gonePart of its objective is how much time of a request may have gone by for it to be on time yet: the rest is for its answer.
-	gonePart = 2.0 / 3
-	// timesFor is how long the times that requests give are counted, mostTimes how many of them for each tenant and route.
-	timesFor  = 10 * time.Second
-	mostTimes = 256
+	// refusalWindow is the time after a refusal during which the tenant's late retries are refused, because requests
+	// that can still be on time need what the limit allows.
+	refusalWindow = 500 * time.Millisecond
+	// commonAfter is the number of requests with the same timeout that make it a common one. First attempts have
+	// round timeouts; retries have whatever time is left.
+	commonAfter = 3
+	// maxElapsedFraction is the fraction of its objective that may have elapsed for a request to count as on time;
+	// the rest is needed to answer it.
+	maxElapsedFraction = 2.0 / 3
+	// timeoutWindow is how long timeouts are counted before the counts are reset; maxTimeouts is the number of
+	// different timeouts counted for each tenant and route.
+	timeoutWindow = 10 * time.Second
+	maxTimeouts   = 256
 )
 
-// Asked is what is known of a request before its body is read.
+// Asked is the data of a request that is known before its body is read.
 type Asked struct {
 	Route *work.Route
-	// Left is the time for which its caller waits on; zero where it did not say.
+	// Left is the time for which the caller still waits, or zero if it gave no timeout.
 	Left time.Duration
 }
 
-// times counts the requests of a tenant on a route by the time that their callers gave them.
-type times struct {
+// timeoutCounts counts the requests of a tenant on a route by their timeout.
+type timeoutCounts struct {
 	counts map[time.Duration]int
-	// longest is the longest of the usual ones.
+	// longest is the longest of the common timeouts.
 	longest time.Duration
 }
 
-// timesOf names the times of a tenant's requests on a route.
-type timesOf struct {
+// timeoutKey identifies the timeoutCounts of a tenant on a route.
+type timeoutKey struct {
 	tenant ident.Tenant
 	route  string
 }
 
-// returns follows which requests come again. The limiter's mutex guards it.
-type returns struct {
-	byRoute map[timesOf]*times
+// retryTracker detects retries by their timeouts. The limiter's mutex guards it.
+type retryTracker struct {
+	byRoute map[timeoutKey]*timeoutCounts
 	since   time.Time
-	// pressed is when a request of each tenant was last refused that may have been its first attempt.
-	pressed map[ident.Tenant]time.Time
+	// refusedAt holds, by tenant, when a request was last refused that may have been a first attempt.
+	refusedAt map[ident.Tenant]time.Time
 }
 
-// again counts a request and says whether it comes again and can't be on time any more: too much of the usual time has gone by for its
-// objective, and what is left is no usual time itself.
-func (r *returns) again(tenant ident.Tenant, asked Asked, now time.Time) bool {
+// lateRetry counts a request and reports whether it is a retry that can no longer meet its objective: its timeout
+// is not common, and is shorter than the longest common one by more than maxElapsedFraction of the objective.
+func (r *retryTracker) lateRetry(tenant ident.Tenant, asked Asked, now time.Time) bool {
 	if asked.Left <= 0 || asked.Route == nil || asked.Route.Objective <= 0 {
 		return false
 	}
-	if r.byRoute == nil || now.Sub(r.since) > timesFor {
-		r.byRoute, r.since = map[timesOf]*times{}, now
+	if r.byRoute == nil || now.Sub(r.since) > timeoutWindow {
+		r.byRoute, r.since = map[timeoutKey]*timeoutCounts{}, now
 	}
-	name := timesOf{tenant: tenant, route: asked.Route.Name}
-	known := r.byRoute[name]
-	if known == nil {
-		known = &times{counts: map[time.Duration]int{}}
-		r.byRoute[name] = known
+	key := timeoutKey{tenant: tenant, route: asked.Route.Name}
+	entry := r.byRoute[key]
+	if entry == nil {
+		entry = &timeoutCounts{counts: map[time.Duration]int{}}
+		r.byRoute[key] = entry
 	}
-	if len(known.counts) < mostTimes || known.counts[asked.Left] > 0 {
-		known.counts[asked.Left]++
+	if len(entry.counts) < maxTimeouts || entry.counts[asked.Left] > 0 {
+		entry.counts[asked.Left]++
 	}
-	if known.counts[asked.Left] >= usualAfter {
-		known.longest = max(known.longest, asked.Left)
+	if entry.counts[asked.Left] >= commonAfter {
+		entry.longest = max(entry.longest, asked.Left)
 		return false
 	}
-	gone := known.longest - asked.Left
-	return gone > time.Duration(gonePart*float64(asked.Route.Objective))
+	elapsed := entry.longest - asked.Left
+	return elapsed > time.Duration(maxElapsedFraction*float64(asked.Route.Objective))
 }
 
-// isPressed says whether a tenant's requests that may be on time are refused.
-func (r *returns) isPressed(tenant ident.Tenant, now time.Time) bool {
-	refused, known := r.pressed[tenant]
-	return known && now.Sub(refused) < pressedFor
+// recentlyRefused reports whether a request of the tenant that may be on time was refused within refusalWindow.
+func (r *retryTracker) recentlyRefused(tenant ident.Tenant, now time.Time) bool {
+	refused, known := r.refusedAt[tenant]
+	return known && now.Sub(refused) < refusalWindow
 }
 
-// press notes that a request was refused that may have been a first attempt.
-func (r *returns) press(tenant ident.Tenant, now time.Time) {
-	if r.pressed == nil {
-		r.pressed = map[ident.Tenant]time.Time{}
+// recordRefusal records that a request was refused that may have been a first attempt.
+func (r *retryTracker) recordRefusal(tenant ident.Tenant, now time.Time) {
+	if r.refusedAt == nil {
+		r.refusedAt = map[ident.Tenant]time.Time{}
 	}
-	r.pressed[tenant] = now
+	r.refusedAt[tenant] = now
 }
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -1,7 +1,7 @@
-// Package lending keeps account of the places of runners that their owner lends to other workers. Each runner's batch places
-// have one owner, which alone decides how many items may run there; a worker with more items than places asks owners for
-// theirs. A place is lent and not an item: the borrower sends its items to the runner itself, and keeps all that is known of
-// them. The package does no I/O; times are arguments.
+// Package lending records the batch slots of runners that their owner lends to other workers. Each runner's batch
+// slots have one owner, which alone decides how many items may run there; a worker with more items than slots
+// requests some from the owners. The unit of a loan is a slot, not an item: the borrower sends its items to the
+// runner itself and keeps their state. The package does no I/O; times are arguments.
 package lending
 
 import (
@@ -13,142 +13,144 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Lifetime is how long places are lent without news from the borrower: three times RenewEvery, so that one lost call takes
-// nothing back.
+// Lifetime is how long slots stay lent without a request from the borrower: three times RenewEvery, so that one
+// lost call does not end a loan.
 const Lifetime = 1500 * time.Millisecond
 
-// RenewEvery is the longest time between two calls to an owner whose places are in use.
+// RenewEvery is the longest time between two requests to an owner whose slots are in use.
 const RenewEvery = 500 * time.Millisecond
 
-// Count is a number of places at one runner.
+// Count is a number of slots at one runner.
 type Count struct {
 	Runner ident.Incarnation `json:"runner"`
 	Places int               `json:"places"`
 }
 
-// Want is a number of places more that a worker could use at any runners of a service.
+// Want is a number of additional slots that a worker could use at any runner of a service.
 type Want struct {
 	Service string `json:"service"`
 	Places  int    `json:"places"`
 }
 
-// Request is what a worker asks an owner. It gives back whatever of the owner's places it does not name.
+// Request is what a worker sends to an owner. Slots of the owner that it does not list are returned.
 type Request struct {
-	// Node is the borrower, Address where it is told of places that are taken back.
+	// Node is the borrower; Address is where recalls are sent to.
 	Node    ident.Node `json:"node"`
 	Address string     `json:"address"`
-	// Sequence rises with each request of the borrower to one owner, so that a late one changes nothing.
+	// Sequence rises with each request of the borrower to one owner, so that a delayed request has no effect.
 	Sequence int64 `json:"sequence"`
-	// Held are the places where items of the borrower run.
+	// Held are the slots in which items of the borrower run.
 	Held []Count `json:"held"`
-	// Wants are the places it could use beside them.
+	// Wants are the additional slots that it could use.
 	Wants []Want `json:"wants"`
 }
 
-// Reply is the owner's answer: all places that the borrower may use from now on. Where they are fewer than those it holds,
-// the owner needs the rest back.
+// Reply is the owner's answer: all slots that the borrower may use from now on. If they are fewer than those it
+// holds, the owner needs the rest back.
 type Reply struct {
 	Places []Count `json:"places"`
 }
 
-// Recall takes lent places back at once.
+// Recall takes lent slots back at once.
 type Recall struct {
 	Runner ident.Incarnation `json:"runner"`
 	Places int               `json:"places"`
 }
 
-// Order is a Recall and the address of the borrower it goes to.
+// Order is a Recall and the address of the borrower to send it to.
 type Order struct {
 	Address string
 	Recall  Recall
 }
 
-// Ledger holds what an owner has lent. It is safe for concurrent use.
+// Ledger records the slots that an owner has lent. It is safe for concurrent use.
 type Ledger struct {
 	mutex     sync.Mutex
 	borrowers map[ident.Node]*borrower
 }
 
-// borrower is what one worker was lent. The ledger's mutex guards it.
+// borrower is the state of the loans to one worker. The ledger's mutex guards it.
 type borrower struct {
 	address  string
 	sequence int64
 	until    time.Time
-	// loans are by runner; one whose places were all taken back stays, so that a renewal under way does not revive it.
+	// loans are the loans by runner. A loan that was recalled completely stays, so that a renewal in flight does
+	// not revive it.
 	loans map[ident.Incarnation]*loan
 }
 
-// loan is what one worker was lent at one runner. used is never more than lent.
+// loan is the number of slots lent to one worker at one runner. used is never greater than lent.
 type loan struct {
-	// lent are all places, used those at which an item ran when the borrower last called.
+	// lent is the number of all slots, used the number of those that ran an item at the borrower's last request.
 	lent, used int
 }
 
-// Renew takes over what a borrower holds. Places that were taken back stay so; those that this owner knows nothing of
-// count as lent, because items run there: the owner is new, or was started again. It returns false where a newer request
-// was taken already.
+// Renew records the slots that a borrower holds. Recalled slots stay recalled. Slots that are unknown to this
+// owner count as lent, because items run there: the owner is new or was restarted. Renew returns false if a newer
+// request was recorded already.
 func (l *Ledger) Renew(request *Request, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.forget(now)
-	known := l.borrowers[request.Node]
-	if known == nil {
-		known = &borrower{}
+	l.expire(now)
+	entry := l.borrowers[request.Node]
+	if entry == nil {
+		entry = &borrower{}
 		if l.borrowers == nil {
 			l.borrowers = map[ident.Node]*borrower{}
 		}
-		l.borrowers[request.Node] = known
-	} else if request.Sequence <= known.sequence {
+		l.borrowers[request.Node] = entry
+	} else if request.Sequence <= entry.sequence {
 		return false
 	}
 	renewed := make(map[ident.Incarnation]*loan, len(request.Held))
 	for _, held := range request.Held {
-		places := max(held.Places, 0)
-		if before := known.loans[held.Runner]; before != nil {
-			places = min(places, before.lent)
+		slots := max(held.Places, 0)
+		if before := entry.loans[held.Runner]; before != nil {
+			slots = min(slots, before.lent)
 		}
-		renewed[held.Runner] = &loan{lent: places, used: places}
+		renewed[held.Runner] = &loan{lent: slots, used: slots}
 	}
-	known.address, known.sequence, known.until, known.loans = request.Address, request.Sequence, now.Add(Lifetime), renewed
+	entry.address, entry.sequence, entry.until, entry.loans = request.Address, request.Sequence, now.Add(Lifetime), renewed
 	return true
 }
 
-// Lend adds places at a runner to those of a borrower that has just renewed.
-func (l *Ledger) Lend(node ident.Node, runner ident.Incarnation, places int) {
+// Lend adds slots at a runner to those of a borrower that has just renewed.
+func (l *Ledger) Lend(node ident.Node, runner ident.Incarnation, slots int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.borrowers[node]
-	if known == nil {
+	entry := l.borrowers[node]
+	if entry == nil {
 		return
 	}
-	if known.loans[runner] == nil {
-		known.loans[runner] = &loan{}
+	if entry.loans[runner] == nil {
+		entry.loans[runner] = &loan{}
 	}
-	known.loans[runner].lent += places
+	entry.loans[runner].lent += slots
 }
 
-// To returns all places that are lent to a borrower, in the order of the runners.
+// To returns all slots that are lent to a borrower, ordered by runner.
 func (l *Ledger) To(node ident.Node) []Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.borrowers[node]
-	if known == nil {
+	entry := l.borrowers[node]
+	if entry == nil {
 		return nil
 	}
-	counts := make([]Count, 0, len(known.loans))
-	for runner, lent := range known.loans {
+	counts := make([]Count, 0, len(entry.loans))
+	for runner, lent := range entry.loans {
 		counts = append(counts, Count{Runner: runner, Places: lent.lent})
 	}
 	slices.SortFunc(counts, func(first, second Count) int { return cmp.Compare(first.Runner, second.Runner) })
 	return counts
 }
 
-// At returns the places lent at a runner, and how many of them had an item when their borrowers last called.
+// At returns the number of slots lent at a runner, and how many of them ran an item at their borrowers' last
+// requests.
 func (l *Ledger) At(runner ident.Incarnation, now time.Time) (lent, used int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, known := range l.borrowers {
-		if loan := known.loans[runner]; loan != nil && now.Before(known.until) {
+	for _, entry := range l.borrowers {
+		if loan := entry.loans[runner]; loan != nil && now.Before(entry.until) {
 			lent += loan.lent
 			used += loan.used
 		}
@@ -156,56 +158,57 @@
 	return lent, used
 }
 
-// TakeBack takes places at a runner back, those of the borrowers with the most there first. It returns what the borrowers
-// are to be told, and how many places that makes: fewer than asked for where fewer are lent.
-func (l *Ledger) TakeBack(runner ident.Incarnation, places int, now time.Time) (orders []Order, taken int) {
+// TakeBack recalls slots at a runner, one by one from the borrower that has the most there. It returns the recalls
+// to send and the number of recalled slots, which is lower than requested if fewer are lent.
+func (l *Ledger) TakeBack(runner ident.Incarnation, slots int, now time.Time) (orders []Order, recalled int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	byAddress := map[string]int{}
-	for ; taken < places; taken++ {
-		most := l.largest(runner, now)
-		if most == nil {
+	for ; recalled < slots; recalled++ {
+		largest := l.largestBorrower(runner, now)
+		if largest == nil {
 			break
 		}
-		loan := most.loans[runner]
+		loan := largest.loans[runner]
 		loan.lent--
 		loan.used = min(loan.used, loan.lent)
-		byAddress[most.address]++
+		byAddress[largest.address]++
 	}
 	for address, count := range byAddress {
 		orders = append(orders, Order{Address: address, Recall: Recall{Runner: runner, Places: count}})
 	}
 	slices.SortFunc(orders, func(first, second Order) int { return cmp.Compare(first.Address, second.Address) })
-	return orders, taken
+	return orders, recalled
 }
 
-// largest returns the borrower with the most places at a runner, or nil. The caller holds the mutex.
-func (l *Ledger) largest(runner ident.Incarnation, now time.Time) *borrower {
-	var most *borrower
-	for _, known := range l.borrowers {
-		loan := known.loans[runner]
-		if loan == nil || loan.lent == 0 || !now.Before(known.until) {
+// largestBorrower returns the borrower with the most slots at a runner, or nil. The caller holds the mutex.
+func (l *Ledger) largestBorrower(runner ident.Incarnation, now time.Time) *borrower {
+	var largest *borrower
+	for _, entry := range l.borrowers {
+		loan := entry.loans[runner]
+		if loan == nil || loan.lent == 0 || !now.Before(entry.until) {
 			continue
 		}
-		if most == nil || loan.lent > most.loans[runner].lent || (loan.lent == most.loans[runner].lent && known.address < most.address) {
-			most = known
+		if largest == nil || loan.lent > largest.loans[runner].lent ||
+			(loan.lent == largest.loans[runner].lent && entry.address < largest.address) {
+			largest = entry
 		}
 	}
-	return most
+	return largest
 }
 
-// Any says whether a worker borrows here now, or asked to a moment ago.
+// Any reports whether a worker borrows here, or made a request within Lifetime.
 func (l *Ledger) Any(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.forget(now)
+	l.expire(now)
 	return len(l.borrowers) > 0
 }
 
-// forget drops the borrowers that did not call for a lifetime. The caller holds the mutex.
-func (l *Ledger) forget(now time.Time) {
-	for node, known := range l.borrowers {
-		if !now.Before(known.until) {
+// expire deletes the borrowers without a request within Lifetime. The caller holds the mutex.
+func (l *Ledger) expire(now time.Time) {
+	for node, entry := range l.borrowers {
+		if !now.Before(entry.until) {
 			delete(l.borrowers, node)
 		}
 	}
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -14,7 +14,7 @@
 	return &Request{Node: ident.Node(node), Address: node + ":1", Sequence: sequence, Held: held}
 }
 
-func TestPlacesLastAsLongAsTheirBorrowerCalls(t *testing.T) {
+func TestLoansEndWithoutRenewal(t *testing.T) {
 	var l Ledger
 	now := time.Unix(100, 0)
 	assert.Assert(t, l.Renew(request("w-1", 1), now))
@@ -24,14 +24,14 @@
 	assert.Equal(t, used, 0)
 	assert.Assert(t, l.Renew(request("w-1", 2, Count{Runner: "r", Places: 2}), now))
 	lent, used = l.At("r", now)
-	assert.Equal(t, lent, 2, "what the borrower does not hold is given back")
+	assert.Equal(t, lent, 2, "a slot that the borrower does not hold was not returned")
 	assert.Equal(t, used, 2)
 	lent, _ = l.At("r", now.Add(Lifetime))
-	assert.Equal(t, lent, 0, "a silent borrower keeps nothing")
+	assert.Equal(t, lent, 0, "a loan without renewal did not expire")
 	assert.Assert(t, !l.Any(now.Add(Lifetime)))
 }
 
-func TestPlaceTakenBackIsNotRevivedByARenewalUnderWay(t *testing.T) {
+func TestRecalledSlotIsNotRevivedByARenewalInFlight(t *testing.T) {
 	var l Ledger
 	now := time.Unix(100, 0)
 	l.Renew(request("w-1", 1), now)
@@ -58,8 +58,9 @@
 	assert.Equal(t, lent, 2)
 }
 
-// TestNewOwnerTakesHeldPlacesOver has an owner that knows nothing, after a restart say: items run there all the same.
-func TestNewOwnerTakesHeldPlacesOver(t *testing.T) {
+// TestNewOwnerTakesHeldSlotsOver has an owner without records, for example after a restart: items still run in the
+// borrowed slots.
+func TestNewOwnerTakesHeldSlotsOver(t *testing.T) {
 	var l Ledger
 	now := time.Unix(100, 0)
 	l.Renew(request("w-1", 9, Count{Runner: "r", Places: 4}), now)
@@ -68,9 +69,9 @@
 	assert.Equal(t, used, 4)
 }
 
-// TestLentPlacesNeverExceedWhatWasLent draws calls of borrowers and the owner: the places of all borrowers at the runner
-// stay within what the owner lent and did not take back, however requests are repeated or late.
-func TestLentPlacesNeverExceedWhatWasLent(t *testing.T) {
+// TestLentSlotsNeverExceedWhatWasLent draws calls of borrowers and the owner. The slots of all borrowers at the
+// runner stay within what the owner lent and did not recall, even if requests are repeated or delayed.
+func TestLentSlotsNeverExceedWhatWasLent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
 		now := time.Unix(100, 0)
@@ -90,26 +91,26 @@
 				}
 			case 1:
 				if _, known := allowed[name]; known {
-					places := rapid.IntRange(0, 3).Draw(t, "places")
-					l.Lend(ident.Node(name), "r", places)
-					allowed[name] += places
+					slots := rapid.IntRange(0, 3).Draw(t, "places")
+					l.Lend(ident.Node(name), "r", slots)
+					allowed[name] += slots
 				}
 			case 2:
 				wanted := rapid.IntRange(0, 6).Draw(t, "back")
 				orders, taken := l.TakeBack("r", wanted, now)
 				assert.Assert(t, taken <= wanted)
-				told := 0
+				recalled := 0
 				for _, order := range orders {
-					told += order.Recall.Places
+					recalled += order.Recall.Places
 					allowed[order.Address[:3]] -= order.Recall.Places
 				}
-				assert.Equal(t, told, taken)
+				assert.Equal(t, recalled, taken)
 			}
 			total := 0
-			for name, places := range allowed {
-				total += places
+			for name, slots := range allowed {
+				total += slots
 				for _, count := range l.To(ident.Node(name)) {
-					assert.Equal(t, count.Places, places)
+					assert.Equal(t, count.Places, slots)
 				}
 			}
 			lent, used := l.At("r", now)
@@ -119,15 +120,15 @@
 	})
 }
 
-// TestPlacesOfASilentBorrowerAreBack states the bound that docs/design/beliefs.md gives for places lent.
-func TestPlacesOfASilentBorrowerAreBack(t *testing.T) {
-	const backAfter = 1500 * time.Millisecond
+// TestSlotsOfASilentBorrowerAreReturned states the bound that docs/design/beliefs.md gives for lent slots.
+func TestSlotsOfASilentBorrowerAreReturned(t *testing.T) {
+	const returnedAfter = 1500 * time.Millisecond
 	var l Ledger
 	now := time.Unix(100, 0)
 	assert.Assert(t, l.Renew(request("w-1", 1), now))
 	l.Lend("w-1", "r", 2)
-	lent, _ := l.At("r", now.Add(backAfter-time.Millisecond))
+	lent, _ := l.At("r", now.Add(returnedAfter-time.Millisecond))
 	assert.Equal(t, lent, 2)
-	lent, _ = l.At("r", now.Add(backAfter))
+	lent, _ = l.At("r", now.Add(returnedAfter))
 	assert.Equal(t, lent, 0)
 }
