--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,6 +1,7 @@
-// Package pace decides what a node believes of how long work takes at a runner now, and what that means for a request. Runners
-// that share their machines turn slow with their neighbours and back, within a second in most cases and after many in some. A
-// word of it is a runner's own, on the head of an answer to this node or to another one. It is pure: times are arguments.
+// Package pace estimates the current pace of a runner, that is, how long work takes there relative to its typical
+// speed, and what the pace means for a request. Runners that share machines slow down and recover with their
+// neighbours, mostly within a second, sometimes after many. A runner reports its pace in the head of a response, to
+// this node or to another one. The package is pure: times are arguments.
 package pace
 
 import (
@@ -11,104 +12,109 @@
 )
 
 const (
-	// half is the time in which half of a runner's slowness is over where nothing more is heard: slow phases last .7 s in the
-	// middle.
-	half = 700 * time.Millisecond
-	// renewAfter is how much newer a word is that says the same and is worth telling: other nodes know the rest of the slowness within
-	// a fifth meanwhile.
-	renewAfter = 200 * time.Millisecond
-	// Kept is how long a word counts, the time of a long phase. An eighth of the slowness is left then.
-	Kept = 3 * half
+	// halfLife is the time in which half of a runner's slowness decays without a new report. The median slow phase
+	// lasts 0.7 s.
+	halfLife = 700 * time.Millisecond
+	// refreshAfter is how much newer a report with the same pace has to be to be passed on: within this time, the
+	// estimates of other nodes decay by less than a fifth of the slowness.
+	refreshAfter = 200 * time.Millisecond
+	// ReportLifetime is how long a report is used, the length of a long slow phase. An eighth of the slowness is left
+	// at its end.
+	ReportLifetime = 3 * halfLife
 )
 
-// Slow is the pace from which on a runner counts as slow in phases and figures. Smaller differences are the noise of a machine
-// in use.
+// Slow is the pace from which a runner counts as slow in slow phases and metrics. Smaller differences are noise of a
+// machine in use.
 const Slow work.Pace = 1.25
 
-// Word is what a runner told of its pace, and when. The moment is by the clock of the node that keeps it.
-type Word struct {
+// Report is a pace reported by a runner, and when, by the clock of the node that stores it.
+type Report struct {
 	Pace work.Pace
 	At   time.Time
 }
 
-// Told is the word of another node, whose age counts from a moment that is known here.
-func Told(pace work.Pace, ageMs int64, asOf time.Time) Word {
-	return Word{Pace: pace, At: asOf.Add(-time.Duration(max(ageMs, 0)) * time.Millisecond)}
+// ReportFromAge returns a report of another node whose age counts from a time on this node's clock.
+func ReportFromAge(pace work.Pace, ageMs int64, asOf time.Time) Report {
+	return Report{Pace: pace, At: asOf.Add(-time.Duration(max(ageMs, 0)) * time.Millisecond)}
 }
 
-// Belief is what a node believes of one runner. The zero Belief knows nothing, and has the runner at its usual pace.
-type Belief struct {
-	word Word
-	// own says that this node heard the word from the runner itself.
-	own bool
-	// doubted is until when some node may believe in a slow phase that is over.
-	doubted time.Time
-	// told is the newest word that is worth telling, and came when it came.
-	told Word
-	came time.Time
+// Estimate is a node's view of one runner's pace. The zero value has no report and returns the typical pace.
+type Estimate struct {
+	report Report
+	// direct says that the runner reported to this node itself.
+	direct bool
+	// staleUntil is until when some node may still use a report of a slow phase that is over.
+	staleUntil time.Time
+	// passedOn is the latest report that is worth passing on, and passedOnAt when it was received.
+	passedOn   Report
+	passedOnAt time.Time
 }
 
-// Hear takes over a word that came now, and says whether a slow phase began or ended with it. The newest counts, whoever heard it;
-// of two of the same moment the slower one, so that nodes that hear both in any order believe the same.
-func (b *Belief) Hear(word Word, own bool, now time.Time) (changed bool) {
-	if !word.Pace.Known() || !b.olderThan(word) {
+// Update stores a report received now, and says whether a slow phase started or ended with it. The latest report
+// counts, whoever received it; of two with the same time the slower one, so that nodes that get both in any order
+// agree.
+func (e *Estimate) Update(report Report, direct bool, now time.Time) (changed bool) {
+	if !report.Pace.Known() || !e.olderThan(report) {
 		return false
 	}
-	wasSlow := b.slowAt(word.At)
-	if b.slow() {
-		b.doubted = b.ends()
+	wasSlow := e.slowAt(report.At)
+	if e.slow() {
+		e.staleUntil = e.expiry()
 	}
-	b.word, b.own = word, own
-	changed = wasSlow != b.slow()
-	if changed || b.worthTelling() {
-		b.told, b.came = word, now
+	e.report, e.direct = report, direct
+	changed = wasSlow != e.slow()
+	if changed || e.worthPassingOn() {
+		e.passedOn, e.passedOnAt = report, now
 	}
 	return changed
 }
 
-// worthTelling says whether a node that knows the word told last would do with the newest one: not where both are of the usual pace.
-func (b *Belief) worthTelling() bool {
-	differs := math.Abs(float64(b.word.Pace-b.told.Pace)) > float64(b.told.Pace)*sameWithin
-	return differs || b.slow() && b.word.At.Sub(b.told.At) >= renewAfter
+// worthPassingOn says whether a node that has the report passed on last needs the latest one: not if both are of the
+// typical pace.
+func (e *Estimate) worthPassingOn() bool {
+	differs := math.Abs(float64(e.report.Pace-e.passedOn.Pace)) > float64(e.passedOn.Pace)*sameWithin
+	return differs || e.slow() && e.report.At.Sub(e.passedOn.At) >= refreshAfter
 }
 
-// overlap is how long before a moment a word may have come that an answer of that moment lacks, because both were worked on at once.
+// overlap is how long before a response a report may have been received that the response lacks, because both were
+// handled at the same time.
 const overlap = 20 * time.Millisecond
 
-// sameWithin is the part of a pace by which another one is told as the same.
+// sameWithin is the relative difference up to which two paces count as the same.
 const sameWithin = 0.2
 
-func (b *Belief) olderThan(word Word) bool {
-	return word.At.After(b.word.At) || word.At.Equal(b.word.At) && word.Pace > b.word.Pace
+func (e *Estimate) olderThan(report Report) bool {
+	return report.At.After(e.report.At) || report.At.Equal(e.report.At) && report.Pace > e.report.Pace
 }
 
-// ends is when the word counts no more.
-func (b *Belief) ends() time.Time { return b.word.At.Add(Kept) }
+// expiry is when the report expires.
+func (e *Estimate) expiry() time.Time { return e.report.At.Add(ReportLifetime) }
 
-func (b *Belief) slow() bool { return b.word.Pace >= Slow }
+func (e *Estimate) slow() bool { return e.report.Pace >= Slow }
 
-// slowAt says whether the runner counts as in a slow phase.
-func (b *Belief) slowAt(now time.Time) bool { return b.slow() && now.Before(b.ends()) }
+// slowAt says whether the runner counts as being in a slow phase.
+func (e *Estimate) slowAt(now time.Time) bool { return e.slow() && now.Before(e.expiry()) }
 
-// Now returns the pace that is expected: the usual one, 1, where nothing fresh is known or the runner is faster than usual. A
-// slow one comes nearer to the usual as its word grows older, so that there is no moment at which all nodes turn to the runner.
-func (b *Belief) Now(now time.Time) work.Pace {
-	excess := float64(b.word.Pace) - 1
-	if excess <= 0 || !now.Before(b.ends()) {
+// Current returns the expected pace: the typical one, 1, if there is no recent report or the runner is faster than
+// usual. A slow pace decays towards the typical one as the report ages, so that there is no moment at which all nodes
+// turn to the runner at once.
+func (e *Estimate) Current(now time.Time) work.Pace {
+	excess := float64(e.report.Pace) - 1
+	if excess <= 0 || !now.Before(e.expiry()) {
 		return 1
 	}
-	age := max(now.Sub(b.word.At), 0)
-	return work.Pace(1 + excess*math.Exp2(-age.Seconds()/half.Seconds()))
+	age := max(now.Sub(e.report.At), 0)
+	return work.Pace(1 + excess*math.Exp2(-age.Seconds()/halfLife.Seconds()))
 }
 
-// Word returns the newest word, and whether this node heard it from the runner itself.
-func (b *Belief) Word() (word Word, own bool) { return b.word, b.own }
+// Latest returns the latest report, and whether the runner sent it to this node itself.
+func (e *Estimate) Latest() (report Report, direct bool) { return e.report, e.direct }
 
-// News returns the word where another node may do with it that was told all before a moment: a slow one as long as it counts, and the
-// usual one as long as somebody may believe in the slow phase before it.
-func (b *Belief) News(since, now time.Time) (word Word, news bool) {
-	if b.told.Pace.Known() && b.came.After(since.Add(-overlap)) && (b.slowAt(now) || now.Before(b.doubted)) {
-		return b.word, true
+// ChangedSince returns the latest report if another node that was sent everything up to a time needs it: a slow one as
+// long as it is valid, and a typical one as long as some node may still use the slow phase before it.
+func (e *Estimate) ChangedSince(since, now time.Time) (report Report, needed bool) {
+	if e.passedOn.Pace.Known() && e.passedOnAt.After(since.Add(-overlap)) && (e.slowAt(now) || now.Before(e.staleUntil)) {
+		return e.report, true
 	}
-	return Word{}, false
+	return Report{}, false
 }
--- a/internal/runnertable/flight.go
+++ b/internal/runnertable/flight.go
@@ -8,67 +8,68 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Flight is one request at one runner, from the choice to its end.
+// Flight is one request at one runner, from the choice of the runner until the request ends.
 type Flight struct {
-	// Runner is where the request goes.
+	// Runner is the runner that the request is sent to.
 	Runner work.Runner
 	table  *Table
 	entry  *entry
 	class  Class
-	// chosen is when the flight began.
-	chosen time.Time
-	// uncached are the prompt tokens the runner is not thought to keep.
+	// startedAt is when the runner was chosen.
+	startedAt time.Time
+	// uncached is the number of prompt tokens that are assumed not to be in the runner's prefix cache.
 	uncached int
-	// tokens are what the request takes of the runner's memory.
+	// tokens is the memory that the request needs at the runner, in tokens.
 	tokens int
-	// succeeded says that the runner's work on the flight was noted, so that each flight counts once.
+	// succeeded says that an event was received and the success recorded, so that each flight counts once.
 	succeeded bool
 	ended     bool
-	// prompted says that the request has a prompt.
-	prompted bool
-	// seen is when the last event came; before the first one, when the runner was chosen.
-	seen time.Time
+	// hasPrompt says that the request has a prompt.
+	hasPrompt bool
+	// lastEvent is when the last event was received, or when the runner was chosen before the first event.
+	lastEvent time.Time
 }
 
-// start counts a flight. The caller holds the mutex.
+// start registers a new flight. The caller holds the mutex.
 func (t *Table) start(chosen *entry, wish Wish, uncached int, now time.Time) *Flight {
 	flight := &Flight{
-		Runner: chosen.runner, table: t, entry: chosen, class: wish.Class, chosen: now, uncached: uncached, tokens: wish.weight(uncached),
-		seen: now, prompted: uncached > 0 || len(wish.Prefix) > 0,
+		Runner: chosen.runner, table: t, entry: chosen, class: wish.Class, startedAt: now, uncached: uncached,
+		tokens: wish.memoryTokens(uncached), lastEvent: now, hasPrompt: uncached > 0 || len(wish.Prefix) > 0,
 	}
 	chosen.own[wish.Class]++
 	if wish.Class == Online {
 		chosen.online = append(chosen.online, flight)
 	}
 	chosen.tokens[wish.Class] += flight.tokens
-	chosen.noteBegun(wish.Class, now)
-	t.noteOnline(wish.Class, true)
+	chosen.countGrantUse(wish.Class, now)
+	t.notifyOnline(wish.Class, true)
 	chosen.waiting[flight] = now
 	chosen.pendingTokens += uncached
 	chosen.prefixes.add(wish.Prefix, now)
 	return flight
 }
 
-// Answered notes the head of the runner's answer and the load it told.
+// Answered records the head of the runner's response and the load reported in it, if any.
 func (f *Flight) Answered(load *work.Load, now time.Time) {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.stopWaiting()
-	if f.isFar() {
-		f.table.heard(f.Runner.Zone, f.chosen)
+	if f.isCrossZone() {
+		f.table.zoneAnswered(f.Runner.Zone, f.startedAt)
 	}
 	if load != nil {
 		f.entry.observe(*load, now)
-		f.table.hearRunner(f.entry, load.Pace, now)
+		f.table.updatePaceFromRunner(f.entry, load.Pace, now)
 	}
 }
 
-// Began notes an event, the first or a further one, and that the runner works.
+// Began records that an event was received, the first one or a later one. The first one counts as a success of the
+// runner.
 func (f *Flight) Began(now time.Time) {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.stopWaiting()
-	f.seeEvent(now)
+	f.observeEvent(now)
 	if !f.succeeded {
 		f.succeeded = true
 		f.entry.health.succeeded(now)
@@ -83,7 +84,7 @@
 	f.entry.pendingTokens -= f.uncached
 }
 
-// End stops counting the flight. Further calls do nothing.
+// End removes the flight from the counts. Further calls do nothing.
 func (f *Flight) End() {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
@@ -97,31 +98,31 @@
 		f.entry.online = slices.Delete(f.entry.online, at, at+1)
 	}
 	f.entry.tokens[f.class] -= f.tokens
-	// A place that is rationed stands idle until its owner hears that it is free.
-	f.table.noteOnline(f.class, f.entry.share.Value().rationed)
+	// A rationed slot stays idle until its owner is notified that it is free, so the notification is sent at once.
+	f.table.notifyOnline(f.class, f.entry.share.Value().rationed)
 }
 
-// Failed notes a failure of the runner or of the way to it.
+// Failed records a failure of the runner or of the connection to it.
 func (f *Flight) Failed(failure Failure, now time.Time) {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.entry.health.failed(failure, now)
-	if f.isFar() && (failure == Unreachable || failure == Silent) {
-		f.table.missed(f.Runner.Zone, string(f.Runner.ID), f.chosen, now)
+	if f.isCrossZone() && (failure == Unreachable || failure == Silent) {
+		f.table.zoneTimedOut(f.Runner.Zone, string(f.Runner.ID), f.startedAt, now)
 	}
 }
 
-// isFar says whether the runner is in another zone: whether that answers is learned from its runners too. Of the node's own zone only workers are
-// counted.
-func (f *Flight) isFar() bool { return f.Runner.Zone != f.table.zone }
+// isCrossZone says whether the runner is in another zone. Responses and failures of such runners also count towards
+// the reachability of their zone; for the node's own zone only workers count.
+func (f *Flight) isCrossZone() bool { return f.Runner.Zone != f.table.zone }
 
-// observe takes over a runner's own count of its work.
+// observe stores a runner's own count of its work.
 func (e *entry) observe(load work.Load, now time.Time) {
 	others := load.Running + load.Waiting - e.own[Online] - e.own[Batch]
 	e.load.Renew(loadReport{others: max(others, 0), waiting: load.Waiting}, now)
 }
 
-// Observe takes over a count that the runner told outside a flight.
+// Observe stores a count that the runner reported outside a flight.
 func (t *Table) Observe(id ident.Incarnation, load work.Load, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// FailureRate returns the share of failures among a runner's last outcomes, fading with time.
+// FailureRate returns the share of failures among a runner's recent outcomes, which decays with time.
 func (t *Table) FailureRate(id ident.Incarnation, now time.Time) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -140,7 +141,7 @@
 	return 0
 }
 
-// Own returns this node's work in progress of a class at a runner.
+// Own returns the number of this node's requests of a class that are in flight at a runner.
 func (t *Table) Own(id ident.Incarnation, class Class) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/runnertable/free.go
+++ b/internal/runnertable/free.go
@@ -6,7 +6,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Slots returns how many requests the ready runners of a service work on at once.
+// Slots returns the total number of slots of the ready runners of a service.
 func (t *Table) Slots(service string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -19,31 +19,32 @@
 	return slots
 }
 
-// Free returns how many slots of a service's runners that may take requests have no online work, as far as this node knows.
+// Free returns how many slots of the eligible runners of a service have no online work, as far as this node knows.
 func (t *Table) Free(service string, now time.Time) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	free := 0
 	for _, known := range t.services[service] {
 		if known.eligible(Wish{}, now) {
-			firm, _ := known.estimate(now)
-			free += max(max(known.runner.Slots, 1)-firm, 0)
+			committed, _ := known.estimate(now)
+			free += max(max(known.runner.Slots, 1)-committed, 0)
 		}
 	}
 	return free
 }
 
-// heardFor is for how long an owner that told once is thought to tell again: nodes hear those of other zones each ten seconds at least.
-const heardFor = 30 * time.Second
+// ownerActiveFor is how long after its last report an owner is expected to report again. Nodes get a report from
+// owners in other zones at least every 10 s.
+const ownerActiveFor = 30 * time.Second
 
-// overdue says whether the owner of the runner told of the work there before, and not lately: nodes that have work at an owner's
-// runners hear it each 50 ms, and what is older may be of a slot that others took since.
-func (e *entry) overdue(now time.Time) bool {
-	return e.share.Within(heardFor, now) && !e.share.Within(wordMemory, now)
+// shareOverdue says whether the owner reported the work at the runner before, but not recently. Owners report every 50
+// ms to nodes that have work at their runners; a slot that was free in an older report may have been taken since.
+func (e *entry) shareOverdue(now time.Time) bool {
+	return e.share.Within(ownerActiveFor, now) && !e.share.Within(recentShareAge, now)
 }
 
-// seenFree says whether a slot that is thought to be free may be taken by a request that yields: it would wait at the runner before the others
-// if it is not.
-func (e *entry) seenFree(now time.Time) bool {
-	return !e.overdue(now) && !(e.load.Within(loadMemory, now) && e.load.Value().waiting > 0)
+// knownFree says whether a slot that is estimated to be free can be given to a request that must not queue at the
+// runner. If the slot were in fact taken, the request would wait at the runner ahead of requests with higher priority.
+func (e *entry) knownFree(now time.Time) bool {
+	return !e.shareOverdue(now) && !(e.load.Within(loadLifetime, now) && e.load.Value().waiting > 0)
 }
--- a/internal/runnertable/orphans.go
+++ b/internal/runnertable/orphans.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// unheardFor is how long a node that has just started takes a runner for full until it hears of it: the runner may be busy with runs of
-// nodes that are gone. Owners answer within some milliseconds of their own start; longer than a third of a usual objective helps
-// nobody.
-const unheardFor = 100 * time.Millisecond
+// assumeFullFor is how long a node that has just started treats a runner as full until it gets information about it:
+// the runner may be busy with orphaned runs. Owners answer within a few milliseconds of their own start, and waiting
+// longer than a third of a typical objective would make requests late.
+const assumeFullFor = 100 * time.Millisecond
 
-// StartsAgain has the runners of the first list count as full for a moment, until their owners told of them or they answered. It is
-// called before the table is used, by a node whose deployment had started before.
-func (t *Table) StartsAgain() { t.unheardFor = unheardFor }
+// StartsAgain makes the runners of the first list count as full for assumeFullFor, unless their owners report them or
+// they respond earlier. It must be called before the table is used, by a node of a deployment that ran before.
+func (t *Table) StartsAgain() { t.assumeFullFor = assumeFullFor }
 
-// unheardSinceStart says whether the node has just started and knows nothing of the work at the runner.
-func (e *entry) unheardSinceStart(now time.Time) bool {
-	return now.Before(e.unheardUntil) && !e.share.Within(shareMemory, now) && !e.load.Within(loadMemory, now)
+// assumedFull says whether the node has just started and has no information about the work at the runner.
+func (e *entry) assumedFull(now time.Time) bool {
+	return now.Before(e.assumeFullUntil) && !e.share.Within(shareLifetime, now) && !e.load.Within(loadLifetime, now)
 }
 
-// orphans is how many runs of nodes that are gone the runner has, as far as its owner told lately. Their places come free more
-// rarely than those of requests.
+// orphans returns the number of orphaned runs at the runner, according to its owner's recent report. Their slots
+// become free less often than those of requests.
 func (e *entry) orphans(now time.Time) int {
-	if !e.share.Within(shareMemory, now) {
+	if !e.share.Within(shareLifetime, now) {
 		return 0
 	}
 	return e.share.Value().orphans
--- a/internal/runnertable/pace.go
+++ b/internal/runnertable/pace.go
@@ -13,70 +13,75 @@
 )
 
 const (
-	// spokenFor is how long a word that a runner told this node itself is passed on: as long as a lost call and the pause after
-	// it take twice.
-	spokenFor = 1500 * time.Millisecond
-	// tellsFor is how long the runners of a service count as such that tell their pace, after the last word.
-	tellsFor = time.Minute
-	// unseenFirst is the usual time to the first event before any was seen.
-	unseenFirst = 60 * time.Millisecond
-	// pauseCost is added for a runner that can't keep to the pause between events: more than all else, so that any other that may
-	// take the request is chosen.
+	// directReportLifetime is how long a pace that a runner reported to this node directly is passed on: twice the
+	// time of a lost call and the pause after it.
+	directReportLifetime = 1500 * time.Millisecond
+	// paceReporterLifetime is how long after the last direct report the runners of a service count as reporting their
+	// pace.
+	paceReporterLifetime = time.Minute
+	// defaultFirstEvent is the typical time to the first event before any was measured.
+	defaultFirstEvent = 60 * time.Millisecond
+	// pauseCost is added for a runner that can't keep the maximum pause between events. It exceeds all other costs, so
+	// that any other eligible runner is preferred.
 	pauseCost = 1e5
-	// wordMemory is the age up to which the word of an owner that is told of work each 50 ms is one to go by, unansweredCost what its runner
-	// costs more with an older one: as for the short queue that may be there.
-	wordMemory     = 150 * time.Millisecond
-	unansweredCost = 2 * queueCost
+	// recentShareAge is the age up to which an owner's report counts as recent; owners report every 50 ms to nodes
+	// with work at their runners. staleShareCost is added for a runner with an older report, for the short queue that
+	// may have built up there.
+	recentShareAge = 150 * time.Millisecond
+	staleShareCost = 2 * queueCost
 )
 
-// usual is what the requests of a service take at a runner at the usual pace, as far as this node saw.
-type usual struct {
-	// first is the time to the first event, of requests with a prompt and without: those are other work.
-	first, promptless pace.Usual
+// serviceTimings are the times that requests of a service take at the typical pace, as measured by this node.
+type serviceTimings struct {
+	// firstEvent and firstEventNoPrompt are the time to the first event of requests with and without a prompt, which
+	// differ in the work they need.
+	firstEvent, firstEventNoPrompt pace.Median
 	// gap is the time between two events.
-	gap pace.Usual
-	// told is when a runner of this node's zone last told its pace.
-	told time.Time
+	gap pace.Median
+	// paceReported is when a runner of this node's zone last reported its pace.
+	paceReported time.Time
 }
 
-// toFirst returns the usual time to the first event of requests with a prompt, or without.
-func (u *usual) toFirst(prompted bool) *pace.Usual {
-	if prompted {
-		return &u.first
+// firstEventTime returns the typical time to the first event of requests with or without a prompt.
+func (s *serviceTimings) firstEventTime(hasPrompt bool) *pace.Median {
+	if hasPrompt {
+		return &s.firstEvent
 	}
-	return &u.promptless
+	return &s.firstEventNoPrompt
 }
 
-// SlowPhases counts what this node heard of slow runners and how it chose.
+// SlowPhases counts slow phases of runners and the choices made during them.
 type SlowPhases struct {
-	// Begun and Ended are the slow phases of runners that it heard of.
+	// Begun and Ended are the numbers of slow phases that started and ended.
 	Begun, Ended int
-	// Chosen are the choices while a runner of the service was slow, Slow those of them that fell on a slow one, and Beyond those that
-	// fell on one that can't keep to the pause between events.
+	// Chosen is the number of choices made while a runner of the service was slow, Slow the number of those that
+	// selected a slow runner, and Beyond the number that selected a runner that can't keep the maximum pause between
+	// events.
 	Chosen, Slow, Beyond int
 }
 
-// usualOf returns what is usual at a service. The caller holds the mutex.
-func (t *Table) usualOf(service string) *usual {
-	found := t.usual[service]
+// timingsOf returns the timings of a service. The caller holds the mutex.
+func (t *Table) timingsOf(service string) *serviceTimings {
+	found := t.timings[service]
 	if found == nil {
-		found = &usual{}
-		t.usual[service] = found
+		found = &serviceTimings{}
+		t.timings[service] = found
 	}
 	return found
 }
 
-// slowness is what a runner's pace adds to the expected delay of the first event, in milliseconds: nothing at the usual one.
-// behind are the milliseconds that a request takes there at the usual pace before its own work begins.
-func (t *Table) slowness(candidate *entry, wish Wish, behind float64, now time.Time) float64 {
-	at := candidate.pace.Now(now)
+// paceCost is the additional delay of the first event that is expected from the runner's pace, in milliseconds, and
+// pauseCost if the runner can't keep the pause; zero at the typical pace. queuedMs is the time that a request spends
+// at the runner, at the typical pace, before its own work starts.
+func (t *Table) paceCost(candidate *entry, wish Wish, queuedMs float64, now time.Time) float64 {
+	at := candidate.pace.Current(now)
 	if at <= 1 {
 		return 0
 	}
-	usual := t.usualOf(wish.Service)
-	first := usual.toFirst(wish.PromptTokens > 0).Or(unseenFirst) + time.Duration(behind*float64(time.Millisecond))
+	timings := t.timingsOf(wish.Service)
+	first := timings.firstEventTime(wish.PromptTokens > 0).Or(defaultFirstEvent) + time.Duration(queuedMs*float64(time.Millisecond))
 	cost := milliseconds(pace.Cost(first, wish.Objective, at))
-	if !pace.Keeps(usual.gap.Or(0), wish.Pause, at) {
+	if !pace.MeetsPause(timings.gap.Or(0), wish.Pause, at) {
 		cost += pauseCost
 	}
 	return cost
@@ -84,12 +89,13 @@
 
 func milliseconds(duration time.Duration) float64 { return duration.Seconds() * 1000 }
 
-// hear takes over a word of a runner's pace. The caller holds the mutex.
-func (t *Table) hear(known *entry, word pace.Word, own bool, now time.Time) (changed bool) {
-	changed = known.pace.Hear(word, own, now)
+// updatePace stores a report of a runner's pace and says whether a slow phase started or ended with it. The caller
+// holds the mutex.
+func (t *Table) updatePace(known *entry, report pace.Report, direct bool, now time.Time) (changed bool) {
+	changed = known.pace.Update(report, direct, now)
 	switch {
 	case !changed:
-	case word.Pace >= pace.Slow:
+	case report.Pace >= pace.Slow:
 		t.slowPhases.Begun++
 	default:
 		t.slowPhases.Ended++
@@ -97,56 +103,57 @@
 	return changed
 }
 
-// hearRunner takes over what a runner told this node itself, and has it passed on. The caller holds the mutex.
-func (t *Table) hearRunner(known *entry, told work.Pace, now time.Time) {
-	if !told.Known() {
+// updatePaceFromRunner stores a pace that a runner reported to this node directly, so that it is passed on. The caller
+// holds the mutex.
+func (t *Table) updatePaceFromRunner(known *entry, reported work.Pace, now time.Time) {
+	if !reported.Known() {
 		return
 	}
 	if known.runner.Zone == t.zone {
-		t.usualOf(known.runner.Service).told = now
+		t.timingsOf(known.runner.Service).paceReported = now
 	}
-	known.spoken = pace.Word{Pace: told, At: now}
-	if t.hear(known, known.spoken, true, now) && t.onlineChanged != nil {
+	known.directPace = pace.Report{Pace: reported, At: now}
+	if t.updatePace(known, known.directPace, true, now) && t.onlineChanged != nil {
 		t.onlineChanged(false)
 	}
 }
 
-// seeEvent keeps what is usual at the service. The caller holds the mutex.
-func (f *Flight) seeEvent(now time.Time) {
-	usual, at := f.table.usualOf(f.Runner.Service), f.entry.pace.Now(now)
+// observeEvent updates the timings of the service. The caller holds the mutex.
+func (f *Flight) observeEvent(now time.Time) {
+	timings, at := f.table.timingsOf(f.Runner.Service), f.entry.pace.Current(now)
 	if f.succeeded {
-		usual.gap.See(now.Sub(f.seen), at)
+		timings.gap.Observe(now.Sub(f.lastEvent), at)
 	} else {
-		usual.toFirst(f.prompted).See(now.Sub(f.seen), at)
+		timings.firstEventTime(f.hasPrompt).Observe(now.Sub(f.lastEvent), at)
 	}
-	f.seen = now
+	f.lastEvent = now
 }
 
-// noteChoice counts for the log. The caller holds the mutex.
-func (t *Table) noteChoice(chosen *entry, wish Wish, now time.Time) {
+// countChoice updates the slow-phase counters for the log. The caller holds the mutex.
+func (t *Table) countChoice(chosen *entry, wish Wish, now time.Time) {
 	slow := false
 	for _, candidate := range t.services[wish.Service] {
-		slow = slow || candidate.pace.Now(now) >= pace.Slow
+		slow = slow || candidate.pace.Current(now) >= pace.Slow
 	}
 	if !slow {
 		return
 	}
 	t.slowPhases.Chosen++
-	at := chosen.pace.Now(now)
+	at := chosen.pace.Current(now)
 	if at >= pace.Slow {
 		t.slowPhases.Slow++
 	}
-	if !pace.Keeps(t.usualOf(wish.Service).gap.Or(0), wish.Pause, at) {
+	if !pace.MeetsPause(t.timingsOf(wish.Service).gap.Or(0), wish.Pause, at) {
 		t.slowPhases.Beyond++
 	}
 }
 
-// TakeSlowPhases returns what was counted since the last call, and which runners are slow now.
+// TakeSlowPhases returns and resets the counters, and returns the runners that are slow now.
 func (t *Table) TakeSlowPhases(now time.Time) (counted SlowPhases, slow []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for id, known := range t.runners {
-		if known.pace.Now(now) >= pace.Slow {
+		if known.pace.Current(now) >= pace.Slow {
 			slow = append(slow, string(id))
 		}
 	}
@@ -155,15 +162,15 @@
 	return counted, slow
 }
 
-// unanswered is what a runner costs more because its owner's word is old although it was asked.
-func (e *entry) unanswered(wish Wish, now time.Time) float64 {
-	if wish.Wary && !e.share.Within(wordMemory, now) {
-		return unansweredCost
+// staleCost is the cost added for a runner whose owner was polled before the choice and has no recent report.
+func (e *entry) staleCost(wish Wish, now time.Time) float64 {
+	if wish.Wary && !e.share.Within(recentShareAge, now) {
+		return staleShareCost
 	}
 	return 0
 }
 
-// Would returns the runners that Pick would choose, the best first, at most a number of them. It starts nothing.
+// Would returns up to most runners that Pick would choose, best first. It starts no flight.
 func (t *Table) Would(wish Wish, most int, now time.Time, random *rand.Rand) []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -171,11 +178,11 @@
 		runner work.Runner
 		cost   float64
 	}
-	choice := t.choose(wish, now, random)
+	pick := t.newPickContext(wish, now, random)
 	var found []priced
 	for _, candidate := range t.services[wish.Service] {
-		if !choice.shuns(candidate) && candidate.eligible(wish, now) && !candidate.full(wish, now) {
-			found = append(found, priced{candidate.runner, t.cost(candidate, wish, choice, now) + jitterCost*random.Float64()})
+		if !pick.skips(candidate) && candidate.eligible(wish, now) && !candidate.full(wish, now) {
+			found = append(found, priced{candidate.runner, t.cost(candidate, wish, pick, now) + jitterCost*random.Float64()})
 		}
 	}
 	slices.SortStableFunc(found, func(first, second priced) int { return cmp.Compare(first.cost, second.cost) })
@@ -186,45 +193,45 @@
 	return runners
 }
 
-// TellsPace says whether runners of a service in this node's zone tell their pace.
+// TellsPace says whether runners of a service in this node's zone report their pace.
 func (t *Table) TellsPace(service string, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	usual := t.usual[service]
-	return usual != nil && !usual.told.IsZero() && now.Sub(usual.told) < tellsFor
+	timings := t.timings[service]
+	return timings != nil && !timings.paceReported.IsZero() && now.Sub(timings.paceReported) < paceReporterLifetime
 }
 
-// HearCounts takes over what a node heard of the runners' pace, told at a moment.
+// HearCounts stores the paces in another node's report, as of its arrival.
 func (t *Table) HearCounts(counts []demand.Count, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, count := range counts {
 		if known := t.runners[count.Runner]; known != nil {
-			t.hear(known, pace.Told(count.Pace, count.PaceAgeMs, now), false, now)
+			t.updatePace(known, pace.ReportFromAge(count.Pace, count.PaceAgeMs, now), false, now)
 		}
 	}
 }
 
-// Pace returns the pace that is expected of a runner: the usual one, 1, where nothing is known.
+// Pace returns the pace that is expected of a runner, or the typical one, 1, if it is unknown.
 func (t *Table) Pace(id ident.Incarnation, now time.Time) work.Pace {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.runners[id]; known != nil {
-		return known.pace.Now(now)
+		return known.pace.Current(now)
 	}
 	return 1
 }
 
-// PaceNews puts the newest word of a runner's pace into what its owner tells another node that was told all before a moment, where it may
-// do with it.
-func (t *Table) PaceNews(told *demand.Share, since, now time.Time) {
+// PaceNews adds the latest pace of a runner to the share that its owner sends to another node, if that node needs it.
+// The node already has everything the owner knew at since.
+func (t *Table) PaceNews(share *demand.Share, since, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.runners[told.Runner]
+	known := t.runners[share.Runner]
 	if known == nil {
 		return
 	}
-	if word, news := known.pace.News(since, now); news {
-		told.Pace, told.PaceAgeMs = word.Pace, max(now.Sub(word.At).Milliseconds(), 0)
+	if report, changed := known.pace.ChangedSince(since, now); changed {
+		share.Pace, share.PaceAgeMs = report.Pace, max(now.Sub(report.At).Milliseconds(), 0)
 	}
 }
--- a/internal/runnertable/pace_load_test.go
+++ b/internal/runnertable/pace_load_test.go
@@ -14,19 +14,19 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// slowFleet is a fleet of runners that turn slow with their neighbours, before many nodes, in simulated time. Each node chooses by a table
-// of its own, and each zone has an owner of its runners that hears the nodes' words and answers them.
+// slowFleet is a simulated fleet of runners that slow down with their neighbours, used by many nodes. Each node has
+// its own table, and each zone has an owner of its runners that receives the nodes' reports and answers them.
 type slowFleet struct {
-	random  *rand.Rand
-	now     time.Time
-	tells   bool
-	runners []*slowRunner
-	byID    map[ident.Incarnation]*slowRunner
-	fronts  []*slowFront
-	// owners are by zone: what each knows of pace, and the online work of each node.
+	random      *rand.Rand
+	now         time.Time
+	reportsPace bool
+	runners     []*slowRunner
+	byID        map[ident.Incarnation]*slowRunner
+	fronts      []*slowFront
+	// owners are by zone. Each has its own view of the paces; the ledger holds the online work of each node.
 	owners []*runnertable.Table
 	ledger demand.Ledger
-	// requests are those that were sent, late those whose first event came after the objective.
+	// requests is the number of requests sent, late the number whose first event missed the objective.
 	requests, late int
 }
 
@@ -34,17 +34,18 @@
 	name  ident.Node
 	zone  int
 	table *runnertable.Table
-	// heard is when each zone's owner last answered, told how many reports it had.
-	heard [slowZones]time.Time
-	told  int64
-	// flights are this node's requests.
+	// lastExchange is when each zone's owner last answered, reports the number of reports sent.
+	lastExchange [slowZones]time.Time
+	reports      int64
+	// flights holds this node's requests in flight.
 	flights map[*slowFlight]bool
 }
 
 type slowRunner struct {
 	runner work.Runner
 	zone   int
-	// pace is what it is now, until when the phase lasts, and busy what its neighbours make of it beside that.
+	// pace is the current pace from its own neighbours, which changes at until. busy is a further factor that lasts
+	// for the whole run.
 	pace, busy float64
 	until      time.Time
 	running    []*slowFlight
@@ -56,30 +57,33 @@
 	front  *slowFront
 	runner *slowRunner
 	sent   time.Time
-	// done is the work done so far, whole what there is of it, both in time at the usual pace.
-	done, whole time.Duration
+	// done is the work done so far, total the work of the whole request, both as time at the typical pace.
+	done, total time.Duration
 	answered    bool
 }
 
 const (
-	slowZones, slowRunnersEach, slowFrontsEach, slowPlaces = 3, 15, 27, 8
-	// slowFirst is the time to the first event at the usual pace, slowGap that between events.
+	slowZones, slowRunnersEach, slowFrontsEach, slowSlots = 3, 15, 27, 8
+	// slowFirst is the time to the first event at the typical pace, slowGap the time between events.
 	slowFirst, slowGap = 56 * time.Millisecond, 35 * time.Millisecond
-	// slowObjective is until when callers need the first event, slowPause the longest pause between events.
+	// slowObjective is the objective for the first event, slowPause the longest allowed pause between events.
 	slowObjective, slowPause = 300 * time.Millisecond, 250 * time.Millisecond
-	// slowWay is the time that a message takes to a runner or an owner and back.
-	slowWay = 2 * time.Millisecond
-	// slowShare of the time each runner is slower by slowTimes by its own neighbours, in phases around slowPhase.
-	slowShare, slowTimes = 0.15, 2.5
-	slowPhase            = 700 * time.Millisecond
+	// slowRoundTrip is the round-trip time to a runner or an owner.
+	slowRoundTrip = 2 * time.Millisecond
+	// slowShare is the fraction of the time for which each runner is slower by slowFactor, in phases of about
+	// slowPhase.
+	slowShare, slowFactor = 0.15, 2.5
+	slowPhase             = 700 * time.Millisecond
 )
 
-func newSlowFleet(seed uint64, tells bool) *slowFleet {
-	f := &slowFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), tells: tells, byID: map[ident.Incarnation]*slowRunner{}}
+func newSlowFleet(seed uint64, reportsPace bool) *slowFleet {
+	f := &slowFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), reportsPace: reportsPace,
+		byID: map[ident.Incarnation]*slowRunner{}}
 	var listed []work.Runner
 	for index := range slowZones * slowRunnersEach {
 		zone := index % slowZones
-		runner := work.Runner{ID: ident.Incarnation(fmt.Sprint("i-", index)), Service: "s", Address: fmt.Sprint("10.0.0.1:", index+1), Zone: zoneName(zone), Slots: slowPlaces}
+		runner := work.Runner{ID: ident.Incarnation(fmt.Sprint("i-", index)), Service: "s",
+			Address: fmt.Sprint("10.0.0.1:", index+1), Zone: zoneName(zone), Slots: slowSlots}
 		listed = append(listed, runner)
 		added := &slowRunner{runner: runner, zone: zone, pace: 1, busy: 1}
 		f.runners = append(f.runners, added)
@@ -89,7 +93,8 @@
 		f.owners = append(f.owners, f.table(zone, listed))
 		for index := range slowFrontsEach {
 			f.fronts = append(f.fronts, &slowFront{
-				name: ident.Node(fmt.Sprint("f-", zone, "-", index)), zone: zone, table: f.table(zone, listed), flights: map[*slowFlight]bool{},
+				name: ident.Node(fmt.Sprint("f-", zone, "-", index)), zone: zone, table: f.table(zone,
+					listed), flights: map[*slowFlight]bool{},
 			})
 		}
 	}
@@ -104,15 +109,16 @@
 	return table
 }
 
-// turn begins and ends the slow phases. Their lengths are drawn, so that most are short and a few last for some seconds.
-func (f *slowFleet) turn() {
+// updatePhases starts and ends slow phases. Their lengths are exponentially distributed, so that most are short and a
+// few last for seconds.
+func (f *slowFleet) updatePhases() {
 	for _, runner := range f.runners {
 		if f.now.Before(runner.until) {
 			continue
 		}
 		mean := float64(slowPhase)
 		if runner.pace == 1 && !runner.until.IsZero() {
-			runner.pace = slowTimes
+			runner.pace = slowFactor
 		} else {
 			runner.pace = 1
 			mean *= (1 - slowShare) / slowShare
@@ -122,10 +128,10 @@
 	}
 }
 
-// exchange has a node tell an owner of its work and of the paces that it heard, and take over the answer.
+// exchange sends a node's online work and the paces it received to an owner, and applies the answer.
 func (f *slowFleet) exchange(front *slowFront, zone int) {
-	front.told++
-	report := &demand.Report{Node: front.name, Sequence: front.told}
+	front.reports++
+	report := &demand.Report{Node: front.name, Sequence: front.reports}
 	for _, count := range front.table.Online(f.now) {
 		if count.Pace.Known() {
 			count.PaceAgeMs = f.now.Sub(count.Heard).Milliseconds()
@@ -145,10 +151,10 @@
 		shares = append(shares, share)
 	}
 	front.table.TakeShares(shares, f.now)
-	front.heard[zone] = f.now
+	front.lastExchange[zone] = f.now
 }
 
-// send has a node choose a runner, and ask first as online.Forwarder does.
+// send chooses a runner for a request, polling the owners first as online.Forwarder does.
 func (f *slowFleet) send(t *testing.T, front *slowFront) {
 	wish := runnertable.Wish{
 		Service: "s", PromptTokens: 250, Bytes: 1500, Objective: slowObjective, Pause: slowPause, Full: map[ident.Incarnation]bool{},
@@ -157,14 +163,14 @@
 	seed := f.random.Uint64()
 	if front.table.TellsPace("s", f.now) {
 		for range 2 {
-			asked := false
+			polled := false
 			for _, best := range front.table.Would(wish, 3, f.now, rand.New(rand.NewPCG(seed, 0))) {
-				if zone := f.byID[best.ID].zone; f.now.Sub(front.heard[zone]) >= 20*time.Millisecond {
+				if zone := f.byID[best.ID].zone; f.now.Sub(front.lastExchange[zone]) >= 20*time.Millisecond {
 					f.exchange(front, zone)
-					asked = true
+					polled = true
 				}
 			}
-			if !asked {
+			if !polled {
 				break
 			}
 		}
@@ -173,22 +179,23 @@
 	f.requests++
 	flight, err := front.table.Pick(wish, f.now, rand.New(rand.NewPCG(seed, 0)))
 	if err != nil {
-		// It would wait for a place, and come too late in most cases.
+		// The request would wait for a slot, and be late in most cases.
 		f.late++
 		return
 	}
-	sent := &slowFlight{flight: flight, front: front, runner: f.byID[flight.Runner.ID], sent: f.now, whole: slowFirst + slowGap*time.Duration(8+f.random.IntN(24))}
+	sent := &slowFlight{flight: flight, front: front, runner: f.byID[flight.Runner.ID], sent: f.now,
+		total: slowFirst + slowGap*time.Duration(8+f.random.IntN(24))}
 	assert.Assert(t, sent.runner != nil)
 	front.flights[sent] = true
 	sent.runner.queued = append(sent.runner.queued, sent)
 	f.exchange(front, sent.runner.zone)
 }
 
-// work goes on with what the runners run, for a time.
-func (f *slowFleet) work(step time.Duration) {
+// advance executes the work of all runners for a step.
+func (f *slowFleet) advance(step time.Duration) {
 	for _, runner := range f.runners {
 		at := runner.pace * runner.busy
-		for len(runner.queued) > 0 && len(runner.running) < slowPlaces {
+		for len(runner.queued) > 0 && len(runner.running) < slowSlots {
 			runner.running = append(runner.running, runner.queued[0])
 			runner.queued = runner.queued[1:]
 		}
@@ -198,7 +205,7 @@
 			if !flight.answered && flight.done >= slowFirst {
 				f.answer(flight, at)
 			}
-			if flight.done < flight.whole {
+			if flight.done < flight.total {
 				still = append(still, flight)
 				continue
 			}
@@ -210,27 +217,27 @@
 	}
 }
 
-// answer has the first event of a request reach its node, with the head.
+// answer delivers the head and the first event of a response to the node.
 func (f *slowFleet) answer(flight *slowFlight, at float64) {
 	flight.answered = true
-	load := &work.Load{Running: len(flight.runner.running), Waiting: len(flight.runner.queued), Slots: slowPlaces}
-	if f.tells {
+	load := &work.Load{Running: len(flight.runner.running), Waiting: len(flight.runner.queued), Slots: slowSlots}
+	if f.reportsPace {
 		load.Pace = work.Pace(at)
 	}
 	flight.flight.Answered(load, f.now)
 	flight.flight.Began(f.now)
-	if f.now.Sub(flight.sent)+slowWay > slowObjective {
+	if f.now.Sub(flight.sent)+slowRoundTrip > slowObjective {
 		f.late++
 	}
 }
 
-// play sends requests at a rate to random nodes for a time.
-func (f *slowFleet) play(t *testing.T, rate float64, lasts time.Duration) {
+// run sends requests at a rate to random nodes for a time.
+func (f *slowFleet) run(t *testing.T, rate float64, lasts time.Duration) {
 	const step = time.Millisecond
 	next := f.now
 	for end := f.now.Add(lasts); f.now.Before(end); f.now = f.now.Add(step) {
-		f.turn()
-		f.work(step)
+		f.updatePhases()
+		f.advance(step)
 		for index, front := range f.fronts {
 			if (f.now.UnixMilli()+int64(index))%demand.RefreshEvery.Milliseconds() == 0 && len(front.flights) > 0 {
 				f.exchange(front, front.zone)
@@ -243,22 +250,23 @@
 	}
 }
 
-// TestSlowPhasesOfAFewRunnersMakeFewRequestsLate has each of 45 runners be 2.5 times slower for .7 s now and then, before 81 nodes that
-// each hear a runner once in some ten seconds, with nine tenths of what the places bear. All requests could be on time: what
-// callers are to have for 95 in 100 is held for 99, so that what else may happen has room.
+// TestSlowPhasesOfAFewRunnersMakeFewRequestsLate simulates 45 runners, each of which is 2.5 times slower for about 0.7
+// s now and then, and 81 nodes that each get a response from a given runner only about every 10 s, at nine tenths of
+// the capacity. All requests could be on time. The objective allows 5 in 100 to be late; the test allows 1 in 100, to
+// leave a margin for other causes.
 func TestSlowPhasesOfAFewRunnersMakeFewRequestsLate(t *testing.T) {
 	requests, late := 0, 0
 	for seed := range uint64(3) {
 		f := newSlowFleet(seed, true)
-		f.play(t, 400, 6*time.Second)
+		f.run(t, 400, 6*time.Second)
 		requests, late = requests+f.requests, late+f.late
 	}
 	t.Logf("%d of %d requests late", late, requests)
 	assert.Assert(t, late*100 <= requests, "%d of %d requests late", late, requests)
 }
 
-// TestSlowThirdOfTheRunnersIsSparedWhileOthersHavePlaces has a third of the runners be three times slower than they are otherwise, for
-// longer than any phase, with nine tenths of what the places bear then. Callers are to have 95 in 100 in time.
+// TestSlowThirdOfTheRunnersIsSparedWhileOthersHavePlaces makes a third of the runners three times slower for longer
+// than any slow phase, at nine tenths of the remaining capacity. The objective is that 95 in 100 requests are on time.
 func TestSlowThirdOfTheRunnersIsSparedWhileOthersHavePlaces(t *testing.T) {
 	requests, late := 0, 0
 	for seed := range uint64(3) {
@@ -268,7 +276,7 @@
 				runner.busy = 3
 			}
 		}
-		f.play(t, 320, 6*time.Second)
+		f.run(t, 320, 6*time.Second)
 		requests, late = requests+f.requests, late+f.late
 	}
 	t.Logf("%d of %d requests late", late, requests)
--- a/internal/runnertable/peak_test.go
+++ b/internal/runnertable/peak_test.go
@@ -14,23 +14,23 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// peak is a square peak before a zone of many nodes and small runners, in simulated time: each node chooses by a table of its own and
-// hears of the others' requests a while after they were sent.
+// peak simulates a square peak of requests to a zone of many nodes and small runners. Each node has its own table and
+// is informed of the others' requests with a delay.
 type peak struct {
 	random  *rand.Rand
 	now     time.Time
 	tables  []*runnertable.Table
 	runners []*peakRunner
-	// flights are this node's requests, by node.
+	// flights holds the requests in flight, by node.
 	flights [][]*peakFlight
-	// waits are the times that requests waited at their runner for a place.
+	// waits holds the time that each request waited at its runner for a slot.
 	waits []time.Duration
-	// words are on their way to nodes.
-	words []peakWord
+	// messages are on their way to nodes.
+	messages []peakMessage
 }
 
-// peakWord is what a node is told of the runners.
-type peakWord struct {
+// peakMessage is a report about the runners that is sent to a node.
+type peakMessage struct {
 	node   int
 	shares []demand.Share
 	asOf   time.Time
@@ -38,7 +38,7 @@
 
 type peakRunner struct {
 	runner work.Runner
-	// running end in this order; queued begin in this order.
+	// running is in the order of completion, queued in the order of arrival.
 	running, queued []*peakFlight
 }
 
@@ -51,22 +51,24 @@
 }
 
 const (
-	peakNodes, peakRunners, peakPlaces = 17, 24, 6
-	// peakRun is how long a request runs, peakRate how many come a second, for peakLasts: three quarters of what the places bear.
+	peakNodes, peakRunners, peakSlots = 17, 24, 6
+	// peakRun is the duration of a request, peakRate the number of requests per second, and peakLasts the length of
+	// the peak. The load is three quarters of the capacity.
 	peakRun   = 540 * time.Millisecond
 	peakRate  = 200.0
 	peakLasts = 2400 * time.Millisecond
-	// peakHeard is the time between two words of the owners to a node, peakOld how old each is when it comes.
-	peakHeard, peakOld = 50 * time.Millisecond, 40 * time.Millisecond
-	// peakPatience is how long a request may wait at its runner and still be answered within an objective of 300 ms.
-	peakPatience = 240 * time.Millisecond
+	// peakReportEvery is the interval of the owners' reports to a node, peakReportDelay the age of each on arrival.
+	peakReportEvery, peakReportDelay = 50 * time.Millisecond, 40 * time.Millisecond
+	// peakMaxWait is how long a request may wait at its runner and still meet an objective of 300 ms.
+	peakMaxWait = 240 * time.Millisecond
 )
 
 func newPeak(seed uint64) *peak {
 	p := &peak{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), flights: make([][]*peakFlight, peakNodes)}
 	var listed []work.Runner
 	for index := range peakRunners {
-		runner := work.Runner{ID: ident.Incarnation(fmt.Sprint("i-", index)), Service: "s", Address: fmt.Sprint("10.0.0.1:", index+1), Zone: "z", Slots: peakPlaces}
+		runner := work.Runner{ID: ident.Incarnation(fmt.Sprint("i-", index)), Service: "s",
+			Address: fmt.Sprint("10.0.0.1:", index+1), Zone: "z", Slots: peakSlots}
 		listed = append(listed, runner)
 		p.runners = append(p.runners, &peakRunner{runner: runner})
 	}
@@ -78,7 +80,7 @@
 	return p
 }
 
-// at returns the runner that a flight went to.
+// at returns the runner with an id.
 func (p *peak) at(id ident.Incarnation) *peakRunner {
 	for _, candidate := range p.runners {
 		if candidate.runner.ID == id {
@@ -88,9 +90,10 @@
 	return nil
 }
 
-// send has a node choose a runner for a request.
+// send chooses a runner for a request of a node.
 func (p *peak) send(t *testing.T, node int) {
-	parts := []work.Part{{ID: fmt.Sprint("system-", p.random.IntN(16)), Tokens: 100}, {ID: fmt.Sprint("own-", p.random.Uint64()), Tokens: 350}}
+	parts := []work.Part{{ID: fmt.Sprint("system-", p.random.IntN(16)), Tokens: 100},
+		{ID: fmt.Sprint("own-", p.random.Uint64()), Tokens: 350}}
 	wish := runnertable.Wish{Service: "s", Prefix: parts, PromptTokens: 450, Bytes: 1500, Full: map[ident.Incarnation]bool{}}
 	flight, err := p.tables[node].Pick(wish, p.now, p.random)
 	assert.NilError(t, err)
@@ -101,9 +104,9 @@
 	p.fill(runner)
 }
 
-// fill begins what is queued at a runner where places are free.
+// fill starts queued requests of a runner while it has free slots.
 func (p *peak) fill(runner *peakRunner) {
-	for len(runner.queued) > 0 && len(runner.running) < peakPlaces {
+	for len(runner.queued) > 0 && len(runner.running) < peakSlots {
 		next := runner.queued[0]
 		runner.queued = runner.queued[1:]
 		next.ends = p.now.Add(peakRun)
@@ -113,8 +116,8 @@
 	}
 }
 
-// end ends what has run.
-func (p *peak) end() {
+// finish completes the requests whose time is over.
+func (p *peak) finish() {
 	for _, runner := range p.runners {
 		for len(runner.running) > 0 && !runner.running[0].ends.After(p.now) {
 			runner.running[0].finished = true
@@ -125,8 +128,8 @@
 	}
 }
 
-// tell has a node told of the others' requests as they are now.
-func (p *peak) tell(node int) {
+// report sends a node the current number of the others' requests.
+func (p *peak) report(node int) {
 	var shares []demand.Share
 	for _, runner := range p.runners {
 		others := 0
@@ -139,19 +142,20 @@
 		}
 		shares = append(shares, demand.Share{Runner: runner.runner.ID, Others: others})
 	}
-	p.words = append(p.words, peakWord{node: node, shares: shares, asOf: p.now})
+	p.messages = append(p.messages, peakMessage{node: node, shares: shares, asOf: p.now})
 }
 
-// deliver has the nodes hear what was told to them a while ago.
+// deliver applies the messages that are due.
 func (p *peak) deliver() {
-	for len(p.words) > 0 && !p.words[0].asOf.Add(peakOld).After(p.now) {
-		p.tables[p.words[0].node].TakeShares(p.words[0].shares, p.words[0].asOf)
-		p.words = p.words[1:]
+	for len(p.messages) > 0 && !p.messages[0].asOf.Add(peakReportDelay).After(p.now) {
+		p.tables[p.messages[0].node].TakeShares(p.messages[0].shares, p.messages[0].asOf)
+		p.messages = p.messages[1:]
 	}
 }
 
-// TestPeakBeforeManyNodesFindsTheFreePlaces has square peaks of three quarters of all places. Nodes that all take the emptiest runner
-// that they know of meet there, and requests wait while places are free elsewhere.
+// TestPeakBeforeManyNodesFindsTheFreePlaces simulates square peaks at three quarters of the capacity. If all nodes
+// chose the emptiest runner they know of, they would choose the same one, and requests would wait there while slots
+// are free elsewhere.
 func TestPeakBeforeManyNodesFindsTheFreePlaces(t *testing.T) {
 	requests, late := 0, 0
 	for seed := range uint64(10) {
@@ -159,11 +163,11 @@
 		const step = time.Millisecond
 		next := p.now
 		for end := p.now.Add(peakLasts); p.now.Before(end); p.now = p.now.Add(step) {
-			p.end()
+			p.finish()
 			p.deliver()
 			for node := range p.tables {
-				if (p.now.UnixMilli()+int64(node)*3)%peakHeard.Milliseconds() == 0 {
-					p.tell(node)
+				if (p.now.UnixMilli()+int64(node)*3)%peakReportEvery.Milliseconds() == 0 {
+					p.report(node)
 				}
 			}
 			for !next.After(p.now) {
@@ -173,12 +177,13 @@
 		}
 		requests += len(p.waits)
 		for _, wait := range p.waits {
-			if wait > peakPatience {
+			if wait > peakMaxWait {
 				late++
 			}
 		}
 	}
-	t.Logf("%d of %d requests waited longer than %v for a place", late, requests, peakPatience)
-	// The aim is that 95 in 100 are in time.
-	assert.Assert(t, late*100 <= 5*requests, "%d of %d requests waited longer than %v while a quarter of the places was free", late, requests, peakPatience)
+	t.Logf("%d of %d requests waited longer than %v for a slot", late, requests, peakMaxWait)
+	// The objective is that 95 in 100 requests are on time.
+	assert.Assert(t, late*100 <= 5*requests, "%d of %d requests waited longer than %v while a quarter of the slots were free",
+		late, requests, peakMaxWait)
 }
--- a/internal/runnertable/pick.go
+++ b/internal/runnertable/pick.go
@@ -10,110 +10,114 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// ErrNoRunner means that no runner of the service may take the request now.
+// ErrNoRunner means that no runner of the service is eligible for the request.
 const ErrNoRunner = failure.Kind("runner table: no runner may take the request")
 
-// ErrFull means that runners may take the request, and that online work takes the places, or the memory, of all of them.
-const ErrFull = failure.Kind("runner table: the places of all runners are taken")
+// ErrFull means that runners are eligible for the request, but online work takes the slots or the memory of all of
+// them.
+const ErrFull = failure.Kind("runner table: online work takes the slots or the memory of all runners")
 
-// queueShare of its places is how much online work may wait at a runner: enough that a place which comes free is not idle
-// until nodes hear of it, and so little that a request can still be told that it will be late.
+// queueShare is the part of a runner's slots that may be queued at it in addition. The queue keeps a freed slot busy
+// until nodes are informed of it, and is short enough that a request can still be refused early if it would be late.
 const queueShare = 0.25
 
-// Costs are in milliseconds of expected delay to the first event, so that unlike things can be added.
+// All costs are milliseconds of expected delay to the first event, so that they can be added.
 const (
-	// loadCost is the delay of a runner whose places are all taken, beside one that is idle: a step takes hardly longer with more
-	// requests, as long as each has a place.
+	// loadCost is the delay at a runner whose slots are all taken, compared with an idle one. A step takes hardly
+	// longer with more requests as long as each has a slot.
 	loadCost = 2.0
-	// queueCost is the delay for each request beyond the places.
+	// queueCost is the delay for each request beyond the slots.
 	queueCost = 60.0
-	// yieldCost is the delay where an item has to step aside first. It is less than farCost: a run that is cut goes on
-	// elsewhere, and the news of another zone are older.
-	yieldCost = 20.0
-	// tokensPerMillisecond is how fast a prompt is read.
+	// preemptCost is the delay if a batch item has to be preempted first. It is less than crossZoneCost: a preempted
+	// run is resumed elsewhere, and the information about other zones is older.
+	preemptCost = 20.0
+	// tokensPerMillisecond is the rate at which a prompt is read.
 	tokensPerMillisecond = 50.0
-	// farCost and farCostPerKilobyte stand for the price of bytes between zones.
-	farCost            = 25.0
-	farCostPerKilobyte = 4.0
-	// silenceCost is added for a runner that has left a request without a first byte for longer than silenceSuspect.
-	silenceCost    = 250.0
-	silenceSuspect = 450 * time.Millisecond
-	// warmUpCost is added while a runner is in its slow start.
+	// crossZoneCost and crossZoneCostPerKilobyte stand for the price of traffic between zones.
+	crossZoneCost            = 25.0
+	crossZoneCostPerKilobyte = 4.0
+	// unresponsiveCost is added for a runner that has not sent the first byte of a response for longer than
+	// unresponsiveAfter, and for runners in zones that are suspected or unreachable.
+	unresponsiveCost  = 250.0
+	unresponsiveAfter = 450 * time.Millisecond
+	// warmUpCost is added while a runner is in slow start.
 	warmUpCost = 80.0
-	// jitterCost spreads the choices of nodes that decide at once, over all runners with a free place. None of them sees what the
-	// others chose in the last moment: were the emptiest the first choice of all, it would be the fullest until they hear of it.
-	// It is less than a queue.
+	// jitterCost is the maximum random cost. It spreads the choices that nodes make at the same time over all runners
+	// with a free slot: none of them knows the latest choices of the others, and if all chose the emptiest runner, it
+	// would be the fullest before they are informed. It is less than queueCost.
 	jitterCost = 45.0
-	// fullCost is added for a runner that refused a request a moment ago.
+	// fullCost is added for a runner that refused a request within refusalBackoff.
 	fullCost = 400.0
-	// failureCost is added to a runner whose last outcomes were all failures, and in proportion.
+	// failureCost is added in proportion to the failure rate of a runner, in full if all recent outcomes were
+	// failures.
 	failureCost = 500.0
-	// loadMemory is how long a runner's own count of others' work is believed.
-	loadMemory = 1500 * time.Millisecond
+	// loadLifetime is how long a runner's own count of the work of others is used.
+	loadLifetime = 1500 * time.Millisecond
 )
 
-// Wish is what a choice depends on.
+// Wish describes the request for which a runner is chosen.
 type Wish struct {
 	Service string
 	Class   Class
 	Prefix  []work.Part
-	// PromptTokens is the whole prompt.
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// Tokens are the prompt and the most that may be made, summed; zero where they are not told.
+	// Tokens is the sum of the prompt and the maximum output; zero if unknown.
 	Tokens int
-	// Bytes is the size of the request, for the price of sending it to another zone.
+	// Bytes is the size of the request, for the cost of sending it to another zone.
 	Bytes int
-	// Objective is the time to the first event that earns full credit, Pause the longest time between two events that does; zero
-	// names none.
+	// Objective is the time to the first event, and Pause the longest time between two events, that still earn full
+	// credit. Zero means no limit.
 	Objective, Pause time.Duration
-	// Wary says that the owners were asked before the choice, so that one which did not answer in time is no place to go to.
+	// Wary says that the owners were polled before the choice. Runners whose owner did not answer in time then cost
+	// more.
 	Wary bool
-	// Exclude holds runners that already had the request.
+	// Exclude holds the runners that the request was already sent to.
 	Exclude map[ident.Incarnation]bool
-	// Full holds runners that refused the request a moment ago, because their places were taken. A nil map has the request
-	// sent also where it must wait at the runner, if that has memory for it.
+	// Full holds the runners that refused the request recently because their slots were taken. If the map is nil, the
+	// request is sent even if it has to queue at the runner, provided the runner has enough free memory.
 	Full map[ident.Incarnation]bool
-	// Scarce says that places are scarce: a runner is not thought to be free because nothing was heard of it.
+	// Scarce says that slots are scarce: a runner with an overdue report is not assumed to be free.
 	Scarce bool
-	// Yields says that the request has no part in the short queue of runners, which is kept for others: it takes a slot that is free
-	// now or none. It counts only with Full.
+	// Yields says that the request must not use the short queue at the runners, which is reserved for others: it is
+	// sent only to a slot that is free now. It applies only if Full is not nil.
 	Yields bool
-	// Vacant is a runner at which another request gave its place back for this one, so that it is full only where the request does not fit its
-	// memory or was refused there; empty is none.
+	// Vacant is a runner at which another request gave up its slot for this one. It counts as full only if the request
+	// does not fit its memory or was refused there. Empty means none.
 	Vacant ident.Incarnation
-	// Late says that the request can't be on time any more. It counts only with Full.
+	// Late says that the request can't meet its objective any more. It applies only if Full is not nil.
 	Late bool
 }
 
-// Pick chooses the runner with the least expected delay and starts a flight on it. The error wraps ErrNoRunner.
+// Pick chooses the runner with the least cost and starts a flight on it. The error wraps ErrFull or ErrNoRunner.
 func (t *Table) Pick(wish Wish, now time.Time, random *rand.Rand) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	choice := t.choose(wish, now, random)
-	best := t.cheapest(wish, choice, now, random)
+	pick := t.newPickContext(wish, now, random)
+	best := t.cheapest(wish, pick, now, random)
 	if best == nil && t.anyFull(wish, now) {
 		return nil, fmt.Errorf("%w: service %s", ErrFull, wish.Service)
 	}
 	if best == nil {
-		best = t.firstBack(wish)
+		best = t.earliestReadmitted(wish)
 	}
 	if best == nil {
 		return nil, fmt.Errorf("%w: service %s", ErrNoRunner, wish.Service)
 	}
-	t.noteChoice(best, wish, now)
-	t.noteLeft(best, wish, choice.goal)
-	return t.start(best, wish, best.uncached(wish, best == choice.home, now), now), nil
+	t.countChoice(best, wish, now)
+	t.countDeparture(best, wish, pick.targetZone)
+	return t.start(best, wish, best.uncached(wish, best == pick.prefixHome, now), now), nil
 }
 
-// cheapest returns the eligible runner with the least cost, or nil.
-func (t *Table) cheapest(wish Wish, choice choice, now time.Time, random *rand.Rand) *entry {
+// cheapest returns the eligible runner with the least cost that is not full, or nil.
+func (t *Table) cheapest(wish Wish, pick pickContext, now time.Time, random *rand.Rand) *entry {
 	var best *entry
 	bestCost := 0.0
 	for _, candidate := range t.services[wish.Service] {
-		if choice.shuns(candidate) || !candidate.eligible(wish, now) || candidate.full(wish, now) {
+		if pick.skips(candidate) || !candidate.eligible(wish, now) || candidate.full(wish, now) {
 			continue
 		}
-		cost := t.cost(candidate, wish, choice, now) + jitterCost*random.Float64()
+		cost := t.cost(candidate, wish, pick, now) + jitterCost*random.Float64()
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
 		}
@@ -121,7 +125,7 @@
 	return best
 }
 
-// anyFull says whether a runner may take the request as soon as it has a place.
+// anyFull says whether a runner is eligible for the request but full.
 func (t *Table) anyFull(wish Wish, now time.Time) bool {
 	for _, candidate := range t.services[wish.Service] {
 		if candidate.eligible(wish, now) && candidate.full(wish, now) {
@@ -131,8 +135,9 @@
 	return false
 }
 
-// full says whether a request that waits for a place elsewhere would have to wait at the runner: online work takes its places,
-// or it has just refused the request. One that waits nowhere else finds only a lack of memory there.
+// full says whether the runner can't take the request now: its memory lacks space, or, for a request that can wait for
+// a slot at the node, it would have to queue at the runner beyond the short queue or was refused there. A request that
+// can't wait at the node (nil Full) is limited by memory only.
 func (e *entry) full(wish Wish, now time.Time) bool {
 	switch {
 	case !e.fits(wish, now):
@@ -146,21 +151,21 @@
 	case e.runner.ID == wish.Vacant:
 		return false
 	}
-	places := float64(max(e.runner.Slots, 1))
-	queue := queueShare / float64(e.pace.Now(now)) * max(places-float64(e.orphans(now)), 0)
+	slots := float64(max(e.runner.Slots, 1))
+	queue := queueShare / float64(e.pace.Current(now)) * max(slots-float64(e.orphans(now)), 0)
 	switch {
 	case !wish.Yields:
-	case !e.seenFree(now):
+	case !e.knownFree(now):
 		return true
 	default:
 		queue = 0
 	}
-	return e.unheardSinceStart(now) || float64(e.firm+1) > places+queue
+	return e.assumedFull(now) || float64(e.committed+1) > slots+queue
 }
 
-// firstBack returns the ejected runner whose ejection ends first: trying it is better than refusing while every runner
-// is ejected, which may be this node's own fault.
-func (t *Table) firstBack(wish Wish) *entry {
+// earliestReadmitted returns the ejected runner whose ejection ends first. If every runner is ejected, the cause may
+// be this node itself, so trying one is better than refusing the request.
+func (t *Table) earliestReadmitted(wish Wish) *entry {
 	var best *entry
 	for _, candidate := range t.services[wish.Service] {
 		if !candidate.allowed(wish) {
@@ -173,7 +178,7 @@
 	return best
 }
 
-// StartAt starts a flight at a runner the caller chose by itself.
+// StartAt starts a flight at a runner that the caller chose.
 func (t *Table) StartAt(id ident.Incarnation, wish Wish, now time.Time) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -184,19 +189,19 @@
 	return t.start(chosen, wish, chosen.uncached(wish, false, now), now), nil
 }
 
-// allowed filters out the runners that must never have the request.
+// allowed excludes the runners that must never get the request.
 func (e *entry) allowed(wish Wish) bool {
 	return e.runner.State == work.Ready && !wish.Exclude[e.runner.ID] && !e.health.replaced
 }
 
-// eligible filters out the ejected runners too, and those of which their owner tells that they are silent.
+// eligible also excludes ejected runners and those whose owner reports them as unresponsive.
 func (e *entry) eligible(wish Wish, now time.Time) bool {
-	silent := e.share.Value().silent && e.share.Within(shareMemory, now)
-	return e.allowed(wish) && !e.health.ejected(now) && !silent
+	unresponsive := e.share.Value().unresponsive && e.share.Within(shareLifetime, now)
+	return e.allowed(wish) && !e.health.ejected(now) && !unresponsive
 }
 
-// home returns the runner of the node's zone at which nodes gather the shared beginning of the prompt, or nil.
-func (t *Table) home(wish Wish, now time.Time) *entry {
+// prefixHome returns the runner of the node's zone to which nodes send prompts with this shared prefix, or nil.
+func (t *Table) prefixHome(wish Wish, now time.Time) *entry {
 	if sharedTokens(wish.Prefix) < smallestSharedTokens {
 		return nil
 	}
@@ -206,34 +211,34 @@
 		if candidate.runner.Zone != t.zone || !candidate.eligible(wish, now) {
 			continue
 		}
-		if rank := homeRank(wish.Prefix, candidate.runner.ID); best == nil || rank > bestRank {
+		if rank := prefixRank(wish.Prefix, candidate.runner.ID); best == nil || rank > bestRank {
 			best, bestRank = candidate, rank
 		}
 	}
 	return best
 }
 
-// cost is the expected delay of the first event, in milliseconds, with the price of the bytes.
-func (t *Table) cost(candidate *entry, wish Wish, choice choice, now time.Time) float64 {
-	places := float64(max(candidate.runner.Slots, 1))
-	load, yielding := float64(candidate.firm+1), float64(candidate.yielding)
-	cost := loadCost * min((load+yielding)/places, 1)
+// cost returns the expected delay of the first event, in milliseconds, plus the price of cross-zone traffic.
+func (t *Table) cost(candidate *entry, wish Wish, pick pickContext, now time.Time) float64 {
+	slots := float64(max(candidate.runner.Slots, 1))
+	load, preemptible := float64(candidate.committed+1), float64(candidate.preemptible)
+	cost := loadCost * min((load+preemptible)/slots, 1)
 	switch {
-	case load > places:
-		cost += queueCost * (load - places)
-	case load+yielding > places:
-		cost += yieldCost
+	case load > slots:
+		cost += queueCost * (load - slots)
+	case load+preemptible > slots:
+		cost += preemptCost
 	}
-	reading := float64(candidate.pendingTokens+candidate.uncached(wish, candidate == choice.home, now)) / tokensPerMillisecond
-	cost += reading + t.slowness(candidate, wish, reading+queueCost*max(load-places, 0), now)
-	cost += t.zoneCost(candidate, wish, choice, now)
-	if wish.Scarce && candidate.overdue(now) {
-		cost += unansweredCost
+	reading := float64(candidate.pendingTokens+candidate.uncached(wish, candidate == pick.prefixHome, now)) / tokensPerMillisecond
+	cost += reading + t.paceCost(candidate, wish, reading+queueCost*max(load-slots, 0), now)
+	cost += t.zoneCost(candidate, wish, pick, now)
+	if wish.Scarce && candidate.shareOverdue(now) {
+		cost += staleShareCost
 	}
-	if candidate.silentFor(now) > silenceSuspect {
-		cost += silenceCost
+	if candidate.unresponsiveFor(now) > unresponsiveAfter {
+		cost += unresponsiveCost
 	}
-	if now.Before(candidate.warmUntil) {
+	if now.Before(candidate.warmUpUntil) {
 		cost += warmUpCost
 	}
 	if candidate.health.full(now) {
@@ -243,34 +248,34 @@
 	return cost
 }
 
-// uncached returns the prompt tokens that the runner would have to read. At the runner where nodes gather a beginning,
-// another node may have sent it, so that half of it is thought to be kept.
-func (e *entry) uncached(wish Wish, isHome bool, now time.Time) int {
-	kept := e.prefixes.kept(wish.Prefix, now)
-	if isHome {
-		kept = max(kept, sharedTokens(wish.Prefix)/2)
+// uncached returns the number of prompt tokens that the runner would have to read. At the prefix home another node may
+// have sent the prefix, so half of it is assumed to be cached.
+func (e *entry) uncached(wish Wish, isPrefixHome bool, now time.Time) int {
+	cached := e.prefixes.cached(wish.Prefix, now)
+	if isPrefixHome {
+		cached = max(cached, sharedTokens(wish.Prefix)/2)
 	}
-	return max(wish.PromptTokens-kept, 0)
+	return max(wish.PromptTokens-cached, 0)
 }
 
-// estimate returns the work thought to be at the runner. yielding are the items among it that step aside for a request,
-// where the owner of the runner's batch places told of them lately; firm is the rest, runs of nodes that are gone among it. Without
-// such word all is firm: this node's work, and what the runner counted beyond it. Either gives way to what is usual in the runner's
-// zone as it gets old.
-func (e *entry) estimate(now time.Time) (firm, yielding int) {
+// estimate returns the work estimated to be at the runner. preemptible is the number of batch items that can be
+// preempted for a request, if the runner's owner reported them recently; committed is the rest, including orphaned
+// runs. Without such a report all work is committed: this node's own, and what the runner counted in addition. Both
+// sources are blended into the typical load of the runner's zone as they age.
+func (e *entry) estimate(now time.Time) (committed, preemptible int) {
 	own := e.own[Online] + e.own[Batch]
-	if e.share.Within(shareMemory, now) {
-		told := e.share.Value()
-		return own + e.faded(told.others, givenWay(e.share.Age(now))) + told.orphans, told.batch
+	if e.share.Within(shareLifetime, now) {
+		reported := e.share.Value()
+		return own + e.blended(reported.others, blendWeight(e.share.Age(now))) + reported.orphans, reported.batch
 	}
-	if !e.load.Within(loadMemory, now) {
-		return own + e.faded(0, 1), 0
+	if !e.load.Within(loadLifetime, now) {
+		return own + e.blended(0, 1), 0
 	}
-	return own + e.faded(e.load.Value().others, float64(e.load.Age(now))/float64(loadMemory)), 0
+	return own + e.blended(e.load.Value().others, float64(e.load.Age(now))/float64(loadLifetime)), 0
 }
 
-// silentFor returns how long the oldest request without a first byte has waited.
-func (e *entry) silentFor(now time.Time) time.Duration {
+// unresponsiveFor returns how long the oldest request without a first byte has waited.
+func (e *entry) unresponsiveFor(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, since := range e.waiting {
 		longest = max(longest, now.Sub(since))
--- a/internal/runnertable/prefix.go
+++ b/internal/runnertable/prefix.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// smallestSharedTokens is the shared beginning from which on the place of a prompt matters: below it, reading it
-	// anew takes less than the spread of everything else.
+	// smallestSharedTokens is the shared prefix length from which prefix affinity is used. Recomputing a shorter
+	// prefix costs less than the variation of the other delays.
 	smallestSharedTokens = 1000
-	// prefixLifetime is how long a part sent to a runner is thought to be kept there.
+	// prefixLifetime is how long a part is assumed to stay in a runner's prefix cache after it was sent.
 	prefixLifetime = 20 * time.Second
-	// maximumParts bounds the parts remembered for one runner.
+	// maximumParts bounds the number of parts recorded for one runner.
 	maximumParts = 64
 )
 
-// prefixHistory remembers the parts this node sent to one runner, and when.
+// prefixHistory records the prompt parts this node sent to one runner, and when.
 type prefixHistory struct {
 	sent map[string]time.Time
 }
 
-// add notes the shared parts of a prompt; the last part is the request's own.
+// add records the shared parts of a prompt. The last part is the request's own and is not recorded.
 func (h *prefixHistory) add(prefix []work.Part, now time.Time) {
 	if sharedTokens(prefix) < smallestSharedTokens {
 		return
@@ -50,8 +50,8 @@
 	delete(h.sent, oldest)
 }
 
-// kept returns the tokens at the beginning of the prompt that the runner is thought to keep.
-func (h *prefixHistory) kept(prefix []work.Part, now time.Time) int {
+// cached returns the number of tokens at the start of the prompt that are assumed to be in the runner's prefix cache.
+func (h *prefixHistory) cached(prefix []work.Part, now time.Time) int {
 	tokens := 0
 	for _, part := range prefix[:max(len(prefix)-1, 0)] {
 		sent, known := h.sent[part.ID]
@@ -63,7 +63,7 @@
 	return tokens
 }
 
-// sharedTokens returns the tokens of all parts but the request's own.
+// sharedTokens returns the number of tokens of all parts except the last, which is the request's own.
 func sharedTokens(prefix []work.Part) int {
 	tokens := 0
 	for _, part := range prefix[:max(len(prefix)-1, 0)] {
@@ -72,9 +72,9 @@
 	return tokens
 }
 
-// homeRank orders runners for a shared beginning the same way at every node (rendezvous hashing), so that nodes which
-// do not talk to each other send it to the same runner.
-func homeRank(prefix []work.Part, runner ident.Incarnation) uint64 {
+// prefixRank ranks runners for a shared prefix by rendezvous hashing, so that all nodes send the prefix to the same
+// runner without communicating.
+func prefixRank(prefix []work.Part, runner ident.Incarnation) uint64 {
 	shared := prefix[len(prefix)-2]
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/runnertable/ration.go
+++ b/internal/runnertable/ration.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// rationMemory is how long a runner counts as rationed after its owner said so: nodes without work there hear from the owner each half
-	// second. An owner that is gone holds up requests for no longer.
-	rationMemory = demand.IdleRefreshEvery + 100*time.Millisecond
-	// grantMemory is how long a grant may be used: a little less than the owner keeps the place.
-	grantMemory = 80 * time.Millisecond
+	// rationingLifetime is how long a runner counts as rationed after its owner's last report. Owners report every
+	// half second to nodes without work at the runner, so an owner that is gone delays requests no longer than this.
+	rationingLifetime = demand.IdleRefreshEvery + 100*time.Millisecond
+	// grantLifetime is how long a grant may be used: slightly less than the owner reserves the slot.
+	grantLifetime = 80 * time.Millisecond
 )
 
-// rationed says whether the owner of the runner gives out its places one by one, because runs of dead nodes leave few.
+// rationed says whether the owner of the runner grants its slots one by one, because orphaned runs leave few free.
 func (e *entry) rationed(now time.Time) bool {
-	return e.share.Value().rationed && e.share.Within(rationMemory, now)
+	return e.share.Value().rationed && e.share.Within(rationingLifetime, now)
 }
 
-// grants says whether a request may begin at a rationed runner. Places that this node's own requests give back are the owner's to grant
-// again.
+// grants says whether a request may be sent to a rationed runner. A slot that one of this node's requests frees is
+// granted again by the owner, not reused by this node.
 func (e *entry) grants(wish Wish, now time.Time) bool {
-	told := e.share.Value()
-	if !e.share.Within(grantMemory, now) || wish.Late && !told.grantedLate {
+	reported := e.share.Value()
+	if !e.share.Within(grantLifetime, now) || wish.Late && !reported.grantedLate {
 		return false
 	}
-	return told.granted > len(e.begun)
+	return reported.granted > len(e.grantUses)
 }
 
-// noteBegun counts an online request that begins at a rationed runner.
-func (e *entry) noteBegun(class Class, now time.Time) {
+// countGrantUse records an online request that is sent to a rationed runner.
+func (e *entry) countGrantUse(class Class, now time.Time) {
 	if class == Online && e.share.Value().rationed {
-		e.begun = append(e.begun, now)
+		e.grantUses = append(e.grantUses, now)
 	}
 }
 
-// forgetBegun forgets the requests that were part of what the owner was told for its word as of a moment.
-func (e *entry) forgetBegun(asOf time.Time) {
-	e.begun = slices.DeleteFunc(e.begun, asOf.After)
+// dropGrantUses drops the requests sent before a report's time, which the owner already took into account in that
+// report.
+func (e *entry) dropGrantUses(asOf time.Time) {
+	e.grantUses = slices.DeleteFunc(e.grantUses, asOf.After)
 }
 
-// Rations says whether the places of a service's runners are rationed.
+// Rations says whether any runner of a service is rationed.
 func (t *Table) Rations(service string, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.ContainsFunc(t.services[service], func(known *entry) bool { return known.rationed(now) })
 }
 
-// Rationed returns the runners whose places are rationed, in no order.
+// Rationed returns the runners whose slots are rationed, in no particular order.
 func (t *Table) Rationed(now time.Time) []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/runnertable/ration_test.go
+++ b/internal/runnertable/ration_test.go
@@ -11,70 +11,70 @@
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 )
 
-// rationedTable has one runner of eight places, of which the owner granted some as of now.
-func rationedTable(now time.Time, told demand.Share) *runnertable.Table {
+// rationedTable returns a table with a rationed runner of eight slots and its owner's report as of now.
+func rationedTable(now time.Time, share demand.Share) *runnertable.Table {
 	table := runnertable.New("z")
-	table.Replace(eightPlaces("a"), now, true)
-	told.Runner, told.Rationed = "a", true
-	table.TakeShares([]demand.Share{told}, now)
+	table.Replace(eightSlotRunners("a"), now, true)
+	share.Runner, share.Rationed = "a", true
+	table.TakeShares([]demand.Share{share}, now)
 	return table
 }
 
-// TestRationedRunnerTakesWhatItsOwnerGranted has seven free places, of which one is granted: one request goes there, and none more
-// where it ends, until the owner grants again.
+// TestRationedRunnerTakesWhatItsOwnerGranted has seven free slots, one of which is granted: one request is sent there,
+// and no further one when it ends, until the owner grants a slot again.
 func TestRationedRunnerTakesWhatItsOwnerGranted(t *testing.T) {
 	now := time.Now()
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
 	assert.Assert(t, table.Rations("s", now) && !table.Rations("other", now))
 	assert.Equal(t, len(table.Rationed(now)), 1)
-	flight, err := table.Pick(waits(), now, anyOrder())
+	flight, err := table.Pick(queueableWish(), now, fixedRand())
 	assert.NilError(t, err)
-	_, err = table.Pick(waits(), now, anyOrder())
+	_, err = table.Pick(queueableWish(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 	flight.End()
-	_, err = table.Pick(waits(), now, anyOrder())
-	assert.ErrorIs(t, err, runnertable.ErrFull, "a place that is given back is the owner's")
+	_, err = table.Pick(queueableWish(), now, fixedRand())
+	assert.ErrorIs(t, err, runnertable.ErrFull, "a slot that was freed is granted by the owner only")
 	now = now.Add(5 * time.Millisecond)
 	table.TakeShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now)
-	_, err = table.Pick(waits(), now, anyOrder())
+	_, err = table.Pick(queueableWish(), now, fixedRand())
 	assert.NilError(t, err)
 }
 
-// TestRequestSinceTheQuestionUsesTheGrantOfItsAnswer has a request begin on a former grant while the question is on its way that tells
-// of it as one that waits.
+// TestRequestSinceTheQuestionUsesTheGrantOfItsAnswer sends a request on an earlier grant after a poll was sent that
+// still counts it as waiting. The request uses up the grant in the answer to that poll.
 func TestRequestSinceTheQuestionUsesTheGrantOfItsAnswer(t *testing.T) {
 	now := time.Now()
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
-	_, err := table.Pick(waits(), now.Add(2*time.Millisecond), anyOrder())
+	_, err := table.Pick(queueableWish(), now.Add(2*time.Millisecond), fixedRand())
 	assert.NilError(t, err)
 	table.TakeShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now.Add(time.Millisecond))
-	_, err = table.Pick(waits(), now.Add(3*time.Millisecond), anyOrder())
+	_, err = table.Pick(queueableWish(), now.Add(3*time.Millisecond), fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 }
 
-// TestGrantsAndRationsEnd names who may begin a request when: nobody on a grant that its owner does not keep any more, any where the owner
-// told nothing for long, one that a runner may have run always, and one that is late only where the grant says so.
+// TestGrantsAndRationsEnd checks which requests may be sent: none on a grant that has expired, any if the owner has
+// not reported for long, always one that may have run already, and a late one only if the grant allows it.
 func TestGrantsAndRationsEnd(t *testing.T) {
 	now := time.Now()
-	late := waits()
+	late := queueableWish()
 	late.Late = true
 	sentAnyway := runnertable.Wish{Service: "s", Class: runnertable.Online}
 	for name, c := range map[string]struct {
-		told  demand.Share
+		share demand.Share
 		wish  runnertable.Wish
 		after time.Duration
 		full  bool
 	}{
-		"granted":                  {told: demand.Share{Granted: 1}, wish: waits(), after: 79 * time.Millisecond},
-		"granted long ago":         {told: demand.Share{Granted: 1}, wish: waits(), after: 80 * time.Millisecond, full: true},
-		"granted nothing":          {wish: waits(), after: 599 * time.Millisecond, full: true},
-		"owner is gone":            {wish: waits(), after: 600 * time.Millisecond},
-		"may have run":             {wish: sentAnyway},
-		"late, for those in time":  {told: demand.Share{Granted: 1}, wish: late, full: true},
-		"late, and nobody in time": {told: demand.Share{Granted: 1, GrantedLate: true}, wish: late},
+		"granted":                     {share: demand.Share{Granted: 1}, wish: queueableWish(), after: 79 * time.Millisecond},
+		"grant expired":               {share: demand.Share{Granted: 1}, wish: queueableWish(), after: 80 * time.Millisecond, full: true},
+		"no grant":                    {wish: queueableWish(), after: 599 * time.Millisecond, full: true},
+		"owner is gone":               {wish: queueableWish(), after: 600 * time.Millisecond},
+		"may have run already":        {wish: sentAnyway},
+		"late, grant is not for late": {share: demand.Share{Granted: 1}, wish: late, full: true},
+		"late, grant is for late":     {share: demand.Share{Granted: 1, GrantedLate: true}, wish: late},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := rationedTable(now, c.told).Pick(c.wish, now.Add(c.after), anyOrder())
+			_, err := rationedTable(now, c.share).Pick(c.wish, now.Add(c.after), fixedRand())
 			if c.full {
 				assert.ErrorIs(t, err, runnertable.ErrFull)
 				return
@@ -84,19 +84,20 @@
 	}
 }
 
-// TestEndAtARationedRunnerIsToldAtOnce has a request end there, and one elsewhere: the first one's place stands idle until its owner hears.
-func TestEndAtARationedRunnerIsToldAtOnce(t *testing.T) {
+// TestEndAtARationedRunnerIsReportedAtOnce ends a request at a rationed runner and at another one: the slot of the
+// rationed one stays idle until its owner is notified.
+func TestEndAtARationedRunnerIsReportedAtOnce(t *testing.T) {
 	now := time.Now()
 	for _, rationed := range []bool{false, true} {
 		table := runnertable.New("z")
-		table.Replace(eightPlaces("a"), now, true)
+		table.Replace(eightSlotRunners("a"), now, true)
 		table.TakeShares([]demand.Share{{Runner: "a", Rationed: rationed, Granted: 1}}, now)
-		flight, err := table.Pick(waits(), now, anyOrder())
+		flight, err := table.Pick(queueableWish(), now, fixedRand())
 		assert.NilError(t, err)
-		var told []bool
-		table.OnOnlineChanged(func(atOnce bool) { told = append(told, atOnce) })
+		var notified []bool
+		table.OnOnlineChanged(func(atOnce bool) { notified = append(notified, atOnce) })
 		flight.End()
-		assert.DeepEqual(t, told, []bool{rationed})
+		assert.DeepEqual(t, notified, []bool{rationed})
 		assert.Equal(t, len(table.Online(now)), 0, "%v", ident.Incarnation("a"))
 	}
 }
--- a/internal/runnertable/scarce_test.go
+++ b/internal/runnertable/scarce_test.go
@@ -12,15 +12,16 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// scarceTable has runners of eight slots, and what their owners told of them: others' work, and how long ago.
-func scarceTable(now time.Time, told map[ident.Incarnation]int, age map[ident.Incarnation]time.Duration) *Table {
+// scarceTable returns a table with runners of eight slots, and the reports of their owners: the others' work, and the
+// age of the report.
+func scarceTable(now time.Time, reported map[ident.Incarnation]int, age map[ident.Incarnation]time.Duration) *Table {
 	table := New("z")
 	var listed []work.Runner
 	for _, id := range []ident.Incarnation{"a", "b"} {
 		listed = append(listed, work.Runner{ID: id, Service: "s", Zone: "z", Slots: 8})
 	}
 	table.Replace(listed, now, true)
-	for id, others := range told {
+	for id, others := range reported {
 		table.TakeShares([]demand.Share{{Runner: id, Others: others}}, now.Add(-age[id]))
 	}
 	return table
@@ -36,8 +37,8 @@
 	return flight.Runner.ID, nil
 }
 
-// TestYieldingRequestTakesAFreeSlotOrNone has runners whose slots are taken, one of them with a slot free, one not heard of lately, and one at which
-// requests wait.
+// TestYieldingRequestTakesAFreeSlotOrNone uses runners without a free slot, a runner with one, a runner without a
+// recent report, and a runner with queued requests.
 func TestYieldingRequestTakesAFreeSlotOrNone(t *testing.T) {
 	now := time.Unix(100, 0)
 	fresh := map[ident.Incarnation]time.Duration{}
@@ -46,25 +47,26 @@
 	_, err := pickScarce(full, yields, now)
 	assert.ErrorIs(t, err, ErrFull)
 	_, err = pickScarce(full, Wish{Scarce: true}, now)
-	assert.NilError(t, err, "the short queue is for those that don't yield")
+	assert.NilError(t, err, "the short queue is for requests that may queue")
 	free := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 7}, fresh)
 	got, err := pickScarce(free, yields, now)
 	assert.NilError(t, err)
 	assert.Equal(t, got, ident.Incarnation("b"))
 	free.Observe("b", work.Load{Running: 8, Waiting: 1, Slots: 8}, now)
 	_, err = pickScarce(free, yields, now)
-	assert.ErrorIs(t, err, ErrFull, "the runner told that requests wait")
-	unheard := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 2}, map[ident.Incarnation]time.Duration{"b": 2 * time.Second})
-	_, err = pickScarce(unheard, yields, now)
-	assert.ErrorIs(t, err, ErrFull, "what is old counts as free")
-	// Where no owner ever told, as where there are none of this build, the node's own count is what there is.
+	assert.ErrorIs(t, err, ErrFull, "the runner reported queued requests")
+	overdue := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 2}, map[ident.Incarnation]time.Duration{"b": 2 * time.Second})
+	_, err = pickScarce(overdue, yields, now)
+	assert.ErrorIs(t, err, ErrFull, "a runner with an old report counts as free")
+	// If no owner has ever reported, for example because all run an older build, only the node's own count is
+	// available.
 	_, err = pickScarce(scarceTable(now, nil, nil), yields, now)
 	assert.NilError(t, err)
 }
 
-// TestRunnerIsNotFreeForNotBeingHeardOf has the owner of one runner silent for longer than its word counts, and the other runner with all slots taken:
-// while places are scarce the request waits behind one other, not behind nobody knows how many.
-func TestRunnerIsNotFreeForNotBeingHeardOf(t *testing.T) {
+// TestRunnerWithOverdueReportIsNotAssumedFree has an overdue report of one runner, and another runner whose slots are all
+// taken: while slots are scarce, the request is sent to the queue of known length.
+func TestRunnerWithOverdueReportIsNotAssumedFree(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 9}, map[ident.Incarnation]time.Duration{"b": 2 * time.Second})
 	got, err := pickScarce(table, Wish{Scarce: true}, now)
@@ -72,5 +74,5 @@
 	assert.Equal(t, got, ident.Incarnation("a"))
 	got, err = pickScarce(table, Wish{}, now)
 	assert.NilError(t, err)
-	assert.Equal(t, got, ident.Incarnation("b"), "otherwise the choice is as before")
+	assert.Equal(t, got, ident.Incarnation("b"), "without scarcity the overdue runner is preferred")
 }
--- a/internal/runnertable/share.go
+++ b/internal/runnertable/share.go
@@ -8,30 +8,33 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// shareMemory is how long the word of a runner's owner is believed: as long as the owner believes this node's.
-const shareMemory = demand.Lifetime
+// shareLifetime is how long a report of a runner's owner is used: as long as the owner uses the reports of this node.
+const shareLifetime = demand.Lifetime
 
-// OnOnlineChanged has a function told whenever this node's online work at a runner rises or falls, and whenever a runner's pace
-// changed as far as this node knew, as of a fall. A fall where places are rationed is told as a rise: at once. It must not block. It is called before the table is used.
-func (t *Table) OnOnlineChanged(told func(rose bool)) { t.onlineChanged = told }
+// OnOnlineChanged registers a function that is called whenever this node's online work at a runner rises or falls
+// (rose is true or false), and with false when a direct report of a runner starts or ends a slow phase. The end of a
+// request at a rationed runner is reported with true, so that it is sent at once. The function must not block.
+// OnOnlineChanged must be called before the table is used.
+func (t *Table) OnOnlineChanged(notify func(rose bool)) { t.onlineChanged = notify }
 
-// noteOnline tells of a change of the online work. The caller holds the mutex.
-func (t *Table) noteOnline(class Class, rose bool) {
+// notifyOnline reports a change of the online work. The caller holds the mutex.
+func (t *Table) notifyOnline(class Class, rose bool) {
 	if class == Online && t.onlineChanged != nil {
 		t.onlineChanged(rose)
 	}
 }
 
-// Online returns the runners at which this node has online work, and how much, those that it passes over after failures, and
-// those whose pace it heard a moment ago.
+// Online returns the counts to report for runners at which this node has online work, which it currently ejects after
+// failures, or which reported their pace to it recently.
 func (t *Table) Online(now time.Time) map[work.Runner]demand.Count {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	online := map[work.Runner]demand.Count{}
 	for id, known := range t.runners {
-		count := demand.Count{Runner: id, Online: known.own[Online], Old: known.sentBefore(now.Add(-demand.OldAfter)), Tokens: known.tokens[Online], Suspect: known.health.ejected(now)}
-		if known.spoken.Pace.Known() && now.Sub(known.spoken.At) < spokenFor {
-			count.Pace, count.Heard = known.spoken.Pace, known.spoken.At
+		count := demand.Count{Runner: id, Online: known.own[Online], Old: known.sentBefore(now.Add(-demand.OldAfter)),
+			Tokens: known.tokens[Online], Suspect: known.health.ejected(now)}
+		if known.directPace.Pace.Known() && now.Sub(known.directPace.At) < directReportLifetime {
+			count.Pace, count.Heard = known.directPace.Pace, known.directPace.At
 		}
 		if count.HasWork() || count.Pace.Known() {
 			online[known.runner] = count
@@ -40,33 +43,33 @@
 	return online
 }
 
-// sentBefore counts the online requests at the runner that were sent before a moment.
+// sentBefore counts the online requests at the runner that were sent before a time.
 func (e *entry) sentBefore(moment time.Time) int {
 	count := 0
 	for _, flight := range e.online {
-		if flight.chosen.Before(moment) {
+		if flight.startedAt.Before(moment) {
 			count++
 		}
 	}
 	return count
 }
 
-// TakeShares takes over what the owner of runners knew of the work at them, as of a moment. An older word than the last one
-// is passed over.
+// TakeShares stores what the owner of the runners reported about the work at them, as of a time. A report older than
+// the last one is ignored.
 func (t *Table) TakeShares(shares []demand.Share, asOf time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, told := range shares {
-		if known := t.runners[told.Runner]; known != nil {
+	for _, reported := range shares {
+		if known := t.runners[reported.Runner]; known != nil {
 			known.share.Renew(share{
-				others: told.Others, batch: told.Batch, orphans: told.Orphans, silent: told.Silent, tokens: max(told.Tokens, 0),
-				rationed: told.Rationed, granted: told.Granted, grantedLate: told.GrantedLate,
+				others: reported.Others, batch: reported.Batch, orphans: reported.Orphans, unresponsive: reported.Silent,
+				tokens: max(reported.Tokens, 0), rationed: reported.Rationed, granted: reported.Granted, grantedLate: reported.GrantedLate,
 			}, asOf)
-			known.forgetBegun(asOf)
-			if told.Memory > 0 {
-				known.memory = told.Memory
+			known.dropGrantUses(asOf)
+			if reported.Memory > 0 {
+				known.memory = reported.Memory
 			}
-			t.hear(known, pace.Told(told.Pace, told.PaceAgeMs, asOf), false, asOf)
+			t.updatePace(known, pace.ReportFromAge(reported.Pace, reported.PaceAgeMs, asOf), false, asOf)
 		}
 	}
 }
--- a/internal/runnertable/table.go
+++ b/internal/runnertable/table.go
@@ -1,6 +1,6 @@
-// Package runnertable holds what a node believes of the runners: the registry's list, its own work in progress, the
-// runners' own counts, and which of them failed lately. It chooses the runner of a request. Times are arguments; the
-// table does no I/O.
+// Package runnertable maintains a node's view of the runners: the registry's list, the node's own requests in flight,
+// the load that runners and their owners report, the pace and the recent failures of each runner, and the reachability
+// of other zones. It chooses the runner for a request from this view. Times are arguments; the table does no I/O.
 package runnertable
 
 import (
@@ -15,128 +15,133 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Class orders work on a runner.
+// Class is the class of work at a runner.
 type Class uint8
 
 const (
-	// Online work has a caller that waits.
+	// Online is work for a caller that waits for the response.
 	Online Class = iota
-	// Batch work is an item of a job.
+	// Batch is an item of a job.
 	Batch
 	classes
 )
 
-// Table is safe for concurrent use.
+// Table is a node's view of all runners. It is safe for concurrent use.
 type Table struct {
 	zone    ident.Zone
 	mutex   sync.Mutex
 	runners map[ident.Incarnation]*entry
-	// latest is the latest incarnation of each name that was ever listed while the name is listed. It never goes back.
+	// latest is the latest incarnation ever listed under each name that is still listed. It never goes back to an
+	// earlier one.
 	latest map[ident.Runner]ident.Incarnation
-	// services holds the entries of each service in a fixed order.
+	// services holds the entries of each service, ordered by runner id.
 	services map[string][]*entry
-	// onlineChanged is told when this node's online work at a runner rose or fell, and when a runner's pace changed as far as this
-	// node knew; nil is told nothing. It must not block.
+	// onlineChanged is called when this node's online work at a runner changes or a direct report starts or ends a
+	// slow phase of a runner; see OnOnlineChanged. It may be nil.
 	onlineChanged func(rose bool)
-	// usual is what the services' requests take at the usual pace.
-	usual map[string]*usual
-	// slowPhases counts for the log.
+	// timings holds the typical times of requests, by service.
+	timings map[string]*serviceTimings
+	// slowPhases holds the counters for the log.
 	slowPhases SlowPhases
 	zones      zones
-	// unheardFor is how long the runners of the next list count as full unless they were heard of.
-	unheardFor time.Duration
+	// assumeFullFor is how long runners of the next list count as full until there is information about them.
+	assumeFullFor time.Duration
 }
 
 // New returns an empty table for a node of the zone.
 func New(zone ident.Zone) *Table {
 	return &Table{
 		zone: zone, runners: map[ident.Incarnation]*entry{}, latest: map[ident.Runner]ident.Incarnation{},
-		services: map[string][]*entry{}, usual: map[string]*usual{},
+		services: map[string][]*entry{}, timings: map[string]*serviceTimings{},
 	}
 }
 
-// entry is what the table believes of one runner. The table's mutex guards it.
+// entry is the view of one runner. The table's mutex guards it.
 type entry struct {
 	runner work.Runner
-	// zoneAt is the place of its zone among the names of all.
-	zoneAt int
-	// warmUntil is when the runner ends its slow start.
-	warmUntil time.Time
-	// own counts this node's work in progress, by class.
+	// zoneIndex is the index of its zone in zones.names.
+	zoneIndex int
+	// warmUpUntil is when the slow start of the runner ends.
+	warmUpUntil time.Time
+	// own counts this node's requests in flight, by class.
 	own [classes]int
-	// tokens are what the work in progress takes of the runner's memory, by class: prompts, but for parts that are kept, and the most
-	// that may be made.
+	// tokens is the runner memory used by this node's requests in flight, by class: prompts without the cached parts,
+	// plus the maximum output.
 	tokens [classes]int
-	// memory is how many tokens the runner can hold; zero where it is not known.
+	// memory is how many tokens the runner can hold; zero if unknown.
 	memory int
-	// online are the flights of online work, the oldest first.
+	// online holds the flights of online work, oldest first.
 	online []*Flight
-	// waiting holds the flights without a first byte.
+	// waiting holds the flights without a first byte and when each started.
 	waiting map[*Flight]time.Time
-	// pendingTokens are the prompt tokens of flights without a first event that the runner is not thought to keep.
+	// pendingTokens is the number of uncached prompt tokens of the flights without a first byte.
 	pendingTokens int
-	// load is the runner's own count, as of its answer's head; share what the owner of its batch places told, as of the
-	// question.
+	// load is the runner's own count, as of the head of its response. share is what the owner of its batch slots
+	// reported, as of the time of the poll.
 	load  asof.Fact[loadReport]
 	share asof.Fact[share]
-	// usualOthers is the online work of other nodes that a runner of this size has in its zone, as of the last choice; zero where none
-	// is known.
-	usualOthers float64
-	// firm and yielding are the estimate of the choice in progress, or of the last one.
-	firm, yielding int
-	// begun is when this node began online requests since the owner's word, where the runner's places are rationed.
-	begun  []time.Time
-	health health
-	// pace is how long work takes at the runner now, spoken the newest word of it that the runner told this node itself.
-	pace     pace.Belief
-	spoken   pace.Word
-	prefixes prefixHistory
-	// unheardUntil is until when the runner counts as full unless it was heard of; zero where it does not.
-	unheardUntil time.Time
-	// missingSince is when a list first lacked the runner and the table kept it; zero while it is listed.
+	// typicalOthers is the online work of other nodes that a runner of this size typically has in its zone, as of the
+	// last choice; zero if unknown.
+	typicalOthers float64
+	// committed and preemptible are the estimate made for the current choice, or for the last one.
+	committed, preemptible int
+	// grantUses holds the times of this node's online requests since the owner's report, if the runner's slots are
+	// rationed.
+	grantUses []time.Time
+	health    health
+	// pace is the current estimate of the runner's pace. directPace is the latest pace that the runner reported to
+	// this node directly.
+	pace       pace.Estimate
+	directPace pace.Report
+	prefixes   prefixHistory
+	// assumeFullUntil is when the runner stops counting as full for lack of information; zero if it does not count as
+	// full.
+	assumeFullUntil time.Time
+	// missingSince is when a list first lacked the runner and the table retained it; zero while it is listed.
 	missingSince time.Time
-	// overwritten is when a list first showed an earlier incarnation under the runner's name; zero while its entry is its own.
+	// overwritten is when a list first showed an earlier incarnation under the runner's name; zero while its latest
+	// incarnation is listed.
 	overwritten time.Time
 }
 
-// share is what the owner of the runner's batch places knows of the work there.
+// share is what the owner of the runner's batch slots reported about the work there.
 type share struct {
-	// others is the online work of other nodes, batch the owner's items, orphans the runs of nodes that are gone.
+	// others is the online work of other nodes, batch the owner's items, orphans the orphaned runs.
 	others, batch, orphans int
-	// silent says that the runner does not answer its owner either.
-	silent bool
-	// tokens are those of the work of others.
+	// unresponsive says that the runner does not respond to its owner either.
+	unresponsive bool
+	// tokens is the memory used by the work of other nodes.
 	tokens int
-	// rationed says that the owner gives out the places one by one, granted how many this node may take, grantedLate whether also for
-	// requests that are late.
+	// rationed says that the owner grants the slots one by one. granted is how many this node may use, and grantedLate
+	// says whether late requests may use them too.
 	rationed    bool
 	granted     int
 	grantedLate bool
 }
 
-// loadReport is the runner's own count and what it was of.
+// loadReport is the runner's own count of its work.
 type loadReport struct {
-	// others is the work the runner counted beyond this node's.
+	// others is the work the runner counted in addition to this node's.
 	others int
 	// waiting is the number of requests that waited at the runner.
 	waiting int
 }
 
-// Change says what a list changed.
+// Change is the difference that a new list made.
 type Change struct {
-	// Added are the runners that are new, Removed those that left.
+	// Added are the new runners, Removed those that were removed.
 	Added, Removed []ident.Incarnation
-	// Addresses are those of the removed: connections kept to them are of no more use, and may be silent.
+	// Addresses are the addresses of the removed runners. Pooled connections to them are useless, and may be dead.
 	Addresses []string
-	// Kept are the runners that the list lacks and that stay for a while.
+	// Kept are the runners that the list lacks and that the table retains for now.
 	Kept []ident.Incarnation
-	// LongestMissing is the longest time that one of the removed was used although it was not listed.
+	// LongestMissing is the longest time for which a removed runner was retained without being listed.
 	LongestMissing time.Duration
 }
 
-// Replace takes over the registry's list. Runners that it does not name take no more work where their absence is proof that
-// they left. A registry that has just come back may not list the living yet: then ready runners stay, also idle ones. Their
-// own answers show nothing, for those that left serve on for a while.
+// Replace applies the registry's list. Runners that are not listed get no more work if their absence proves that they
+// left. A registry that has just recovered may not list all live runners yet: then ready runners are retained, idle
+// ones too. Responses of a runner are no evidence, because runners that left continue to serve for a while.
 func (t *Table) Replace(listed []work.Runner, now time.Time, absenceIsProof bool) Change {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -148,13 +153,13 @@
 		}
 		known := t.runners[runner.ID]
 		if known == nil {
-			known = &entry{waiting: map[*Flight]time.Time{}, unheardUntil: now.Add(t.unheardFor)}
+			known = &entry{waiting: map[*Flight]time.Time{}, assumeFullUntil: now.Add(t.assumeFullFor)}
 			t.runners[runner.ID] = known
 			change.Added = append(change.Added, runner.ID)
 		}
 		known.runner = runner
 		known.missingSince, known.overwritten = time.Time{}, time.Time{}
-		known.warmUntil = now.Add(runner.WarmUp)
+		known.warmUpUntil = now.Add(runner.WarmUp)
 	}
 	for id, known := range t.runners {
 		present, named := names[id.Name()]
@@ -162,7 +167,7 @@
 			continue
 		}
 		if !named && !absenceIsProof && known.runner.State == work.Ready {
-			known.keepMissing(now)
+			known.markMissing(now)
 			change.Kept = append(change.Kept, id)
 			continue
 		}
@@ -173,17 +178,18 @@
 	}
 	t.index()
 	if len(t.runners) > 0 {
-		t.unheardFor = 0
+		t.assumeFullFor = 0
 	}
 	return change
 }
 
-// overwrittenFor is how long an incarnation is used whose entry shows an earlier one again: an entry that was written late. A
-// living runner writes its own again within a heartbeat, 1.2 s on all deployments so far, and the list is read twice meanwhile.
-const overwrittenFor = 2500 * time.Millisecond
+// overwrittenGrace is how long an incarnation is used after its entry shows an earlier one again, which happens when
+// an entry is written late. A live runner rewrites its own entry within a heartbeat, 1.2 s in all deployments so far,
+// and the list is read twice in that time.
+const overwrittenGrace = 2500 * time.Millisecond
 
-// names returns which incarnation each name of the list is of, or none. Whatever else has a listed name is over, also where
-// absence proves nothing. The caller holds the mutex.
+// names returns the incarnation of each name in the list; it is empty for an entry that counts for none. Any other
+// incarnation of a listed name is over, even if absence proves nothing. The caller holds the mutex.
 func (t *Table) names(listed []work.Runner, now time.Time) map[ident.Runner]ident.Incarnation {
 	names := make(map[ident.Runner]ident.Incarnation, len(listed))
 	for _, runner := range listed {
@@ -197,28 +203,30 @@
 	return names
 }
 
-// incarnation returns which incarnation an entry of the list is of. An entry that cannot be read is of none, nor is one that
-// does not tell its start where the runner of the name did. An entry that goes back to an earlier start was written late: the
-// latest incarnation stays for a moment, and the earlier one never comes back. The caller holds the mutex.
+// incarnation returns the incarnation that an entry of the list stands for. It is empty for an entry that can't be
+// read, and for one without a start time if the runner of that name had one. An entry with an earlier start was
+// written late: the latest incarnation stays for overwrittenGrace, and the earlier one is never used again. The caller
+// holds the mutex.
 func (t *Table) incarnation(listed work.Runner, now time.Time) ident.Incarnation {
 	name := listed.ID.Name()
 	latest := t.latest[name]
-	_, told := listed.ID.Started()
-	_, latestTold := latest.Started()
+	_, hasStart := listed.ID.Started()
+	_, latestHasStart := latest.Started()
 	switch {
-	case listed.State == work.Unreadable, latestTold && !told:
+	case listed.State == work.Unreadable, latestHasStart && !hasStart:
 		return ""
 	case !listed.ID.Precedes(latest):
 		t.latest[name] = listed.ID
 		return listed.ID
 	}
-	if known := t.runners[latest]; known != nil && known.overwrittenWithin(overwrittenFor, now) {
+	if known := t.runners[latest]; known != nil && known.overwrittenWithin(overwrittenGrace, now) {
 		return latest
 	}
 	return ""
 }
 
-// overwrittenWithin notes that the entry shows an earlier incarnation, and says whether that began less than the time ago.
+// overwrittenWithin records that the entry shows an earlier incarnation, and says whether that started less than limit
+// ago.
 func (e *entry) overwrittenWithin(limit time.Duration, now time.Time) bool {
 	if e.overwritten.IsZero() {
 		e.overwritten = now
@@ -226,7 +234,7 @@
 	return now.Sub(e.overwritten) < limit
 }
 
-func (e *entry) keepMissing(now time.Time) {
+func (e *entry) markMissing(now time.Time) {
 	if e.missingSince.IsZero() {
 		e.missingSince = now
 	}
@@ -239,9 +247,9 @@
 	return now.Sub(e.missingSince)
 }
 
-// index rebuilds the lists by service, ordered so that a choice depends on nothing but its inputs.
+// index rebuilds the lists by service, sorted so that a choice depends only on its inputs.
 func (t *Table) index() {
-	t.nameZones()
+	t.indexZones()
 	t.services = make(map[string][]*entry, len(t.services))
 	for _, known := range t.runners {
 		t.services[known.runner.Service] = append(t.services[known.runner.Service], known)
@@ -251,7 +259,7 @@
 	}
 }
 
-// Runner returns the runner with the id, if the table has it.
+// Runner returns the runner with the id, if it is in the table.
 func (t *Table) Runner(id ident.Incarnation) (work.Runner, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -262,7 +270,8 @@
 	return known.runner, true
 }
 
-// Leaving says whether a runner is known to leave, or the list lacks it: its end is no surprise.
+// Leaving says whether a runner is known to leave, or is not listed any more, so that the end of its process is
+// expected.
 func (t *Table) Leaving(id ident.Incarnation) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -283,7 +292,7 @@
 	return found
 }
 
-// All returns every runner the table has, in no order.
+// All returns all runners in the table, in no particular order.
 func (t *Table) All() []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -294,7 +303,7 @@
 	return all
 }
 
-// Count returns how many runners the table has.
+// Count returns the number of runners in the table.
 func (t *Table) Count() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/runnertable/table_test.go
+++ b/internal/runnertable/table_test.go
@@ -38,7 +38,8 @@
 	return flight
 }
 
-// TestLeavingRunnersGetNoWork covers a runner that says that it leaves, one that is gone, and one another service has.
+// TestLeavingRunnersGetNoWork covers a runner that reports that it leaves, one that is gone, and one that belongs to
+// another service.
 func TestLeavingRunnersGetNoWork(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	leaving := runner("1", "a")
@@ -55,8 +56,8 @@
 	assert.ErrorIs(t, err, runnertable.ErrNoRunner)
 }
 
-// TestAbsenceIsProofOnlyWhereItIsSaidToBe keeps the ready runners that a list lacks, used lately or not, and drops those that
-// said that they leave. A later list that is proof drops all.
+// TestAbsenceIsProofOnlyWhereItIsSaidToBe checks that ready runners missing from a list are retained, used recently or
+// not, and leaving ones are removed. A later list whose absences are proof removes all.
 func TestAbsenceIsProofOnlyWhereItIsSaidToBe(t *testing.T) {
 	leaving := runner("3", "a")
 	leaving.State = work.Draining
@@ -77,7 +78,8 @@
 	assert.Equal(t, table.Count(), 1)
 }
 
-// TestUnreachableRunnerIsEjectedAndComesBack ejects for longer each time; one success brings the runner back.
+// TestUnreachableRunnerIsEjectedAndComesBack checks that each ejection is longer than the last, and that one success
+// brings the runner back.
 func TestUnreachableRunnerIsEjectedAndComesBack(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	ejectedFor := func(now time.Time) time.Duration {
@@ -102,7 +104,7 @@
 	assert.Equal(t, ejectedFor(start.Add(30*time.Second)), first)
 }
 
-// TestOneLostAnswerEjectsNobody tells a bad answer from a bad runner.
+// TestOneLostAnswerEjectsNobody checks that a single bad response is not taken for a bad runner.
 func TestOneLostAnswerEjectsNobody(t *testing.T) {
 	table := tableOf(runner("1", "a"))
 	for range 2 {
@@ -114,7 +116,7 @@
 	}
 }
 
-// TestEveryRunnerEjectedIsBetterTriedThanRefused picks the one whose ejection ends first.
+// TestEveryRunnerEjectedIsBetterTriedThanRefused expects the runner whose ejection ends first.
 func TestEveryRunnerEjectedIsBetterTriedThanRefused(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	for index, id := range []ident.Incarnation{"2", "1"} {
@@ -126,7 +128,7 @@
 	assert.Equal(t, pick(t, table, start.Add(time.Millisecond), runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
 }
 
-// TestWorkStaysInTheZoneUntilItIsFull fills the near runner.
+// TestWorkStaysInTheZoneUntilItIsFull fills the runner in the node's own zone.
 func TestWorkStaysInTheZoneUntilItIsFull(t *testing.T) {
 	table := tableOf(runner("far", "b"), runner("near", "a"))
 	near := 0
@@ -136,10 +138,10 @@
 		}
 		near++
 	}
-	assert.Assert(t, near >= 4 && near <= 6, "%d went to the near runner of 4 places", near)
+	assert.Assert(t, near >= 4 && near <= 6, "%d went to the near runner of 4 slots", near)
 }
 
-// TestSharedBeginningsMeetAtOneRunner lets two nodes that never spoke place the same beginning.
+// TestSharedBeginningsMeetAtOneRunner has two nodes that do not communicate send the same prompt prefix.
 func TestSharedBeginningsMeetAtOneRunner(t *testing.T) {
 	runners := []work.Runner{runner("1", "a"), runner("2", "a"), runner("3", "a"), runner("4", "a")}
 	used := map[ident.Incarnation]bool{}
@@ -156,8 +158,8 @@
 	assert.Equal(t, len(used), 4)
 }
 
-// TestRunnerThatFailsFastIsNoBlackHole has one runner answer everything with a failure at once: its place is always free,
-// and still the other one gets nearly all.
+// TestRunnerThatFailsFastIsNoBlackHole has one runner fail every request immediately. It always has free slots, and
+// still the other runner has to get nearly all requests.
 func TestRunnerThatFailsFastIsNoBlackHole(t *testing.T) {
 	table := tableOf(runner("bad", "a"), runner("good", "a"))
 	now := start
@@ -180,30 +182,31 @@
 	assert.Assert(t, table.FailureRate("bad", now.Add(time.Minute)) < 0.01)
 }
 
-// TestRequestsGoWhereLeastMustStepAside has three runners: one is full of the online work of other nodes, one of items that
-// step aside, and one has free places.
-func TestRequestsGoWhereLeastMustStepAside(t *testing.T) {
+// TestRequestsPreferRunnersWithoutPreemption has three runners: one is full of online work of other nodes, one is full
+// of batch items that can be preempted, and one has free slots.
+func TestRequestsPreferRunnersWithoutPreemption(t *testing.T) {
 	table := tableOf(runner("online", "a"), runner("items", "a"), runner("free", "a"))
-	table.TakeShares([]demand.Share{{Runner: "online", Others: 4}, {Runner: "items", Batch: 4}, {Runner: "free", Others: 1, Batch: 1}}, start)
+	table.TakeShares([]demand.Share{{Runner: "online", Others: 4}, {Runner: "items", Batch: 4},
+		{Runner: "free", Others: 1, Batch: 1}}, start)
 	var chosen []ident.Incarnation
 	for range 4 {
 		chosen = append(chosen, pick(t, table, start, runnertable.Wish{}).Runner.ID)
 	}
 	assert.DeepEqual(t, chosen[:2], []ident.Incarnation{"free", "free"})
 	for _, id := range chosen[2:] {
-		assert.Assert(t, id != "online", "a request waits though an item could step aside: %v", chosen)
+		assert.Assert(t, id != "online", "a request waits although an item could be preempted: %v", chosen)
 	}
 	old := start.Add(demand.Lifetime)
 	table.Observe("items", work.Load{Running: 4 + 3, Slots: 4}, old)
 	table.Observe("free", work.Load{Running: 4 + 3, Slots: 4}, old)
-	assert.Equal(t, pick(t, table, old, runnertable.Wish{}).Runner.ID, ident.Incarnation("online"), "an old word is still believed")
+	assert.Equal(t, pick(t, table, old, runnertable.Wish{}).Runner.ID, ident.Incarnation("online"), "an expired report is still used")
 }
 
-// TestOnlineWorkIsToldOf tells of each start and end of a request, and of no item.
-func TestOnlineWorkIsToldOf(t *testing.T) {
+// TestOnlineWorkIsReported expects a notification for each start and end of a request, and none for batch items.
+func TestOnlineWorkIsReported(t *testing.T) {
 	table := tableOf(runner("1", "a"))
-	var told []bool
-	table.OnOnlineChanged(func(rose bool) { told = append(told, rose) })
+	var notified []bool
+	table.OnOnlineChanged(func(rose bool) { notified = append(notified, rose) })
 	item, err := table.StartAt("1", runnertable.Wish{Service: "s", Class: runnertable.Batch}, start)
 	assert.NilError(t, err)
 	flight := pick(t, table, start, runnertable.Wish{})
@@ -211,12 +214,13 @@
 	item.End()
 	flight.End()
 	flight.End()
-	assert.DeepEqual(t, told, []bool{true, false})
+	assert.DeepEqual(t, notified, []bool{true, false})
 	assert.Equal(t, len(table.Online(start)), 0)
 }
 
-// TestSuspectsAreToldOf has a runner not be reached: it is told of though no work is there, for as long as it is passed over.
-func TestSuspectsAreToldOf(t *testing.T) {
+// TestSuspectsAreReported checks that an unreachable runner is reported, although it has no work, for as long as it is
+// ejected.
+func TestSuspectsAreReported(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	flight := pick(t, table, start, runnertable.Wish{})
 	flight.Failed(runnertable.Unreachable, start)
@@ -227,32 +231,34 @@
 	assert.Equal(t, len(table.Online(start.Add(time.Minute))), 0)
 }
 
-// TestSilentRunnerIsPassedOver has the owner of a runner tell that it is silent: no request goes there though this node saw
-// no failure, until the word is old or is taken back. Where all are silent one is tried all the same.
+// TestSilentRunnerIsPassedOver has the owner of a runner report it as unresponsive: no request is sent there, although
+// this node saw no failure, until the report expires or is withdrawn. If all runners are unresponsive, one is tried
+// anyway.
 func TestSilentRunnerIsPassedOver(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	table.TakeShares([]demand.Share{{Runner: "1", Silent: true}, {Runner: "2", Others: 50}}, start)
 	for range 10 {
 		assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
 	}
-	assert.Equal(t, pick(t, table, start.Add(demand.Lifetime), runnertable.Wish{}).Runner.ID, ident.Incarnation("1"), "an old word is still believed")
+	assert.Equal(t, pick(t, table, start.Add(demand.Lifetime), runnertable.Wish{}).Runner.ID, ident.Incarnation("1"),
+		"an expired report is still used")
 	table.TakeShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 50}}, start)
 	assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("1"))
 	table.TakeShares([]demand.Share{{Runner: "1", Silent: true}, {Runner: "2", Silent: true}}, start)
 	pick(t, table, start, runnertable.Wish{})
 }
 
-// TestOlderWordOfAnOwnerIsPassedOver has two answers of the owner of a runner overtake each other.
-func TestOlderWordOfAnOwnerIsPassedOver(t *testing.T) {
+// TestOlderReportOfAnOwnerIsIgnored applies two reports of an owner in reverse order.
+func TestOlderReportOfAnOwnerIsIgnored(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	table.TakeShares([]demand.Share{{Runner: "1", Others: 4}, {Runner: "2"}}, start)
 	table.TakeShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 4}}, start.Add(-time.Millisecond))
 	assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
 }
 
-// TestRunnerIsBackInUseAfterItsTrouble draws failures of a runner beside one that is busy. However many there were, a while
-// after the last one it is chosen again, and one success then clears it.
-func TestRunnerIsBackInUseAfterItsTrouble(t *testing.T) {
+// TestRunnerIsReadmittedAfterFailures draws failures of a runner. However many there were, the runner is eligible
+// again after the longest ejection.
+func TestRunnerIsReadmittedAfterFailures(t *testing.T) {
 	const longestEjection = 3 * time.Second
 	kinds := []runnertable.Failure{runnertable.Unreachable, runnertable.NoAnswer, runnertable.Silent, runnertable.Erred}
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,29 +274,29 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 		}
 		_, err := table.StartAt("1", wish, now.Add(longestEjection))
-		assert.NilError(t, err, "the runner is passed over %v after its trouble", longestEjection)
+		assert.NilError(t, err, "the runner is not eligible %v after its last failure", longestEjection)
 	})
 }
 
-// TestOldWordsOfRunnersAndOwnersAreForgotten states the bound that docs/design/beliefs.md gives for shares and loads: after it
-// only this node's own work counts.
-func TestOldWordsOfRunnersAndOwnersAreForgotten(t *testing.T) {
-	const forgottenAfter = 1500 * time.Millisecond
-	for name, tell := range map[string]func(table *runnertable.Table){
+// TestOldReportsOfRunnersAndOwnersExpire checks the bound that docs/design/beliefs.md gives for shares and loads:
+// after it, only this node's own work counts.
+func TestOldReportsOfRunnersAndOwnersExpire(t *testing.T) {
+	const expiresAfter = 1500 * time.Millisecond
+	for name, report := range map[string]func(table *runnertable.Table){
 		"the owner":  func(table *runnertable.Table) { table.TakeShares([]demand.Share{{Runner: "1", Others: 50}}, start) },
 		"the runner": func(table *runnertable.Table) { table.Observe("1", work.Load{Running: 50, Slots: 4}, start) },
 	} {
 		table := tableOf(runner("1", "a"))
-		tell(table)
+		report(table)
 		wish := runnertable.Wish{Service: "s", Full: map[ident.Incarnation]bool{}}
 		_, err := table.Pick(wish, start.Add(time.Millisecond), random())
 		assert.ErrorIs(t, err, runnertable.ErrFull, name)
-		_, err = table.Pick(wish, start.Add(forgottenAfter), random())
+		_, err = table.Pick(wish, start.Add(expiresAfter), random())
 		assert.NilError(t, err, name)
 	}
 }
 
-func born(name string, started int64) work.Runner {
+func startedRunner(name string, started int64) work.Runner {
 	id, ok := ident.NewIncarnation(ident.Runner(name), time.UnixMilli(started))
 	if !ok {
 		panic(name)
@@ -302,10 +308,10 @@
 	return work.Runner{ID: ident.Incarnation(name), State: work.Unreadable}
 }
 
-// TestRunnerThatStartsAgainUnderItsNameIsAnother has a runner start again behind an outage of the registry: nothing that was
-// remembered of it holds, and the earlier incarnation is over though absence proves nothing.
+// TestRunnerThatStartsAgainUnderItsNameIsAnother restarts a runner during an outage of the registry: nothing recorded
+// about it applies any more, and the earlier incarnation is removed although absence proves nothing.
 func TestRunnerThatStartsAgainUnderItsNameIsAnother(t *testing.T) {
-	before, after := born("1", 1000), born("1", 2000)
+	before, after := startedRunner("1", 1000), startedRunner("1", 2000)
 	table := tableOf(before)
 	flight := pick(t, table, start, runnertable.Wish{})
 	flight.Failed(runnertable.Unreachable, start)
@@ -319,22 +325,22 @@
 	assert.Equal(t, pick(t, table, start.Add(time.Second), runnertable.Wish{}).Runner.ID, after.ID)
 }
 
-// TestUnreadableEntryEndsTheRunnerOfItsName takes the runner from new work at once, also where absence proves nothing, and
-// leaves all others.
+// TestUnreadableEntryEndsTheRunnerOfItsName checks that a runner whose entry can't be read gets no new work, even if
+// absence proves nothing, and that others are not affected.
 func TestUnreadableEntryEndsTheRunnerOfItsName(t *testing.T) {
-	table := tableOf(born("1", 1000), born("2", 1000))
+	table := tableOf(startedRunner("1", 1000), startedRunner("2", 1000))
 	change := table.Replace([]work.Runner{unreadable("1")}, start.Add(time.Second), false)
-	assert.DeepEqual(t, change.Removed, []ident.Incarnation{born("1", 1000).ID})
-	assert.DeepEqual(t, change.Kept, []ident.Incarnation{born("2", 1000).ID})
+	assert.DeepEqual(t, change.Removed, []ident.Incarnation{startedRunner("1", 1000).ID})
+	assert.DeepEqual(t, change.Kept, []ident.Incarnation{startedRunner("2", 1000).ID})
 	change = table.Replace([]work.Runner{runner("2", "a")}, start.Add(time.Second), false)
-	assert.DeepEqual(t, change.Removed, []ident.Incarnation{born("2", 1000).ID})
-	assert.Equal(t, table.Count(), 0, "an entry that does not tell its start is none of a runner that did")
+	assert.DeepEqual(t, change.Removed, []ident.Incarnation{startedRunner("2", 1000).ID})
+	assert.Equal(t, table.Count(), 0, "an entry without a start time was taken for the runner with one")
 }
 
-// TestEntryThatGoesBackIsPassedOver shows the entry of an earlier start, written late: the later one stays for two heartbeats,
-// and the earlier one does not come back however long its entry lies there.
+// TestEntryThatGoesBackIsPassedOver shows the entry of an earlier start that was written late: the later incarnation
+// stays for two heartbeats, and the earlier one does not come back, however long its entry stays.
 func TestEntryThatGoesBackIsPassedOver(t *testing.T) {
-	earlier, later := born("1", 1000), born("1", 2000)
+	earlier, later := startedRunner("1", 1000), startedRunner("1", 2000)
 	table := tableOf(earlier)
 	table.Replace([]work.Runner{later}, start, true)
 	for after := time.Duration(0); after < 4*time.Second; after += 500 * time.Millisecond {
@@ -349,8 +355,8 @@
 	assert.Assert(t, used)
 }
 
-// TestDrawnListsNeverBringAnEarlierStartBack draws lists of readable, unreadable, late and missing entries: at most one
-// incarnation of a name is known, never an earlier one than before, and none whose entry is unreadable.
+// TestDrawnListsNeverBringAnEarlierStartBack draws lists of readable, unreadable, late and missing entries: at most
+// one incarnation of a name is in the table, never an earlier one than before, and none whose entry is unreadable.
 func TestDrawnListsNeverBringAnEarlierStartBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := runnertable.New("a")
@@ -367,7 +373,7 @@
 					listed = append(listed, unreadable(name))
 					bad[ident.Runner(name)] = true
 				default:
-					listed = append(listed, born(name, int64(kind)))
+					listed = append(listed, startedRunner(name, int64(kind)))
 				}
 			}
 			table.Replace(listed, now, rapid.Bool().Draw(t, "proof"))
--- a/internal/runnertable/tokens.go
+++ b/internal/runnertable/tokens.go
@@ -6,17 +6,20 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// A runner keeps the prompts and the output of all requests that it holds, those that wait there too, and falls over when they grow beyond
-// its memory. What a node knows of that is its own requests, and those of the others as far as the owner of the runner tells.
+// A runner holds the prompts and the output of all its requests in memory, including those that wait in its queue, and
+// crashes when they exceed it. A node knows the memory use of its own requests, and that of other nodes from the
+// reports of the runner's owner.
 
 const (
-	// memoryShare of its memory may be taken by the requests at a runner: nodes choose at the same moment, and hear of each other later.
-	memoryShare = 0.9
-	// resumedShare may be taken where a request is sent that ran already: it can't be sent away, and there are few of them.
-	resumedShare = 0.95
+	// maxMemoryShare is the part of a runner's memory that requests may use. The rest is a margin for nodes that
+	// choose the same runner at the same time, before each is informed of the choice of the other.
+	maxMemoryShare = 0.9
+	// maxResumedMemoryShare is the limit for requests that may have run already. They can't be refused, and there are
+	// few of them.
+	maxResumedMemoryShare = 0.95
 )
 
-// NoteMemory takes over how many tokens a runner can hold, as it told.
+// NoteMemory stores how many tokens a runner can hold, as reported by the runner.
 func (t *Table) NoteMemory(id ident.Incarnation, tokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -25,8 +28,8 @@
 	}
 }
 
-// Tokens returns those of this node's work at a runner, prompts and the most that may be made, and how many the runner can hold; zero where
-// it never told.
+// Tokens returns the memory use of this node's work at a runner, prompts and maximum output, and the number of tokens
+// the runner can hold, which is zero if it was never reported.
 func (t *Table) Tokens(id ident.Incarnation) (own, memory int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -36,25 +39,25 @@
 	return 0, 0
 }
 
-// fits says whether a runner's memory has room for a request beside all that it is thought to hold. One that is idle is always asked: it
-// says itself what is too large for it.
+// fits says whether a runner's memory has enough free space for a request, given all work it is known to hold. An idle
+// runner always fits: it refuses a request that is too large for it.
 func (e *entry) fits(wish Wish, now time.Time) bool {
 	held := e.tokens[Online] + e.tokens[Batch]
-	if e.share.Within(shareMemory, now) {
+	if e.share.Within(shareLifetime, now) {
 		held += e.share.Value().tokens
 	}
-	room := int(wish.memoryShare()*float64(e.memory)) - held
-	return e.memory == 0 || held == 0 || wish.Tokens <= room || wish.weight(e.uncached(wish, false, now)) <= room
+	free := int(wish.maxMemoryShare()*float64(e.memory)) - held
+	return e.memory == 0 || held == 0 || wish.Tokens <= free || wish.memoryTokens(e.uncached(wish, false, now)) <= free
 }
 
-// memoryShare is the part of a runner's memory that may be taken with the request.
-func (w Wish) memoryShare() float64 {
+// maxMemoryShare returns the part of a runner's memory that may be in use with the request.
+func (w Wish) maxMemoryShare() float64 {
 	if w.Class == Online && w.Full == nil {
-		return resumedShare
+		return maxResumedMemoryShare
 	}
-	return memoryShare
+	return maxMemoryShare
 }
 
-// weight is what a request takes of a runner's memory that would have to read so many tokens of its prompt: the parts that it keeps for
-// others are there once.
-func (w Wish) weight(uncached int) int { return max(w.Tokens-w.PromptTokens, 0) + uncached }
+// memoryTokens returns the memory that a request needs at a runner that has to read uncached tokens of its prompt.
+// Parts that are cached for other requests are stored once.
+func (w Wish) memoryTokens(uncached int) int { return max(w.Tokens-w.PromptTokens, 0) + uncached }
--- a/internal/runnertable/tokens_test.go
+++ b/internal/runnertable/tokens_test.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// runnerMemory is what a runner of eight places can hold, in tokens. With requests of 450 and 20 tokens that bounds nothing.
+	// runnerMemory is the memory of a runner of eight slots, in tokens. It does not limit requests of 450 prompt and
+	// 20 output tokens.
 	runnerMemory = 101_495
-	// longPrompt is one of which eight places hold more than the memory.
+	// longPrompt is a prompt length of which eight exceed the memory.
 	longPrompt = 20_000
 )
 
-// twoRunners is a table of runners with eight places each.
+// twoRunners returns a table of two runners with eight slots each.
 func twoRunners(now time.Time) *runnertable.Table {
 	table := runnertable.New("z")
 	table.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: 8}, {ID: "2", Service: "s", Zone: "z", Slots: 8}}, now, true)
 	return table
 }
 
-// pickLong chooses a runner for requests with long prompts until none takes another one, or as many as all places.
+// pickLong sends requests with long prompts until no runner takes another one, at most as many as there are slots.
 func pickLong(t *testing.T, table *runnertable.Table, now time.Time) map[ident.Incarnation][]*runnertable.Flight {
 	t.Helper()
 	picked := map[ident.Incarnation][]*runnertable.Flight{}
@@ -44,8 +45,9 @@
 	return picked
 }
 
-// TestLongPromptsStayWithinTheMemoryOfRunners is a peak of requests with 20,000 tokens at runners with memory for 101,495: each gets four,
-// and the others wait until one of these ends. A runner that holds more than its memory falls over with all that it has.
+// TestLongPromptsStayWithinTheMemoryOfRunners sends a peak of requests with 20,000 tokens to runners with memory for
+// 101,495: each gets four, and the others wait until one of these ends. A runner that exceeds its memory crashes and
+// loses all its requests.
 func TestLongPromptsStayWithinTheMemoryOfRunners(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
@@ -59,7 +61,7 @@
 	assert.Equal(t, len(pickLong(t, table, now)["2"]), 1)
 }
 
-// TestWhatOthersHoldAtARunnerCounts has its owner tell of 60,000 tokens of others at one of the runners.
+// TestWhatOthersHoldAtARunnerCounts has the owner of one runner report 60,000 tokens of other nodes there.
 func TestWhatOthersHoldAtARunnerCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
@@ -70,14 +72,15 @@
 	assert.Equal(t, len(picked["2"]), 4)
 }
 
-// TestRunnerThatTellsNoMemoryIsNotBounded gives every place, and two more that may wait, to long prompts.
+// TestRunnerThatTellsNoMemoryIsNotBounded sends as many long prompts as there are slots to runners with unknown
+// memory: all slots of a runner are used.
 func TestRunnerThatTellsNoMemoryIsNotBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	assert.Equal(t, len(pickLong(t, twoRunners(now), now)["1"]), 8)
 }
 
-// TestSharedPartsCountOnce has requests share 18,000 of 20,000 tokens, at a runner with memory for 45,000: all places take them, with
-// 34,160 tokens together, though their prompts are 160,000.
+// TestSharedPartsCountOnce has requests share 18,000 of 20,000 prompt tokens, at a runner with memory for 45,000: all
+// slots are used, with 34,160 tokens in total, although the prompts add up to 160,000.
 func TestSharedPartsCountOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
@@ -93,8 +96,9 @@
 	}
 }
 
-// TestIdleRunnerIsAskedWhateverTheSize leaves it to the runner to say that a request is larger than its memory: it does not know of parts
-// that it keeps, and a request that no runner may have would wait for nothing.
+// TestIdleRunnerIsAskedWhateverTheSize checks that an idle runner gets any request, even one larger than its memory as
+// known here. The runner itself decides, because the table does not know all parts it has cached, and a request that
+// no runner may get would wait in vain.
 func TestIdleRunnerIsAskedWhateverTheSize(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
@@ -104,8 +108,8 @@
 	assert.Equal(t, len(picked["1"])+len(picked["2"]), 2)
 }
 
-// TestTokensAreToldWithTheOnlineWork is what the owner of a runner adds up.
-func TestTokensAreToldWithTheOnlineWork(t *testing.T) {
+// TestTokensAreReportedWithTheOnlineWork checks the tokens that the owner of a runner adds up.
+func TestTokensAreReportedWithTheOnlineWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
 	flight, err := table.StartAt("1", runnertable.Wish{Service: "s", Tokens: 470}, now)
@@ -122,8 +126,9 @@
 	assert.Equal(t, own, 300)
 }
 
-// TestRequestThatRanAlreadyAsksForMemory has 80,000 of 101,495 tokens at each runner. A stream that broke off elsewhere with 20,000 finds
-// no runner, since one with 100,000 is about to fall over; with 15,000 it does, though a new request would wait: that can.
+// TestRequestThatRanAlreadyAsksForMemory has 80,000 of 101,495 tokens in use at each runner. A stream that broke off
+// elsewhere with 20,000 tokens gets no runner, because one with 100,000 would be close to a crash; with 15,000 it gets
+// one, although a new request, which can wait, would not.
 func TestRequestThatRanAlreadyAsksForMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
--- a/internal/runnertable/zones.go
+++ b/internal/runnertable/zones.go
@@ -11,173 +11,178 @@
 )
 
 const (
-	// stayCost is added for the runners of this zone where a request is to leave it: more than chance adds, so that they come
-	// after each free place elsewhere, and less than a queue there.
-	stayCost = 50.0
-	// keptCost is added for the last places of a runner of another zone, which are kept for its own callers: as much as a queue.
-	keptCost = 60.0
-	// keptPart of the places of a runner is one that is kept.
-	keptPart = 8
-	// unheardCost is added for a runner of another zone of which nothing was heard: it may have no free place, which costs a
-	// queue.
-	unheardCost = 30.0
+	// ownZoneCost is added for the runners of this zone if the request should go to another one. It is more than
+	// jitterCost, so that they are chosen only if no slot is free there, and less than queueing there.
+	ownZoneCost = 50.0
+	// reservedSlotCost is added for the last slots of a runner in another zone, which are reserved for callers of that
+	// zone. It equals queueCost.
+	reservedSlotCost = 60.0
+	// reservedDivisor sets the number of reserved slots: one in reservedDivisor of a runner's slots.
+	reservedDivisor = 8
+	// unknownLoadCost is added for a runner of another zone without a report of its load: it may have no free slot,
+	// which would cost a queue.
+	unknownLoadCost = 30.0
 )
 
-// zones is what the table believes of the other zones. The table's mutex guards it.
+// zones is the view of the other zones. The table's mutex guards it.
 type zones struct {
-	// names are those of the zones of all runners, in order.
-	names    []ident.Zone
-	contacts map[ident.Zone]*zoneroom.Contact
-	// splits are by service.
-	splits map[string]*zoneroom.Split
-	// told is the state of each zone that was last told.
-	told map[ident.Zone]zoneroom.State
-	left map[Departure]int
+	// names holds the zones of all runners, sorted.
+	names        []ident.Zone
+	reachability map[ident.Zone]*zoneroom.Reachability
+	// spillovers are by service.
+	spillovers map[string]*zoneroom.Spillover
+	// reported is the state of each zone as last returned by ZoneChanges.
+	reported   map[ident.Zone]zoneroom.State
+	departures map[Departure]int
 }
 
-// Departure is why a request left its zone, and to which.
+// Departure identifies why requests left their zone, and where they went.
 type Departure struct {
 	To ident.Zone
-	// Balanced says that the places of its zone were scarcer than those of the other one; otherwise its zone had none.
+	// Balanced says that slots were scarcer in its zone than in the other one; otherwise its zone had no free slot.
 	Balanced bool
 }
 
-// ZoneChange says that a zone is out of reach, or that it is back.
+// ZoneChange says that a zone became unreachable, or reachable again.
 type ZoneChange struct {
 	Zone ident.Zone
 	Cut  bool
 }
 
-// HeardZone notes that a worker of a zone answered a question.
-func (t *Table) HeardZone(zone ident.Zone, asked time.Time) {
+// HeardZone records that a worker of a zone answered a request sent at a time.
+func (t *Table) HeardZone(zone ident.Zone, sent time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.heard(zone, asked)
+	t.zoneAnswered(zone, sent)
 }
 
-// MissedZone notes that a worker of a zone left a question without an answer.
-func (t *Table) MissedZone(zone ident.Zone, by string, asked, now time.Time) {
+// MissedZone records that a request to a worker of a zone, named by, got no answer.
+func (t *Table) MissedZone(zone ident.Zone, by string, sent, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.missed(zone, by, asked, now)
+	t.zoneTimedOut(zone, by, sent, now)
 }
 
-// ZoneDoubted returns since when a zone is in doubt or out of reach, or zero.
+// ZoneDoubted returns since when a zone is suspected or unreachable, or zero.
 func (t *Table) ZoneDoubted(zone ident.Zone) time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.zones.contacts[zone]; known != nil && zone != t.zone {
-		return known.Doubted()
+	if known := t.zones.reachability[zone]; known != nil && zone != t.zone {
+		return known.SuspectedSince()
 	}
 	return time.Time{}
 }
 
-// ZoneChanges returns what became of the reach of zones since it was last asked, in the order of their names.
+// ZoneChanges returns the zones that became unreachable or reachable since the last call, sorted by name.
 func (t *Table) ZoneChanges(now time.Time) []ZoneChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []ZoneChange
-	for zone := range t.zones.contacts {
-		if cut := t.reach(zone, now) == zoneroom.Cut; cut != (t.zones.told[zone] == zoneroom.Cut) {
-			changes = append(changes, ZoneChange{Zone: zone, Cut: cut})
+	for zone := range t.zones.reachability {
+		if unreachable := t.zoneState(zone, now) == zoneroom.Unreachable; unreachable != (t.zones.reported[zone] == zoneroom.Unreachable) {
+			changes = append(changes, ZoneChange{Zone: zone, Cut: unreachable})
 		}
 	}
-	if t.zones.told == nil {
-		t.zones.told = map[ident.Zone]zoneroom.State{}
+	if t.zones.reported == nil {
+		t.zones.reported = map[ident.Zone]zoneroom.State{}
 	}
 	for _, change := range changes {
-		t.zones.told[change.Zone] = t.reach(change.Zone, now)
+		t.zones.reported[change.Zone] = t.zoneState(change.Zone, now)
 	}
 	slices.SortFunc(changes, func(first, second ZoneChange) int { return cmp.Compare(first.Zone, second.Zone) })
 	return changes
 }
 
-// Departures returns how many requests left their zone since it was last asked.
+// Departures returns and resets the counts of requests that left their zone.
 func (t *Table) Departures() map[Departure]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	left := maps.Clone(t.zones.left)
-	clear(t.zones.left)
-	return left
+	departures := maps.Clone(t.zones.departures)
+	clear(t.zones.departures)
+	return departures
 }
 
-// heard notes an answer. A zone that is back has the failures of its runners forgotten that were its own. The caller holds the mutex.
-func (t *Table) heard(zone ident.Zone, asked time.Time) {
-	since, back := t.contact(zone).Answered(asked)
+// zoneAnswered records an answer. When a zone becomes reachable again, runner failures since the first unanswered
+// request are cleared, because the network caused them. The caller holds the mutex.
+func (t *Table) zoneAnswered(zone ident.Zone, sent time.Time) {
+	since, back := t.reachabilityOf(zone).Answered(sent)
 	if !back || zone == t.zone {
 		return
 	}
 	for _, known := range t.runners {
 		if known.runner.Zone == zone && !known.health.rateAt.Before(since) {
-			known.health.forgive()
+			known.health.reset()
 		}
 	}
 }
 
-// missed notes a question without an answer. The caller holds the mutex.
-func (t *Table) missed(zone ident.Zone, by string, asked, now time.Time) {
-	t.contact(zone).Missed(by, asked, now)
+// zoneTimedOut records a request without an answer. The caller holds the mutex.
+func (t *Table) zoneTimedOut(zone ident.Zone, by string, sent, now time.Time) {
+	t.reachabilityOf(zone).TimedOut(by, sent, now)
 }
 
-func (t *Table) contact(zone ident.Zone) *zoneroom.Contact {
-	known := t.zones.contacts[zone]
+func (t *Table) reachabilityOf(zone ident.Zone) *zoneroom.Reachability {
+	known := t.zones.reachability[zone]
 	if known == nil {
-		known = &zoneroom.Contact{}
-		if t.zones.contacts == nil {
-			t.zones.contacts = map[ident.Zone]*zoneroom.Contact{}
+		known = &zoneroom.Reachability{}
+		if t.zones.reachability == nil {
+			t.zones.reachability = map[ident.Zone]*zoneroom.Reachability{}
 		}
-		t.zones.contacts[zone] = known
+		t.zones.reachability[zone] = known
 	}
 	return known
 }
 
-// reach says whether a zone answers. A node that its own zone does not answer either is cut off by itself, which proves nothing of
-// the zones: runners may well answer it. The caller holds the mutex.
-func (t *Table) reach(zone ident.Zone, now time.Time) zoneroom.State {
-	known, own := t.zones.contacts[zone], t.zones.contacts[t.zone]
-	if known == nil || zone == t.zone || (own != nil && own.State(now) == zoneroom.Cut) {
-		return zoneroom.InTouch
+// zoneState returns the reachability of a zone. If the node's own zone does not answer either, the node itself is
+// partitioned, which proves nothing about the other zones: their runners may still respond. The caller holds the
+// mutex.
+func (t *Table) zoneState(zone ident.Zone, now time.Time) zoneroom.State {
+	known, own := t.zones.reachability[zone], t.zones.reachability[t.zone]
+	if known == nil || zone == t.zone || (own != nil && own.State(now) == zoneroom.Unreachable) {
+		return zoneroom.Reachable
 	}
 	return known.State(now)
 }
 
-// way is the price of the way to another zone, in milliseconds.
-func way(wish Wish) float64 { return farCost + farCostPerKilobyte*float64(wish.Bytes)/1000 }
+// transferCost is the cost of sending a request to another zone, in milliseconds.
+func transferCost(wish Wish) float64 {
+	return crossZoneCost + crossZoneCostPerKilobyte*float64(wish.Bytes)/1000
+}
 
-// zoneCost is what the zone of a runner adds to its cost. firm is the online work that is thought to be there. The caller holds the mutex.
-func (t *Table) zoneCost(candidate *entry, wish Wish, choice choice, now time.Time) float64 {
+// zoneCost is the part of a runner's cost that depends on its zone. The caller holds the mutex.
+func (t *Table) zoneCost(candidate *entry, wish Wish, pick pickContext, now time.Time) float64 {
 	zone := candidate.runner.Zone
 	if zone == t.zone {
-		if choice.goal != t.zone {
-			return stayCost
+		if pick.targetZone != t.zone {
+			return ownZoneCost
 		}
 		return 0
 	}
 	cost := 0.0
-	if zone != choice.goal {
-		cost += way(wish)
+	if zone != pick.targetZone {
+		cost += transferCost(wish)
 	}
-	if choice.areas[candidate.zoneAt].state != zoneroom.InTouch {
-		cost += silenceCost
+	if pick.zones[candidate.zoneIndex].state != zoneroom.Reachable {
+		cost += unresponsiveCost
 	}
-	if !candidate.share.Within(shareMemory, now) {
-		cost += unheardCost
+	if !candidate.share.Within(shareLifetime, now) {
+		cost += unknownLoadCost
 	}
-	cost += candidate.unanswered(wish, now)
-	places := max(candidate.runner.Slots, 1)
-	if candidate.firm+1 > places-places/keptPart {
-		cost += keptCost
+	cost += candidate.staleCost(wish, now)
+	slots := max(candidate.runner.Slots, 1)
+	if candidate.committed+1 > slots-slots/reservedDivisor {
+		cost += reservedSlotCost
 	}
 	return cost
 }
 
-// noteLeft counts a request that leaves its zone. The caller holds the mutex.
-func (t *Table) noteLeft(chosen *entry, wish Wish, goal ident.Zone) {
+// countDeparture counts a request that leaves its zone. The caller holds the mutex.
+func (t *Table) countDeparture(chosen *entry, wish Wish, targetZone ident.Zone) {
 	if wish.Class != Online || chosen.runner.Zone == t.zone {
 		return
 	}
-	if t.zones.left == nil {
-		t.zones.left = map[Departure]int{}
+	if t.zones.departures == nil {
+		t.zones.departures = map[Departure]int{}
 	}
-	t.zones.left[Departure{To: chosen.runner.Zone, Balanced: goal == chosen.runner.Zone}]++
+	t.zones.departures[Departure{To: chosen.runner.Zone, Balanced: targetZone == chosen.runner.Zone}]++
 }
