--- a/internal/jobpeer/assign.go
+++ b/internal/jobpeer/assign.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// batchMemory is how long the word of a worker about its batch work is believed: twice the time between two.
-	batchMemory = 2 * demand.IdleRefreshEvery
-	// longestAssignedWait is how long the items of a worker may wait for it to be given a job as that is accepted. Beyond it
-	// the job is left to whichever worker, of any zone, is idle first.
-	longestAssignedWait = time.Second
+	// batchReportTTL is how long a worker's batch report stays valid: two report intervals.
+	batchReportTTL = 2 * demand.IdleRefreshEvery
+	// maxAssignedWait is the longest estimated wait of a worker's queued items at which it is still assigned a new job on
+	// acceptance. If the estimate is longer, the job stays unassigned and the first idle worker of any zone claims it.
+	maxAssignedWait = time.Second
 )
 
-// noteBatch takes over what a worker told of its batch work, as of a moment.
-func (h *Holders) noteBatch(address string, batch demand.Batch, asOf time.Time) {
+// recordBatch records a worker's report about its batch work as of the given time.
+func (h *Holders) recordBatch(address string, batch demand.Batch, asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.batches == nil {
 		h.batches = map[string]asof.Fact[demand.Batch]{}
 	}
-	told := h.batches[address]
-	told.Renew(batch, asOf)
-	h.batches[address] = told
+	report := h.batches[address]
+	report.Renew(batch, asOf)
+	h.batches[address] = report
 }
 
-// Assignee returns the worker of the zone that would begin a job of some items first, if one would soon. The items are
-// counted there from now on.
+// Assignee returns the worker of this zone that is expected to start a job of the given number of items first. It returns
+// false if no worker is expected to start within maxAssignedWait. The items count as waiting at the returned worker from
+// now on.
 func (h *Holders) Assignee(items int) (jobrecord.Assignee, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
 	best, found := "", false
 	for _, worker := range h.workers.Value() {
-		told := h.batches[worker.Address]
-		batch := told.Value()
-		stale := !told.Within(batchMemory, now) || batch.Node != worker.Node
-		if worker.Zone != h.Zone || stale || batch.Lease == 0 || now.Before(h.avoided[worker.Address]) {
+		report := h.batches[worker.Address]
+		batch := report.Value()
+		stale := !report.Within(batchReportTTL, now) || batch.Node != worker.Node
+		if worker.Zone != h.Zone || stale || batch.Lease == 0 || now.Before(h.skippedUntil[worker.Address]) {
 			continue
 		}
-		if batch.Wait(0) > longestAssignedWait {
+		if batch.Wait(0) > maxAssignedWait {
 			continue
 		}
 		if !found || batch.Wait(items) < h.batches[best].Value().Wait(items) {
@@ -60,16 +61,18 @@
 	return jobrecord.Assignee{Node: chosen.Node, Lease: kv.LeaseID(chosen.Lease), Address: best}, true
 }
 
-// Assign tells a worker of a job that was accepted with a claim for it, and says whether the worker runs it.
+// Assign notifies a worker of a job that was accepted with a claim for that worker. It reports whether the worker runs the
+// job.
 func (h *Holders) Assign(ctx context.Context, assignee jobrecord.Assignee, assigned jobrecord.Assigned) bool {
 	request := &AssignRequest{
 		Job: assigned.Open.ID, Route: assigned.Open.Route, Zone: assigned.Open.Zone, Tokens: assigned.Open.Tokens,
-		Tenant: assigned.Open.Tenant, Bytes: assigned.Open.Bytes, Opened: assigned.Open.Revision, Claimed: assigned.Claim.Revision, Lease: int64(assignee.Lease),
+		Tenant: assigned.Open.Tenant, Bytes: assigned.Open.Bytes, Opened: assigned.Open.Revision,
+		Claimed: assigned.Claim.Revision, Lease: int64(assignee.Lease),
 	}
 	reply := &AssignReply{}
 	if !h.ask(ctx, assignee.Address, methodAssign, request, reply, 0) || !reply.Taken {
 		return false
 	}
-	h.remember(assigned.Open.ID, whereabouts{address: assignee.Address})
+	h.cacheLocation(assigned.Open.ID, jobLocation{address: assignee.Address})
 	return true
 }
--- a/internal/jobpeer/agreed_test.go
+++ b/internal/jobpeer/compatibility_test.go
@@ -19,10 +19,10 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// callsFile lists the calls of a build beside the samples of its forms, a name a line.
+// callsFile lists the calls of a build next to the samples of its wire formats, one name per line.
 const callsFile = "calls.txt"
 
-// calls are the names of the calls between nodes.
+// calls returns the names of the calls between nodes.
 func calls() []string {
 	var names []string
 	for _, description := range []drpc.Description{jobpeer.Description{}, fleetfeed.Description{}} {
@@ -35,7 +35,7 @@
 	return names
 }
 
-// TestCallsOfEarlierBuildsAreAnswered guards against a call that was renamed or taken away while nodes of an earlier build still make it.
+// TestCallsOfEarlierBuildsAreAnswered guards against renaming or removing a call that nodes of an earlier build still make.
 func TestCallsOfEarlierBuildsAreAnswered(t *testing.T) {
 	if *writeForms != "" {
 		folder := filepath.Join("testdata/forms", *writeForms)
@@ -55,8 +55,8 @@
 	}
 }
 
-// agreedWorkers are the workers that duties are dealt to, in four zones.
-func agreedWorkers() []jobrecord.Worker {
+// fixedWorkers returns workers in four zones for ranking.
+func fixedWorkers() []jobrecord.Worker {
 	var workers []jobrecord.Worker
 	for _, name := range []string{"w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7"} {
 		zone := ident.Zone("z" + string('0'+(name[1]-'0')%4))
@@ -65,10 +65,11 @@
 	return workers
 }
 
-// TestNodesOfAllBuildsDealDutiesAlike guards against a hash or the name of a duty that changes while nodes of an earlier build go by the old
-// one: two nodes would own one runner, or keep one tenant's account. What is wanted was computed once, and must not follow the code.
-func TestNodesOfAllBuildsDealDutiesAlike(t *testing.T) {
-	workers := agreedWorkers()
+// TestRankingIsStableAcrossBuilds guards against a change of the hash or the rank key prefixes while nodes of an earlier
+// build use the old ones: two nodes would own the same runner or hold the same tenant's account. The expected values are fixed
+// results of an earlier computation and must not be adapted to the code.
+func TestRankingIsStableAcrossBuilds(t *testing.T) {
+	workers := fixedWorkers()
 	holders := newHolders(t, nil)
 	holders.Learn(workers, time.Now())
 	for tenant, wanted := range map[ident.Tenant]string{"a": "w7", "b": "w1", "c": "w2"} {
@@ -89,8 +90,8 @@
 	roster.Note(registered, time.Now())
 	for route, wanted := range map[string]string{"r": "w4 w6 w7", "s": "w3 w2 w5"} {
 		var names []string
-		for _, keeper := range roster.Keepers(route, 1, time.Now()) {
-			names = append(names, string(keeper.Node))
+		for _, holder := range roster.Keepers(route, 1, time.Now()) {
+			names = append(names, string(holder.Node))
 		}
 		assert.Equal(t, strings.Join(names, " "), wanted, "route %s", route)
 	}
--- a/internal/jobpeer/feed.go
+++ b/internal/jobpeer/feed.go
@@ -9,85 +9,88 @@
 	"mallowlatch.example/mallowlatch/internal/jobworker"
 )
 
-// oldestLearned is how old a worker's reading of the registry may be for its list of the workers to be taken over: one
-// that is cut off from the store does not see who comes and goes.
-const oldestLearned = 3 * time.Second
+// maxWorkerListAge is the maximum age of a worker's read of the registry for its worker list to be used: a worker that is
+// partitioned from the store does not see workers register or leave.
+const maxWorkerListAge = 3 * time.Second
 
-// WorkerFeed asks a near worker for what it read of the registry, and learns from it which workers there are. It
-// implements follower.Source.
+// WorkerFeed polls a worker, preferably of this zone, for the state it read from the registry, and updates the list of workers
+// from the answer. It implements follower.Source.
 type WorkerFeed struct {
 	Holders *Holders
-	// Index chooses among the near workers, so that nodes spread over them.
+	// Index selects the worker to poll, so that nodes spread over the workers.
 	Index uint64
-	// failed counts the questions in vain, so that another seed is asked next; turn counts the workers that were passed over.
-	failed, turn uint64
-	// passing is since when the last workers were passed over for what they told, passed how many.
-	passing time.Time
-	passed  int
-	// workers are those that were told last, print is their print.
-	workers []fleetfeed.Worker
-	print   uint64
+	// failed counts consecutive failed calls, so that each retry goes to the next worker or seed. passedOver counts the workers that
+	// were passed over.
+	failed, passedOver uint64
+	// passWindow is the start of the current window for passing workers over, passedInWindow the number passed over in it.
+	passWindow     time.Time
+	passedInWindow int
+	// workers is the most recently received list, workersFingerprint its fingerprint.
+	workers            []fleetfeed.Worker
+	workersFingerprint uint64
 }
 
-// mostPassed is how many workers are passed over each avoidFor. While the store is away from all, each tells what is old, the whole list
-// each time. The next one may be the one that the store turns away, or be about to hear of it.
-const mostPassed = 2
+// maxPassedOver is how many workers may be passed over per skipDuration. During an outage of the store for all nodes every worker
+// answers with stale state, and a newly polled worker sends the whole list. Two are allowed because the next worker may be the
+// one that the store refuses, or may be about to receive the update.
+const maxPassedOver = 2
 
 // PassOver implements follower.Passing.
 func (w *WorkerFeed) PassOver() {
-	if now := w.Holders.Now(); now.Sub(w.passing) >= avoidFor {
-		w.passing, w.passed = now, 0
+	if now := w.Holders.Now(); now.Sub(w.passWindow) >= skipDuration {
+		w.passWindow, w.passedInWindow = now, 0
 	}
-	if w.passed < mostPassed {
-		w.passed++
-		w.turn++
+	if w.passedInWindow < maxPassedOver {
+		w.passedInWindow++
+		w.passedOver++
 	}
 }
 
 // Next implements follower.Source.
 func (w *WorkerFeed) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
-	address, connection, err := w.Holders.Nearest(ctx, w.Index+w.failed+w.turn)
+	address, connection, err := w.Holders.Nearest(ctx, w.Index+w.failed+w.passedOver)
 	if err != nil {
 		w.failed++
 		return nil, err
 	}
 	sent := w.Holders.Now()
-	known.WorkersPrint = w.print
+	known.WorkersPrint = w.workersFingerprint
 	snapshot, err := fleetfeed.Ask(ctx, connection, known)
 	if err != nil {
 		w.failed++
-		w.Holders.avoid(address)
+		w.Holders.skip(address)
 		return nil, err
 	}
 	w.failed = 0
 	w.Holders.Heard.Answered()
-	// A worker that reads the registry also follows the other workers, and told of them no earlier than this, however long its
-	// answer lay unread.
-	told := sent.Add(time.Duration(snapshot.HeldMs) * time.Millisecond)
-	read := told.Add(-time.Duration(snapshot.RunnersAgeMs) * time.Millisecond)
-	if workers := w.toldWorkers(snapshot); len(workers) > 0 && w.Holders.Now().Sub(read) < oldestLearned {
-		w.Holders.Learn(workersOf(workers), told)
+	// The polled worker follows the other workers itself. Its list is no older than this time, even if the answer was read
+	// late.
+	answeredAt := sent.Add(time.Duration(snapshot.HeldMs) * time.Millisecond)
+	read := answeredAt.Add(-time.Duration(snapshot.RunnersAgeMs) * time.Millisecond)
+	if workers := w.snapshotWorkers(snapshot); len(workers) > 0 && w.Holders.Now().Sub(read) < maxWorkerListAge {
+		w.Holders.Learn(workersOf(workers), answeredAt)
 	}
 	return snapshot, nil
 }
 
-// toldWorkers returns the workers of a snapshot. One without them that has the print of those told last means these.
-func (w *WorkerFeed) toldWorkers(snapshot *fleetfeed.Snapshot) []fleetfeed.Worker {
-	if len(snapshot.Workers) > 0 || snapshot.WorkersPrint == 0 || snapshot.WorkersPrint != w.print {
-		w.workers, w.print = snapshot.Workers, snapshot.WorkersPrint
+// snapshotWorkers returns the workers of a snapshot. A snapshot without workers but with the fingerprint of the previous list
+// stands for that list.
+func (w *WorkerFeed) snapshotWorkers(snapshot *fleetfeed.Snapshot) []fleetfeed.Worker {
+	if len(snapshot.Workers) > 0 || snapshot.WorkersPrint == 0 || snapshot.WorkersPrint != w.workersFingerprint {
+		w.workers, w.workersFingerprint = snapshot.Workers, snapshot.WorkersPrint
 	}
 	return w.workers
 }
 
-func workersOf(told []fleetfeed.Worker) []jobrecord.Worker {
-	workers := make([]jobrecord.Worker, 0, len(told))
-	for _, worker := range told {
+func workersOf(listed []fleetfeed.Worker) []jobrecord.Worker {
+	workers := make([]jobrecord.Worker, 0, len(listed))
+	for _, worker := range listed {
 		workers = append(workers, jobrecord.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
 	return workers
 }
 
-// FeedWorkers returns the workers that a worker knows, for its feed.
+// FeedWorkers returns a function that lists the workers known to a worker, for its feed.
 func FeedWorkers(worker *jobworker.Worker) func() []fleetfeed.Worker {
 	return func() []fleetfeed.Worker {
 		var workers []fleetfeed.Worker
--- a/internal/jobpeer/forms_test.go
+++ b/internal/jobpeer/formats_test.go
@@ -24,10 +24,11 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// writeForms names the folder of testdata/forms that samples of this build's forms are written to: once, with a landing.
+// writeForms names the folder of testdata/forms that samples of this build's wire formats are written to, once per release.
 var writeForms = flag.String("write-forms", "", "folder of testdata/forms to write this build's samples to")
 
-// forms are what passes between processes that may be of two builds, and what outlives a process, by the names of the samples.
+// forms returns the messages that processes of different builds exchange and the records that outlive a process, by sample
+// name.
 func forms() map[string]any {
 	return map[string]any{
 		"results":          &jobpeer.Query{},
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestFormsOfEarlierBuildsAreRead decodes the samples that earlier builds wrote, each field of them filled, and finds every value
-// again: a field that was renamed, or holds something else now, would be lost between two builds that run side by side.
-func TestFormsOfEarlierBuildsAreRead(t *testing.T) {
+// TestFormatsOfEarlierBuildsAreRead decodes the samples that earlier builds wrote with every field set, and checks that no value
+// is lost. A renamed field, or one whose meaning changed, would be lost between two builds that run side by side.
+func TestFormatsOfEarlierBuildsAreRead(t *testing.T) {
 	if *writeForms != "" {
 		write(t, filepath.Join("testdata/forms", *writeForms))
 	}
@@ -84,7 +85,7 @@
 		for name, form := range forms() {
 			sample, err := os.ReadFile(filepath.Join(build, name+".json"))
 			if os.IsNotExist(err) {
-				// The form is newer than the build.
+				// The format is newer than the build.
 				continue
 			}
 			assert.NilError(t, err)
@@ -92,13 +93,13 @@
 			encoded, err := json.Marshal(form)
 			assert.NilError(t, err)
 			lost := missing(name, decoded(t, sample), decoded(t, encoded))
-			assert.Assert(t, lost == "", "%s of %s lost %s", name, build, lost)
+			assert.Assert(t, lost == "", "%s of build %s lost %s", name, build, lost)
 		}
 	}
 }
 
-// TestEachSampleHasItsForm fails where a form of an earlier build is not read any more.
-func TestEachSampleHasItsForm(t *testing.T) {
+// TestEachSampleHasItsFormat fails if a format of an earlier build is no longer read.
+func TestEachSampleHasItsFormat(t *testing.T) {
 	samples, err := filepath.Glob("testdata/forms/*/*.json")
 	assert.NilError(t, err)
 	known := forms()
@@ -120,7 +121,7 @@
 	}
 }
 
-// fill gives each exported field of a value a content that tells it from most others.
+// fill sets each exported field of a value to content that differs from most other fields.
 func fill(value reflect.Value, path string) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -165,7 +166,7 @@
 	return content
 }
 
-// missing names the first value of an earlier form that a later one does not have, or is empty.
+// missing returns the path of the first value of an earlier encoding that a later one lacks, or an empty string.
 func missing(path string, earlier, later any) string {
 	switch earlier := earlier.(type) {
 	case map[string]any:
--- a/internal/jobpeer/holders.go
+++ b/internal/jobpeer/holders.go
@@ -21,84 +21,84 @@
 )
 
 const (
-	// callSlack bounds a call beyond its wait.
+	// callSlack is the time allowed for a call in addition to the wait that it requests.
 	callSlack = 350 * time.Millisecond
-	// lookupTimeout bounds the reading of the workers from the records.
+	// lookupTimeout is the timeout for reading the list of workers from the records.
 	lookupTimeout = 500 * time.Millisecond
-	// workersKept is how long the list of workers is used before it is read again.
-	workersKept = 20 * time.Second
-	// noWorkersKept is how long an empty list is: workers that start with this node register a moment later.
-	noWorkersKept = time.Second
-	// avoidFor is how long a worker that did not answer is left alone.
-	avoidFor = 1500 * time.Millisecond
-	// unheldFor is how long a job that no worker held is read from the records without asking again.
-	unheldFor = 600 * time.Millisecond
-	// cachedJobs bounds the jobs of which something is remembered.
-	cachedJobs = 512
+	// workerListTTL is how long the list of workers is used before it is read again.
+	workerListTTL = 20 * time.Second
+	// emptyWorkerListTTL is how long an empty list is used: workers that start together with this node register a moment later.
+	emptyWorkerListTTL = time.Second
+	// skipDuration is the backoff after a worker did not answer: it is not called during this time.
+	skipDuration = 1500 * time.Millisecond
+	// noHolderTTL is how long a job without a known holder is read from the records before workers are asked again.
+	noHolderTTL = 600 * time.Millisecond
+	// maxCachedJobs is the capacity of the cache of job locations.
+	maxCachedJobs = 512
 )
 
-// Holders reads from the memory of the workers that hold the jobs. It is safe for concurrent use.
+// Holders calls workers on behalf of a node: it reads jobs from the memory of the workers that hold them, has workers store
+// and run jobs, and reports demand and quota use. It is safe for concurrent use.
 type Holders struct {
 	Records *jobrecord.Records
-	// Zone is the node's own: its workers are asked first.
-	Zone ident.Zone
-	// Connect returns a connection to an address.
+	// Zone is this node's zone; its workers are called first.
+	Zone    ident.Zone
 	Connect func(address string) (drpc.Conn, error)
 	// Copies is the number of workers that must have a job on disk before it is acknowledged without the store.
 	Copies int
-	// Seeds are addresses of workers that are asked before any is known, SeedsFor how long that is tried before the records are
-	// read: each process that starts would read them otherwise.
+	// Seeds are the addresses of workers to call while no worker is known. SeedsFor limits how long they are tried before the
+	// list is read from the records: otherwise every starting process would read it.
 	Seeds    []string
 	SeedsFor time.Duration
-	// Heard is told whether workers answer; nil is not.
+	// Heard records whether workers answer; nil records nothing.
 	Heard *reach.Watch
 	Now   func() time.Time
 
 	mutex sync.Mutex
-	// began is when a worker was first wanted.
+	// began is when this node first needed a worker.
 	began time.Time
-	// workers are those that run batch jobs, in the order in which they are asked.
+	// workers are the workers that run batch jobs, in the order in which they are called.
 	workers asof.Fact[[]jobrecord.Worker]
-	// read is when they were last read, or tried to be, put back where they are to be read sooner.
-	read    time.Time
-	jobs    map[ident.Job]whereabouts
-	avoided map[string]time.Time
-	// unlimited is until when a worker counts as one that keeps no account of tenants' requests, by address.
-	unlimited map[string]time.Time
-	// batches is what workers told of their batch work, by address.
+	// workersRead is when the list of workers was last read, successfully or not. It is set back to have the list read again sooner.
+	workersRead  time.Time
+	jobs         map[ident.Job]jobLocation
+	skippedUntil map[string]time.Time
+	// quotaUnsupported is the time until which a worker counts as one that does not support quotas, by address.
+	quotaUnsupported map[string]time.Time
+	// batches are the workers' reports about their batch work, by address.
 	batches map[string]asof.Fact[demand.Batch]
-	// roster are the workers that may keep accounts.
+	// roster are the workers that may hold queue accounts.
 	roster queueroom.Roster
-	// keepersSeen is when each worker was last known, by address.
-	keepersSeen map[string]time.Time
+	// lastRegistered is when each worker was last registered, by address.
+	lastRegistered map[string]time.Time
 }
 
-// whereabouts is what is remembered of a job: the address of its holder, or since when none was found.
-type whereabouts struct {
-	address string
-	unheld  time.Time
+// jobLocation is the cached location of a job: the address of its holder, or when none was found.
+type jobLocation struct {
+	address       string
+	noHolderSince time.Time
 }
 
-// Results reads the results of a job from its holder. sure is false where no holder answered for certain.
+// Results reads the results of a job from its holder. sure is false if no holder gave a definite answer.
 func (h *Holders) Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool) {
 	query := &Query{Job: job, From: from, WaitMs: wait.Milliseconds()}
 	candidates := h.candidates(ctx, job)
 	if len(candidates) == 0 {
-		// Nobody was asked, so that nothing new is known: the time without a holder must not begin anew.
+		// No worker was called, so nothing new is known: the period without a holder must not restart.
 		return work.Held{}, false
 	}
 	for _, address := range candidates {
 		reply := &Reply{}
 		if h.ask(ctx, address, methodResults, query, reply, wait) && reply.Sure {
-			h.remember(job, whereabouts{address: address})
+			h.cacheLocation(job, jobLocation{address: address})
 			return work.Held{Tenant: reply.Tenant, Total: reply.Total, Results: reply.Results}, true
 		}
 	}
-	h.remember(job, whereabouts{unheld: h.Now()})
+	h.cacheLocation(job, jobLocation{noHolderSince: h.Now()})
 	return work.Held{}, false
 }
 
-// Body reads the body of an item, and whose it is, from the worker that holds its job.
+// Body reads the body of an item, and the tenant of its job, from the worker that holds the job.
 func (h *Holders) Body(ctx context.Context, job ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool) {
 	for _, address := range h.candidates(ctx, job) {
 		reply := &BodyReply{}
@@ -109,8 +109,8 @@
 	return nil, "", false
 }
 
-// Nearest returns a connection to a worker of the node's zone, or of another where the zone has none that answers.
-// index chooses among those of the zone, so that nodes spread over them.
+// Nearest returns a connection to a worker of this node's zone, or of another zone if no worker of this one can be called.
+// index selects among the candidates, so that nodes spread over them.
 func (h *Holders) Nearest(ctx context.Context, index uint64) (string, drpc.Conn, error) {
 	h.readWorkers(ctx)
 	address, found := h.nearest(index)
@@ -121,8 +121,8 @@
 	return address, connection, err
 }
 
-// ErrNoWorker means that no worker is known that answers.
-const ErrNoWorker = failure.Kind("job peer: no worker is known that answers")
+// ErrNoWorker means that no known worker answers.
+const ErrNoWorker = failure.Kind("job peer: no known worker answers")
 
 func (h *Holders) nearest(index uint64) (string, bool) {
 	h.mutex.Lock()
@@ -130,7 +130,7 @@
 	var near, far []string
 	for _, worker := range h.workers.Value() {
 		switch {
-		case h.Now().Before(h.avoided[worker.Address]):
+		case h.Now().Before(h.skippedUntil[worker.Address]):
 		case worker.Zone == h.Zone:
 			near = append(near, worker.Address)
 		default:
@@ -149,7 +149,7 @@
 	return near[index%uint64(len(near))], true
 }
 
-// ask makes one call. A worker that does not answer is left alone for a while.
+// ask makes one call. A worker that does not answer is skipped for skipDuration.
 func (h *Holders) ask(ctx context.Context, address, method string, query, reply any, wait time.Duration) bool {
 	call, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
@@ -163,47 +163,47 @@
 	}
 	if ctx.Err() == nil {
 		h.Heard.Failed(h.Now())
-		h.avoid(address)
+		h.skip(address)
 	}
 	return false
 }
 
-// candidates returns the addresses to ask: the holder that answered last, or else all workers, those of the zone first.
+// candidates returns the addresses to call: the holder that answered last, or else all workers, with those of this zone first.
 func (h *Holders) candidates(ctx context.Context, job ident.Job) []string {
 	h.readWorkers(ctx)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
 	known := h.jobs[job]
-	if known.address != "" && !now.Before(h.avoided[known.address]) {
+	if known.address != "" && !now.Before(h.skippedUntil[known.address]) {
 		return []string{known.address}
 	}
-	if now.Sub(known.unheld) < unheldFor {
+	if now.Sub(known.noHolderSince) < noHolderTTL {
 		return nil
 	}
 	var addresses []string
 	for _, worker := range h.workers.Value() {
-		if !now.Before(h.avoided[worker.Address]) {
+		if !now.Before(h.skippedUntil[worker.Address]) {
 			addresses = append(addresses, worker.Address)
 		}
 	}
 	return addresses
 }
 
-// readWorkers reads the list of workers when it is old.
+// readWorkers reads the list of workers if the current one is too old.
 func (h *Holders) readWorkers(ctx context.Context) {
 	h.mutex.Lock()
 	now := h.Now()
-	kept := workersKept
+	ttl := workerListTTL
 	if len(h.workers.Value()) == 0 {
-		kept = noWorkersKept
+		ttl = emptyWorkerListTTL
 	}
 	if h.began.IsZero() {
 		h.began = now
 	}
-	fresh := h.asksSeeds(now) || !h.read.IsZero() && now.Sub(h.read) < kept
+	fresh := h.usesSeeds(now) || !h.workersRead.IsZero() && now.Sub(h.workersRead) < ttl
 	if !fresh {
-		h.read = now
+		h.workersRead = now
 	}
 	h.mutex.Unlock()
 	if fresh {
@@ -219,13 +219,13 @@
 	h.Learn(workers, began)
 }
 
-// asksSeeds says whether this node has just started and knows no worker but the seeds. The caller holds the mutex.
-func (h *Holders) asksSeeds(now time.Time) bool {
+// usesSeeds reports whether this node has just started and knows no worker but the seeds. The caller holds the mutex.
+func (h *Holders) usesSeeds(now time.Time) bool {
 	return len(h.Seeds) > 0 && len(h.workers.Value()) == 0 && now.Sub(h.began) < h.SeedsFor
 }
 
-// Learn takes over a list of the workers that was read here or by another node, as of a moment. An older one than is known is
-// passed over.
+// Learn replaces the list of workers with one that this or another node read, as of the given time. It ignores a list that is
+// older than the current one.
 func (h *Holders) Learn(workers []jobrecord.Worker, asOf time.Time) {
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
 	slices.SortStableFunc(workers, h.nearFirst)
@@ -234,8 +234,8 @@
 	if !h.workers.Renew(workers, asOf) {
 		return
 	}
-	h.read = h.Now()
-	h.rememberKeepers(workers)
+	h.workersRead = h.Now()
+	h.recordRegistered(workers)
 	registered := make([]queueroom.Worker, 0, len(workers))
 	for _, worker := range workers {
 		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
@@ -255,33 +255,33 @@
 	return 0
 }
 
-func (h *Holders) remember(job ident.Job, where whereabouts) {
+func (h *Holders) cacheLocation(job ident.Job, location jobLocation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.jobs == nil {
-		h.jobs = map[ident.Job]whereabouts{}
+		h.jobs = map[ident.Job]jobLocation{}
 	}
-	if len(h.jobs) >= cachedJobs {
+	if len(h.jobs) >= maxCachedJobs {
 		for id := range h.jobs {
 			delete(h.jobs, id)
 			break
 		}
 	}
-	h.jobs[job] = where
+	h.jobs[job] = location
 }
 
-// avoid leaves a worker alone for a while, and has the list of workers read again soon. Seeds that start at the same moment as
-// this node are asked again at once.
-func (h *Holders) avoid(address string) {
+// skip skips a worker for skipDuration and schedules an early read of the list of workers. Seeds are not skipped while this node
+// starts: they may be starting at the same time.
+func (h *Holders) skip(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
-	if h.asksSeeds(now) {
+	if h.usesSeeds(now) {
 		return
 	}
-	if h.avoided == nil {
-		h.avoided = map[string]time.Time{}
+	if h.skippedUntil == nil {
+		h.skippedUntil = map[string]time.Time{}
 	}
-	h.avoided[address] = now.Add(avoidFor)
-	h.read = now.Add(avoidFor - workersKept)
+	h.skippedUntil[address] = now.Add(skipDuration)
+	h.workersRead = now.Add(skipDuration - workerListTTL)
 }
--- a/internal/jobpeer/intake_test.go
+++ b/internal/jobpeer/intake_test.go
@@ -32,26 +32,27 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// intakeSize is how large the site is that takes jobs.
+// intakeSize is the size of a site that accepts jobs.
 type intakeSize struct{ fronts, workers int }
 
-// Sites of a small customer, and of a large one.
+// Site sizes of a small and a large customer.
 var (
 	smallIntake = intakeSize{fronts: 9, workers: 4}
 	largeIntake = intakeSize{fronts: 120, workers: 60}
 )
 
-// The zones that fronts and workers are spread over before one store, and what may wait.
+// Zones of the fronts and workers, queue limits and network delay.
 const (
 	intakeZones = 4
-	// intakeBound is the route's bound, intakeSlack the part beyond it that may wait, as the users' contract has both.
+	// intakeBound is the route's limit of queued tokens, intakeSlack the fraction beyond it that may be queued. Both are those
+	// of the users' contract.
 	intakeBound, intakeSlack = 1_600_000, 0.1
-	// linkDelay is the way between two nodes, both directions together.
+	// linkDelay is the round-trip time between two nodes.
 	linkDelay = 2 * time.Millisecond
 )
 
-// intake is a site in simulated time without a network that takes jobs. Desks, the calls between nodes, workers, their disks and the
-// handing over are the real ones. No job runs, so that all that was taken waits.
+// intake is a site that accepts jobs in simulated time and without a network. Desks, the calls between nodes, workers, their
+// disks and the delivery from disk to store are the real ones. No job runs, so every accepted job remains queued.
 type intake struct {
 	t          *testing.T
 	data       *kvtest.Data
@@ -62,24 +63,25 @@
 	supervisor *tomb.Tomb
 
 	mutex sync.Mutex
-	// taken are the tokens of the jobs whose callers were told that they are taken, most the highest sum so far.
-	taken   map[ident.Job]int
-	waiting int
-	most    int
-	// refused counts the answers that promise that a job was not taken; unsure are the jobs of which some answer promised nothing.
-	refused int
-	unsure  map[ident.Job]bool
-	// handed are all jobs that were handed in.
-	handed map[ident.Job]bool
-}
-
-// intakeFront is a node that callers reach.
+	// accepted are the tokens of the jobs whose acceptance was reported to their callers, queued is their sum and maxQueued its maximum.
+	accepted  map[ident.Job]int
+	queued    int
+	maxQueued int
+	// refused counts the answers that definitely say that a job was not accepted; indefinite are the jobs with at least one
+	// indefinite answer.
+	refused    int
+	indefinite map[ident.Job]bool
+	// submitted are all submitted jobs.
+	submitted map[ident.Job]bool
+}
+
+// intakeFront is a node that accepts client requests.
 type intakeFront struct {
 	desk  *jobentry.Desk
 	store *intakeStore
 }
 
-// intakeWorker is a worker; while it is silent, or its process is gone, nothing reaches it and it reaches nothing.
+// intakeWorker is a worker. While it is unresponsive or its process is stopped, calls from and to it fail.
 type intakeWorker struct {
 	site   *intake
 	node   ident.Node
@@ -89,67 +91,67 @@
 	tomb   *tomb.Tomb
 	server *jobpeer.WorkerServer
 
-	mutex  sync.Mutex
-	silent bool
-	// old has it answer as a build that keeps no account.
-	old bool
+	mutex        sync.Mutex
+	unresponsive bool
+	// earlierBuild makes it answer like a build without queue accounts.
+	earlierBuild bool
 }
 
-func (w *intakeWorker) setSilent(silent bool) {
+func (w *intakeWorker) setUnresponsive(unresponsive bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.silent = silent
-	w.store.setSilent(silent)
+	w.unresponsive = unresponsive
+	w.store.setUnresponsive(unresponsive)
 }
 
-// setOld has the worker be of a build that keeps no account.
-func (w *intakeWorker) setOld() {
+// setEarlierBuild makes the worker answer like a build without queue accounts.
+func (w *intakeWorker) setEarlierBuild() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.old = true
+	w.earlierBuild = true
 }
 
-func (w *intakeWorker) isSilent() bool {
+func (w *intakeWorker) isUnresponsive() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.silent
+	return w.unresponsive
 }
 
-// intakeStore is a node's way to the store: its calls take time, or get no answer.
+// intakeStore is a node's connection to the store: its calls take time or get no answer.
 type intakeStore struct {
 	*kvtest.Paged
 
-	mutex  sync.Mutex
-	silent bool
-	takes  time.Duration
+	mutex        sync.Mutex
+	unresponsive bool
+	delay        time.Duration
 }
 
-func (s *intakeStore) setSilent(silent bool) {
+func (s *intakeStore) setUnresponsive(unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = silent
+	s.unresponsive = unresponsive
 }
 
-// setTakes sets how long each call takes.
-func (s *intakeStore) setTakes(takes time.Duration) {
+// setDelay sets the duration of each call.
+func (s *intakeStore) setDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.takes = takes
+	s.delay = delay
 }
 
-// pass waits for what a call takes, and fails where it gets no answer.
+// pass waits for the duration of a call, and fails if the call gets no answer.
 func (s *intakeStore) pass(ctx context.Context) error {
 	s.mutex.Lock()
-	silent, takes := s.silent, s.takes
+	unresponsive, delay := s.unresponsive, s.delay
 	s.mutex.Unlock()
-	if !silent && sleepFor(ctx, takes) {
+	if !unresponsive && sleepFor(ctx, delay) {
 		return nil
 	}
 	<-ctx.Done()
 	return kv.ErrOutcomeUnknown
 }
 
-// sleepFor waits, or returns false when ctx ends first.
+// sleepFor waits for the given time. It returns false if ctx ends first.
 func sleepFor(ctx context.Context, lasting time.Duration) bool {
 	select {
 	case <-time.After(lasting):
@@ -209,30 +211,30 @@
 	return s.Paged.KeepAlive(ctx, lease)
 }
 
-// intakeCall is a connection to a worker. What is said passes in its encoded form.
+// intakeCall is a connection to a worker. Replies pass in their encoded form.
 type intakeCall struct {
 	drpc.Conn
 	to *intakeWorker
-	// from is the worker that calls; nil is a front.
+	// from is the calling worker; nil for a front.
 	from *intakeWorker
 }
 
-// errNoSuchCall is what a worker answers that has no such call.
+// errNoSuchCall is the answer of a worker that does not have the call.
 const errNoSuchCall = failure.Kind("protocol error: unknown rpc")
 
 func (c *intakeCall) Invoke(ctx context.Context, method string, _ drpc.Encoding, in, out drpc.Message) error {
-	if !sleepFor(ctx, linkDelay) || c.to.isSilent() || (c.from != nil && c.from.isSilent()) {
+	if !sleepFor(ctx, linkDelay) || c.to.isUnresponsive() || (c.from != nil && c.from.isUnresponsive()) {
 		<-ctx.Done()
-		return errSilent
+		return errUnresponsive
 	}
 	c.to.mutex.Lock()
-	server, old := c.to.server, c.to.old
+	server, earlierBuild := c.to.server, c.to.earlierBuild
 	c.to.mutex.Unlock()
-	if old && strings.HasSuffix(method, "/Room") {
+	if earlierBuild && strings.HasSuffix(method, "/Room") {
 		return errNoSuchCall
 	}
 	if server == nil {
-		return errSilent
+		return errUnresponsive
 	}
 	for index := range (jobpeer.Description{}).NumMethods() {
 		name, _, receive, _, _ := jobpeer.Description{}.Method(index)
@@ -255,14 +257,17 @@
 // newIntake starts a site and waits until its workers are registered.
 func newIntake(t *testing.T, size intakeSize, seed uint64) *intake {
 	s := &intake{
-		t: t, data: kvtest.NewData(time.Now), random: rand.New(rand.NewPCG(seed, 0)), taken: map[ident.Job]int{},
-		unsure: map[ident.Job]bool{}, handed: map[ident.Job]bool{}, routes: &routetable.Table{}, supervisor: new(tomb.Tomb),
+		t: t, data: kvtest.NewData(time.Now), random: rand.New(rand.NewPCG(seed, 0)), accepted: map[ident.Job]int{},
+		indefinite: map[ident.Job]bool{}, submitted: map[ident.Job]bool{}, routes: &routetable.Table{}, supervisor: new(tomb.Tomb),
 	}
 	s.routes.Adopt(&work.Catalog{Version: 1, Routes: []work.Route{*intakeRoute()}})
 	s.supervisor.Go(func() error { <-s.supervisor.Dying(); return nil })
 	for index := range size.workers {
 		zone := ident.Zone(fmt.Sprint("z", index%intakeZones))
-		w := &intakeWorker{site: s, node: ident.Node(fmt.Sprint("w", index)), zone: zone, folder: filepath.Join(t.TempDir(), "handoff"), store: s.newStore()}
+		w := &intakeWorker{
+			site: s, node: ident.Node(fmt.Sprint("w", index)), zone: zone,
+			folder: filepath.Join(t.TempDir(), "handoff"), store: s.newStore(),
+		}
 		s.workers = append(s.workers, w)
 	}
 	for _, w := range s.workers {
@@ -278,12 +283,12 @@
 		s.supervisor.Kill(nil)
 		_ = s.supervisor.Wait()
 	})
-	time.Sleep(intakeStarts)
+	time.Sleep(startupPeriod)
 	return s
 }
 
-// intakeStarts is how long a site is left to itself before callers come: workers are registered and known then.
-const intakeStarts = 6 * time.Second
+// startupPeriod is the time until workers are registered and known, before jobs are submitted.
+const startupPeriod = 6 * time.Second
 
 func intakeRoute() *work.Route {
 	return &work.Route{
@@ -292,14 +297,14 @@
 	}
 }
 
-// storeCall is what a call of the store usually takes.
+// storeCall is the usual duration of a store call.
 const storeCall = 5 * time.Millisecond
 
 func (s *intake) newStore() *intakeStore {
-	return &intakeStore{Paged: kvtest.NewPaged(s.data), takes: storeCall}
+	return &intakeStore{Paged: kvtest.NewPaged(s.data), delay: storeCall}
 }
 
-// stores are the ways to the store of all nodes.
+// stores returns the store connections of all nodes.
 func (s *intake) stores() []*intakeStore {
 	var all []*intakeStore
 	for _, front := range s.fronts {
@@ -322,7 +327,7 @@
 	return &intakeFront{store: store, desk: &jobentry.Desk{Records: records, Holders: holders, Logger: zerolog.Nop(), Now: time.Now}}
 }
 
-// connect returns connections to workers as a node has them.
+// connect returns a node's connections to workers.
 func (s *intake) connect(from *intakeWorker) func(string) (drpc.Conn, error) {
 	return func(address string) (drpc.Conn, error) {
 		for _, w := range s.workers {
@@ -330,18 +335,19 @@
 				return &intakeCall{to: w, from: from}, nil
 			}
 		}
-		return nil, errSilent
+		return nil, errUnresponsive
 	}
 }
 
-// start begins the worker's process with the disk that it has.
-func (w *intakeWorker) start(again bool) {
+// start starts the worker's process with its current disk.
+func (w *intakeWorker) start(restarted bool) {
 	kept, err := handoff.Open(w.folder, 64<<20)
 	assert.NilError(w.site.t, err)
 	peers := &jobpeer.Peers{Connect: w.site.connect(w), Now: time.Now}
 	worker := &jobworker.Worker{
 		Node: w.node, Zone: w.zone, Address: string(w.node), Store: w.store, Records: w.site.newRecords(w.store), Runners: runnertable.New(w.zone),
-		Routes: w.site.routes, Options: jobworker.DefaultOptions, Handoff: kept, Readers: peers, Accounts: peers, Tolerance: 1, StartsAgain: again, Logger: zerolog.Nop(), Now: time.Now,
+		Routes: w.site.routes, Options: jobworker.DefaultOptions, Handoff: kept, Readers: peers, Accounts: peers,
+		Tolerance: 1, StartsAgain: restarted, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	process := new(tomb.Tomb)
 	worker.Start(process)
@@ -354,7 +360,7 @@
 	w.tomb, w.server = process, &jobpeer.WorkerServer{Worker: worker}
 }
 
-// stop ends the worker's process as a kill does: nothing is given up.
+// stop stops the worker's process like a kill, without releasing anything.
 func (w *intakeWorker) stop() {
 	w.mutex.Lock()
 	process := w.tomb
@@ -366,20 +372,20 @@
 	}
 }
 
-// intakeJob is a job that a caller hands in.
+// intakeJob is a job that a caller submits.
 type intakeJob struct {
 	id     ident.Job
 	tokens int
 }
 
-// call hands a job in as the users' clients do: at another front after each refusal or failure, until the time is over.
-func (s *intake) call(job intakeJob, patience time.Duration) {
-	end := time.Now().Add(patience)
+// call submits a job like the users' clients: it retries at a random front after each refusal or failure, until the timeout.
+func (s *intake) call(job intakeJob, timeout time.Duration) {
+	end := time.Now().Add(timeout)
 	for time.Now().Before(end) {
 		s.mutex.Lock()
 		front := s.fronts[s.random.IntN(len(s.fronts))]
 		s.mutex.Unlock()
-		err := s.hand(front, job)
+		err := s.submit(front, job)
 		if err == nil {
 			return
 		}
@@ -392,44 +398,46 @@
 	}
 }
 
-// hand hands a job in at a front and checks the bound where it is taken.
-func (s *intake) hand(front *intakeFront, job intakeJob) error {
+// submit submits a job at a front and counts its tokens if it is accepted.
+func (s *intake) submit(front *intakeFront, job intakeJob) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	submission := &jobrecord.Submission{ID: job.id, Route: "r", Host: "h", Zone: "z0"}
 	const items = 16
 	for index := range items {
-		submission.Items = append(submission.Items, work.Item{ID: ident.Request(fmt.Sprint(job.id, "-", index)), Path: "/p/x", Tokens: job.tokens / items, Body: []byte("body")})
+		submission.Items = append(submission.Items, work.Item{
+			ID: ident.Request(fmt.Sprint(job.id, "-", index)), Path: "/p/x", Tokens: job.tokens / items, Body: []byte("body"),
+		})
 	}
 	err := front.desk.Accept(ctx, intakeRoute(), submission)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.handed[job.id] = true
+	s.submitted[job.id] = true
 	if err != nil && failure.As(err).Outcome == outcome.NotRun {
 		s.refused++
 		return err
 	}
 	if err != nil {
-		s.unsure[job.id] = true
+		s.indefinite[job.id] = true
 		return err
 	}
-	if _, known := s.taken[job.id]; !known {
-		s.taken[job.id] = submission.Tokens()
-		s.waiting += submission.Tokens()
-		s.most = max(s.most, s.waiting)
+	if _, known := s.accepted[job.id]; !known {
+		s.accepted[job.id] = submission.Tokens()
+		s.queued += submission.Tokens()
+		s.maxQueued = max(s.maxQueued, s.queued)
 	}
 	return nil
 }
 
-// burst hands jobs in over a time, and waits until each is taken or given up.
-func (s *intake) burst(jobs, tokens int, over, patience time.Duration) {
+// burst submits jobs spread over a period, and waits until each is accepted or given up.
+func (s *intake) burst(jobs, tokens int, over, timeout time.Duration) {
 	var callers sync.WaitGroup
 	for index := range jobs {
 		job := intakeJob{id: ident.Job(fmt.Sprintf("j-%d-%03d", time.Now().UnixMilli(), index)), tokens: tokens}
 		after := time.Duration(s.draw() * float64(over))
 		callers.Go(func() {
 			time.Sleep(after)
-			s.call(job, patience)
+			s.call(job, timeout)
 		})
 	}
 	callers.Wait()
--- a/internal/jobpeer/keep.go
+++ b/internal/jobpeer/keep.go
@@ -17,23 +17,24 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// keepTimeout bounds the writing of a job to a worker's disk, beside callSlack.
+// keepTimeout is the time allowed for a worker to write a job to its disk, in addition to callSlack.
 const keepTimeout = 600 * time.Millisecond
 
-// Keep has workers put a job on their disks until the store takes it. bound is what may wait on the route by the workers' own count; zero
-// asks for none, because the job's room is reserved. A nil error means that enough of them did for the
-// job to be durable. Any other is a *failure.Error: its outcome is NotRun only where no worker can have the job.
+// Keep has workers write a job to their disks until the store accepts it. bound is the maximum of tokens queued on the route
+// by the workers' own count; zero disables that check because the job's capacity is already reserved. Keep returns nil if
+// enough workers wrote the job for it to be durable. Any other result is a *failure.Error, whose outcome is NotRun only if no
+// worker can have the job.
 func (h *Holders) Keep(ctx context.Context, bound int, submission *jobrecord.Submission) error {
 	h.readWorkers(ctx)
-	keeping := &keeping{
-		holders: h, candidates: h.keepers(), needed: h.Copies,
+	keepOperation := &keepOperation{
+		holders: h, candidates: h.keepCandidates(), needed: h.Copies,
 		bound: bound, submission: submission, accepted: h.Now(), date: clock.Date(),
 	}
-	return keeping.run(ctx)
+	return keepOperation.run(ctx)
 }
 
-// keeping is the putting of one job on the disks of workers.
-type keeping struct {
+// keepOperation is the state of writing one job to the disks of workers.
+type keepOperation struct {
 	holders    *Holders
 	candidates []string
 	// needed is the number of workers that must have the job.
@@ -41,57 +42,61 @@
 	bound      int
 	submission *jobrecord.Submission
 	accepted   time.Time
-	// date is the same as the time of day: it stays with the job.
+	// date is the wall-clock time that corresponds to accepted; it is stored with the job.
 	date     time.Time
 	asked    int
 	answered int
-	kept     int
-	// told is Unknown once a worker may have the job without having said so.
-	told    outcome.Outcome
-	refused *failure.Error
+	stored   int
+	// jobOutcome is Unknown once a worker may have the job without having confirmed it.
+	jobOutcome outcome.Outcome
+	refused    *failure.Error
 }
 
-// spareKeepers is how many workers more than needed are asked at once, so that one that is slow or gone costs no time.
-const spareKeepers = 1
+// spareCandidates is the number of additional workers asked at once, so that one slow or failed worker adds no delay.
+const spareCandidates = 1
 
-// run asks workers until enough have the job or none is left to ask.
-func (k *keeping) run(ctx context.Context) error {
-	k.told = outcome.NotRun
+// run asks workers until enough of them have the job or no candidate is left.
+func (k *keepOperation) run(ctx context.Context) error {
+	k.jobOutcome = outcome.NotRun
 	if k.needed < 1 || len(k.candidates) < k.needed {
-		return failure.New(failure.CodeShardUnavailable, "%d workers are known and %d must keep the job", len(k.candidates), k.needed)
+		return failure.New(failure.CodeShardUnavailable, "%d workers are known but %d must store the job", len(k.candidates), k.needed)
 	}
 	replies := make(chan *KeepReply, len(k.candidates))
-	for k.asked < min(k.needed+spareKeepers, len(k.candidates)) {
+	for k.asked < min(k.needed+spareCandidates, len(k.candidates)) {
 		k.ask(ctx, replies)
 	}
 	for answered := 0; answered < k.asked; answered++ {
-		if k.take(<-replies) {
+		if k.record(<-replies) {
 			return nil
 		}
-		if k.unheard() {
+		if k.unanswered() {
 			return k.failure()
 		}
-		if k.asked < len(k.candidates) && k.kept+k.asked-answered-1 < k.needed {
+		if k.asked < len(k.candidates) && k.stored+k.asked-answered-1 < k.needed {
 			k.ask(ctx, replies)
 		}
 	}
 	return k.failure()
 }
 
-// unheard says that none of the first workers has answered in the time that one may take. The node is cut off, as a rule: asking the
-// others, each as long, would hold the caller to its deadline, and another node may reach them.
-func (k *keeping) unheard() bool {
+// unanswered reports whether none of the first workers answered within one call's timeout. This node is then usually partitioned.
+// Asking the remaining workers, each with the same timeout, would delay the answer up to the caller's deadline, while another
+// node may reach them.
+func (k *keepOperation) unanswered() bool {
 	return k.answered == 0 && k.holders.Now().Sub(k.accepted) >= keepTimeout+callSlack
 }
 
-// ask sends the job to the next worker. Each call has a tomb of its own: one whose calls all ended takes no more.
-func (k *keeping) ask(ctx context.Context, replies chan<- *KeepReply) {
+// ask sends the job to the next worker. Each call gets a new tomb, because a tomb whose goroutines have all ended accepts no
+// more.
+func (k *keepOperation) ask(ctx context.Context, replies chan<- *KeepReply) {
 	address, turn := k.candidates[k.asked], k.asked
 	k.asked++
 	k.submission.Hold()
 	new(tomb.Tomb).Go(func() error {
 		defer k.submission.LetGo()
-		request := &KeepRequest{Entry: handoff.NewEntry(k.submission, k.date, turn), MaximumQueuedTokens: k.bound, Copies: k.needed + spareKeepers}
+		request := &KeepRequest{
+			Entry: handoff.NewEntry(k.submission, k.date, turn), MaximumQueuedTokens: k.bound, Copies: k.needed + spareCandidates,
+		}
 		reply := &KeepReply{}
 		if !k.holders.ask(ctx, address, methodKeep, request, reply, keepTimeout) {
 			reply = nil
@@ -101,49 +106,50 @@
 	})
 }
 
-// take notes a worker's answer, or that none came, and says whether the job is durable.
-func (k *keeping) take(reply *KeepReply) bool {
+// record records a worker's reply, nil if none came, and reports whether the job is durable.
+func (k *keepOperation) record(reply *KeepReply) bool {
 	if reply != nil {
 		k.answered++
 	}
 	switch {
 	case reply == nil:
-		k.told = outcome.Unknown
+		k.jobOutcome = outcome.Unknown
 	case reply.Kept:
-		k.kept++
+		k.stored++
 	default:
-		k.told = outcome.Join(k.told, reply.Outcome)
+		k.jobOutcome = outcome.Join(k.jobOutcome, reply.Outcome)
 		k.refused = reply.failure()
 	}
-	return k.kept >= k.needed
+	return k.stored >= k.needed
 }
 
-// failure is what the caller is told of a job that too few workers have.
-func (k *keeping) failure() error {
-	if k.unheard() {
-		return failure.New(failure.CodeOutcomeUnknown, "none of %d workers answered", k.asked).WithOutcome(outcome.Unknown).
+// failure returns the error for a job that too few workers have.
+func (k *keepOperation) failure() error {
+	if k.unanswered() {
+		return failure.New(failure.CodeOutcomeUnknown, "no answer from %d workers", k.asked).WithOutcome(outcome.Unknown).
 			WithCause(fmt.Errorf("%w: %d asked", handoff.ErrNobodyAnswers, k.asked))
 	}
-	if k.kept > 0 || k.told != outcome.NotRun {
-		return failure.New(failure.CodeOutcomeUnknown, "%d of %d workers have the job", k.kept, k.needed).WithOutcome(outcome.Unknown)
+	if k.stored > 0 || k.jobOutcome != outcome.NotRun {
+		return failure.New(failure.CodeOutcomeUnknown, "only %d of %d required workers have stored the job", k.stored, k.needed).
+			WithOutcome(outcome.Unknown)
 	}
 	return k.refused
 }
 
-// failure is the worker's refusal.
+// failure returns the worker's refusal as an error.
 func (r *KeepReply) failure() *failure.Error {
 	return failure.New(r.Code, "%s", r.Message).WithOutcome(r.Outcome).WithRetryAfter(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
 
-// keepers returns the addresses of the workers that are not avoided, in the order in which they are to be asked: one of
-// each zone by turns, the node's own zone first, so that the copies of a job lie in different zones where they can.
-func (h *Holders) keepers() []string {
+// keepCandidates returns the addresses of the workers that are not skipped, in the order in which they are asked: one of each zone in
+// turn, starting with this node's zone, so that the copies of a job are in different zones if possible.
+func (h *Holders) keepCandidates() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var zones []ident.Zone
 	byZone := map[ident.Zone][]string{}
 	for _, worker := range h.workers.Value() {
-		if h.Now().Before(h.avoided[worker.Address]) {
+		if h.Now().Before(h.skippedUntil[worker.Address]) {
 			continue
 		}
 		if !slices.Contains(zones, worker.Zone) {
@@ -161,12 +167,12 @@
 	return ordered
 }
 
-// Pending says whether a worker has a job on its disk that the store may not have yet. sure is false where a worker may have
-// it that is not asked or did not answer. It asks the workers that are registered now and those known from a while before:
-// registrations go with their leases in an outage, and the disks stay.
+// Pending reports whether a worker has a job on its disk that the store may not have yet. sure is false if a worker that may
+// have the job was not asked or did not answer. Pending asks the registered workers and those that were registered recently:
+// in an outage registrations expire with their leases, but the disks remain.
 func (h *Holders) Pending(ctx context.Context, job ident.Job) (pending, sure bool) {
 	registered, err := h.Records.Workers(ctx)
-	workers := h.everyKeeper(registered)
+	workers := h.possibleHolders(registered)
 	sure = err == nil && len(workers) > 0
 	for _, address := range workers {
 		reply := &PendingReply{}
@@ -182,30 +188,31 @@
 	return false, sure
 }
 
-// rememberedFor is how long a worker that is not registered any more is thought to keep jobs: longer than an outage takes
-// it off the list.
-const rememberedFor = time.Minute
+// registrationMemory is how long a worker that is no longer registered is assumed to have jobs on disk. It is longer than an outage
+// keeps a worker off the list.
+const registrationMemory = time.Minute
 
-// everyKeeper returns the addresses of the workers that are registered, and of those known lately.
-func (h *Holders) everyKeeper(registered []jobrecord.Worker) []string {
+// possibleHolders returns the addresses of the registered workers and of those registered recently.
+func (h *Holders) possibleHolders(registered []jobrecord.Worker) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.rememberKeepers(registered)
-	return slices.Sorted(maps.Keys(h.keepersSeen))
+	h.recordRegistered(registered)
+	return slices.Sorted(maps.Keys(h.lastRegistered))
 }
 
-// rememberKeepers notes that workers are there, and forgets those that were not for long. The caller holds the mutex.
-func (h *Holders) rememberKeepers(workers []jobrecord.Worker) {
+// recordRegistered records that workers are registered, and removes those last seen more than registrationMemory ago. The caller
+// holds the mutex.
+func (h *Holders) recordRegistered(workers []jobrecord.Worker) {
 	now := h.Now()
-	if h.keepersSeen == nil {
-		h.keepersSeen = map[string]time.Time{}
+	if h.lastRegistered == nil {
+		h.lastRegistered = map[string]time.Time{}
 	}
 	for _, worker := range workers {
-		h.keepersSeen[worker.Address] = now
+		h.lastRegistered[worker.Address] = now
 	}
-	for address, seen := range h.keepersSeen {
-		if now.Sub(seen) > rememberedFor {
-			delete(h.keepersSeen, address)
+	for address, seen := range h.lastRegistered {
+		if now.Sub(seen) > registrationMemory {
+			delete(h.lastRegistered, address)
 		}
 	}
 }
@@ -216,8 +223,10 @@
 	if err == nil {
 		return &KeepReply{Kept: true}, nil
 	}
-	told := failure.As(err)
-	return &KeepReply{Code: told.Code, Message: told.Message, Outcome: told.Outcome, RetryAfterMs: told.RetryAfter.Milliseconds()}, nil
+	refusal := failure.As(err)
+	return &KeepReply{
+		Code: refusal.Code, Message: refusal.Message, Outcome: refusal.Outcome, RetryAfterMs: refusal.RetryAfter.Milliseconds(),
+	}, nil
 }
 
 // Pending implements Server.
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -25,31 +25,31 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// errSilent is the answer of a worker that does not answer.
-const errSilent = failure.Kind("test: silent")
+// errUnresponsive is the error of a call to an unresponsive worker.
+const errUnresponsive = failure.Kind("test: worker does not answer")
 
-// peer is a connection to a worker that answers as the test says.
+// peer is a connection to a worker with preset answers.
 type peer struct {
 	drpc.Conn
-	keep    jobpeer.KeepReply
-	pending bool
-	doubt   bool
-	silent  bool
-	feed    fleetfeed.Snapshot
-	asked   chan *jobpeer.KeepRequest
-	// takes is what passes while a silent worker is waited for; nil is nothing.
-	takes func()
+	keep         jobpeer.KeepReply
+	pending      bool
+	doubt        bool
+	unresponsive bool
+	feed         fleetfeed.Snapshot
+	asked        chan *jobpeer.KeepRequest
+	// delay runs during a call to an unresponsive worker, to advance the clock; nil does nothing.
+	delay func()
 }
 
 func (p *peer) Invoke(_ context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
 	if request, isKeep := in.(*jobpeer.KeepRequest); isKeep {
 		p.asked <- request
 	}
-	if p.silent && p.takes != nil {
-		p.takes()
+	if p.unresponsive && p.delay != nil {
+		p.delay()
 	}
-	if p.silent {
-		return errSilent
+	if p.unresponsive {
+		return errUnresponsive
 	}
 	switch reply := out.(type) {
 	case *jobpeer.KeepReply:
@@ -63,11 +63,11 @@
 }
 
 var (
-	keeps  = jobpeer.KeepReply{Kept: true}
-	isFull = jobpeer.KeepReply{Code: failure.CodeJobQuota, Message: "full", Outcome: outcome.NotRun, RetryAfterMs: 500}
+	keptReply = jobpeer.KeepReply{Kept: true}
+	fullReply = jobpeer.KeepReply{Code: failure.CodeJobQuota, Message: "full", Outcome: outcome.NotRun, RetryAfterMs: 500}
 )
 
-// newHolders registers a worker for each peer, in the zones given, of which two must keep a job.
+// newHolders registers a worker in the given zone for each peer. Two of them must store a job.
 func newHolders(t *testing.T, zones []ident.Zone, peers ...*peer) *jobpeer.Holders {
 	t.Helper()
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
@@ -96,70 +96,72 @@
 var oneZone = []ident.Zone{"z", "z", "z", "z"}
 
 func TestEnoughWorkersMakeAJobDurable(t *testing.T) {
-	assert.NilError(t, keep(newHolders(t, oneZone, &peer{keep: keeps}, &peer{silent: true}, &peer{keep: keeps})))
+	assert.NilError(t, keep(newHolders(t, oneZone, &peer{keep: keptReply}, &peer{unresponsive: true}, &peer{keep: keptReply})))
 	// The fourth is asked once it is clear that the first three are not enough.
-	assert.NilError(t, keep(newHolders(t, oneZone, &peer{keep: keeps}, &peer{silent: true}, &peer{keep: isFull}, &peer{keep: keeps})))
+	assert.NilError(t, keep(newHolders(t, oneZone,
+		&peer{keep: keptReply}, &peer{unresponsive: true}, &peer{keep: fullReply}, &peer{keep: keptReply})))
 }
 
-func TestTooFewCopiesPromiseNothing(t *testing.T) {
-	for name, second := range map[string]*peer{"silent": {silent: true}, "full": {keep: isFull}} {
-		err := keep(newHolders(t, oneZone, &peer{keep: keeps}, second))
+func TestTooFewCopiesGiveAnUnknownOutcome(t *testing.T) {
+	for name, second := range map[string]*peer{"silent": {unresponsive: true}, "full": {keep: fullReply}} {
+		err := keep(newHolders(t, oneZone, &peer{keep: keptReply}, second))
 		assert.Equal(t, failure.As(err).Outcome, outcome.Unknown, name)
 	}
 	// A worker that did not answer may have the job.
-	err := keep(newHolders(t, oneZone, &peer{silent: true}, &peer{keep: isFull}))
+	err := keep(newHolders(t, oneZone, &peer{unresponsive: true}, &peer{keep: fullReply}))
 	assert.Equal(t, failure.As(err).Outcome, outcome.Unknown)
 }
 
-// TestNodeThatHearsNobodyAsksNoFurther has none of the first workers answer in the time that one may take: the others are not asked
-// one after the other, which would hold the caller to its deadline. Workers that refuse at once are passed over.
-func TestNodeThatHearsNobodyAsksNoFurther(t *testing.T) {
+// TestNodeWithoutAnswersStopsAskingWorkers has none of the first workers answer within a call's timeout. The others must not be
+// asked one after the other, which would delay the answer up to the caller's deadline. If the first workers fail quickly, all
+// others are asked.
+func TestNodeWithoutAnswersStopsAskingWorkers(t *testing.T) {
 	const workers = 12
-	for takes, wanted := range map[time.Duration]int{time.Second: 3, time.Millisecond: workers} {
-		simulated.Test(t, func(t *testing.T) { askSilentWorkers(t, workers, takes, wanted) })
+	for delay, wanted := range map[time.Duration]int{time.Second: 3, time.Millisecond: workers} {
+		simulated.Test(t, func(t *testing.T) { askUnresponsiveWorkers(t, workers, delay, wanted) })
 	}
 }
 
-// askSilentWorkers has a job kept by workers that are silent for a time each, and checks how many are asked.
-func askSilentWorkers(t *testing.T, workers int, takes time.Duration, wanted int) {
+// askUnresponsiveWorkers submits a job to unresponsive workers whose calls take the given time, and checks how many are asked.
+func askUnresponsiveWorkers(t *testing.T, workers int, delay time.Duration, wanted int) {
 	var zones []ident.Zone
 	var peers []*peer
 	for range workers {
-		zones, peers = append(zones, "z"), append(peers, &peer{silent: true})
+		zones, peers = append(zones, "z"), append(peers, &peer{unresponsive: true})
 	}
 	holders := newHolders(t, zones, peers...)
 	var since atomic.Int64
 	start := time.Now()
 	holders.Now = func() time.Time { return start.Add(time.Duration(since.Load())) }
 	for _, p := range peers {
-		p.takes = func() { since.Add(int64(takes)) }
+		p.delay = func() { since.Add(int64(delay)) }
 	}
 	err := keep(holders)
-	// The first are asked beside each other: one may have answered before another was asked.
+	// The first workers are asked concurrently: one may have answered before another was asked.
 	synctest.Wait()
 	asked := 0
 	for _, p := range peers {
 		asked += len(p.asked)
 	}
 	assert.Equal(t, asked, wanted)
-	assert.Equal(t, errors.Is(err, handoff.ErrNobodyAnswers), takes == time.Second)
+	assert.Equal(t, errors.Is(err, handoff.ErrNobodyAnswers), delay == time.Second)
 	assert.Equal(t, failure.As(err).Outcome, outcome.Unknown)
 }
 
 func TestJobThatNoWorkerHasIsRefused(t *testing.T) {
-	err := keep(newHolders(t, oneZone, &peer{keep: isFull}, &peer{keep: isFull}))
+	err := keep(newHolders(t, oneZone, &peer{keep: fullReply}, &peer{keep: fullReply}))
 	assert.Equal(t, failure.As(err).Code, failure.CodeJobQuota)
 	assert.Equal(t, failure.As(err).Outcome, outcome.NotRun)
 
-	alone := &peer{keep: keeps}
+	alone := &peer{keep: keptReply}
 	err = keep(newHolders(t, oneZone, alone))
 	assert.Equal(t, failure.As(err).Outcome, outcome.NotRun)
-	assert.Equal(t, len(alone.asked), 0, "a worker was given a job that cannot become durable")
+	assert.Equal(t, len(alone.asked), 0, "a worker was asked to store a job that cannot become durable")
 }
 
 func TestCopiesLieInDifferentZones(t *testing.T) {
-	far := &peer{keep: keeps}
-	holders := newHolders(t, []ident.Zone{"z", "z", "z", "y"}, &peer{keep: keeps}, &peer{keep: keeps}, &peer{keep: keeps}, far)
+	far := &peer{keep: keptReply}
+	holders := newHolders(t, []ident.Zone{"z", "z", "z", "y"}, &peer{keep: keptReply}, &peer{keep: keptReply}, &peer{keep: keptReply}, far)
 	assert.NilError(t, keep(holders))
 	assert.Equal(t, (<-far.asked).Entry.Turn, 1)
 }
@@ -170,20 +172,20 @@
 	assert.Assert(t, pending && sure)
 	pending, sure = newHolders(t, oneZone, &peer{}, &peer{}).Pending(ctx, "j")
 	assert.Assert(t, !pending && sure)
-	_, sure = newHolders(t, oneZone, &peer{}, &peer{silent: true}).Pending(ctx, "j")
+	_, sure = newHolders(t, oneZone, &peer{}, &peer{unresponsive: true}).Pending(ctx, "j")
 	assert.Assert(t, !sure)
 	_, sure = newHolders(t, oneZone).Pending(ctx, "j")
-	assert.Assert(t, !sure, "nobody was asked")
+	assert.Assert(t, !sure, "no worker was asked")
 	_, sure = newHolders(t, oneZone, &peer{}, &peer{doubt: true}).Pending(ctx, "j")
-	assert.Assert(t, !sure, "a worker that keeps the job may not be registered again")
+	assert.Assert(t, !sure, "a worker with the job may not be registered again yet")
 }
 
-// TestWorkerThatIsNotRegisteredAnyMoreIsStillAsked has the registration of the worker that keeps a job go with its lease, as
-// in an outage: the job is not denied.
+// TestWorkerThatIsNotRegisteredAnyMoreIsStillAsked removes the registration of the worker that has a job on disk, as happens
+// in an outage when its lease expires. The job must still be found.
 func TestWorkerThatIsNotRegisteredAnyMoreIsStillAsked(t *testing.T) {
 	ctx := context.Background()
-	keeper := &peer{keep: keeps, pending: true}
-	holders := newHolders(t, oneZone, &peer{keep: keeps}, keeper)
+	keeper := &peer{keep: keptReply, pending: true}
+	holders := newHolders(t, oneZone, &peer{keep: keptReply}, keeper)
 	assert.NilError(t, keep(holders))
 	other, err := holders.Records.Workers(ctx)
 	assert.NilError(t, err)
@@ -197,10 +199,10 @@
 	assert.Assert(t, pending)
 }
 
-// TestFrontLearnsOfWorkersFromAWorker has a worker name one that came after the front's own reading: only with it are there
-// enough to keep a job.
-func TestFrontLearnsOfWorkersFromAWorker(t *testing.T) {
-	first := &peer{keep: keeps}
+// TestFrontUsesWorkerListOfAWorker has a worker list one that registered after the front's own read of the list. Only with
+// it are there enough workers to store a job.
+func TestFrontUsesWorkerListOfAWorker(t *testing.T) {
+	first := &peer{keep: keptReply}
 	holders := newHolders(t, oneZone, first)
 	assert.Assert(t, keep(holders) != nil)
 	source := &jobpeer.WorkerFeed{Holders: holders}
@@ -210,17 +212,18 @@
 	}
 	_, err := source.Next(context.Background(), &fleetfeed.Known{})
 	assert.NilError(t, err)
-	assert.Assert(t, keep(holders) != nil, "the word of a worker that is cut off was taken")
+	assert.Assert(t, keep(holders) != nil, "the list of a partitioned worker was used")
 	first.feed.RunnersAgeMs = 200
 	_, err = source.Next(context.Background(), &fleetfeed.Known{})
 	assert.NilError(t, err)
 	assert.NilError(t, keep(holders))
 }
 
-// TestWorkersThatAreToldOnceAreLearnedLater has a worker tell the others with a reading that is too old, and with the next one that they are the
-// same. One that names none, and has another print, does not know them.
-func TestWorkersThatAreToldOnceAreLearnedLater(t *testing.T) {
-	first := &peer{keep: keeps}
+// TestUnchangedWorkerListIsReused has a worker send the list of workers with a read that is too old, and then only
+// the unchanged fingerprint with a newer read: the front must use the earlier list. A snapshot without workers and with
+// another fingerprint stands for an unknown list.
+func TestUnchangedWorkerListIsReused(t *testing.T) {
+	first := &peer{keep: keptReply}
 	holders := newHolders(t, oneZone, first)
 	source := &jobpeer.WorkerFeed{Holders: holders}
 	known := &fleetfeed.Known{}
@@ -246,9 +249,9 @@
 	assert.NilError(t, keep(holders))
 }
 
-// TestOlderListOfWorkersIsPassedOver has what a worker told overtaken by a newer reading.
-func TestOlderListOfWorkersIsPassedOver(t *testing.T) {
-	holders := newHolders(t, oneZone, &peer{keep: keeps}, &peer{keep: keeps})
+// TestOlderWorkerListIsIgnored checks that a list from another node does not replace a newer one.
+func TestOlderWorkerListIsIgnored(t *testing.T) {
+	holders := newHolders(t, oneZone, &peer{keep: keptReply}, &peer{keep: keptReply})
 	assert.NilError(t, keep(holders))
 	holders.Learn(nil, holders.Now().Add(-time.Minute))
 	assert.NilError(t, keep(holders))
@@ -256,8 +259,8 @@
 	assert.Assert(t, keep(holders) != nil)
 }
 
-// TestFrontThatStartsAsksSeeds has a front that knows no worker ask the seeds by turns, without a call of the records, until one
-// tells it of the others or the time for that is over.
+// TestFrontThatStartsAsksSeeds has a front without known workers call the seeds in turn, without reading the records, until
+// SeedsFor has passed. Then it reads the records once, and calls a listed worker as soon as there is one.
 func TestFrontThatStartsAsksSeeds(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	store := kvtest.NewPaged(kvtest.NewData(func() time.Time { return now }))
@@ -280,25 +283,25 @@
 	now = now.Add(1100 * time.Millisecond)
 	_, err := source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
-	assert.Equal(t, store.Calls(), 1, "seeds that do not answer are asked for a moment only")
+	assert.Equal(t, store.Calls(), 1, "seeds that do not answer are only called until SeedsFor has passed")
 	holders.Learn([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
 	_, err = source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, asked[len(asked)-1], "w")
 }
 
-// TestCallsToWorkersTellWhetherAnybodyAnswers has workers fall silent: the node is told so with the calls that it makes anyway, and
-// of the first that answers again.
-func TestCallsToWorkersTellWhetherAnybodyAnswers(t *testing.T) {
-	peers := []*peer{{silent: true}, {silent: true}, {silent: true}, {silent: true, keep: keeps}}
+// TestCallsToWorkersUpdateReachability has workers become unresponsive: the reach.Watch must report that from the
+// regular calls, and also the first worker that answers again.
+func TestCallsToWorkersUpdateReachability(t *testing.T) {
+	peers := []*peer{{unresponsive: true}, {unresponsive: true}, {unresponsive: true}, {unresponsive: true, keep: keptReply}}
 	holders := newHolders(t, oneZone, peers...)
 	holders.Copies, holders.Heard = 3, &reach.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
 	assert.Assert(t, keep(holders) != nil)
 	assert.Assert(t, holders.Heard.Deaf(later()))
 
-	peers[3].silent = false
+	peers[3].unresponsive = false
 	holders.Now = func() time.Time { return time.Now().Add(5 * time.Second) }
-	assert.Assert(t, keep(holders) != nil, "one of three is too few")
+	assert.Assert(t, keep(holders) != nil, "one of three copies is too few")
 	assert.Assert(t, !holders.Heard.Deaf(time.Now().Add(6*time.Second)))
 }
--- a/internal/jobpeer/leader.go
+++ b/internal/jobpeer/leader.go
@@ -12,30 +12,30 @@
 	"mallowlatch.example/mallowlatch/internal/follower"
 )
 
-// LeaderFeed lets the workers read the registry through one of them, so that its price does not rise with their number.
-// It implements follower.Source. It is no lock: while workers come and go several may read, or one reads in vain and the
-// others read for themselves.
+// LeaderFeed lets workers read the registry through one of them, so that the load on the store does not grow with the number
+// of workers. It implements follower.Source. It does not elect an exclusive reader: while workers start and stop, several may
+// read, or the reader may fail and the others read for themselves.
 type LeaderFeed struct {
-	// Reader returns the address of the worker that reads for this one, and false where that is this node or none answers.
-	Reader func(avoided func(address string) bool) (address string, other bool)
-	// InLine says whether this worker is one of those that read for others.
-	InLine func() bool
-	// Connect returns a connection to an address.
+	// Reader returns the address of the worker that reads for this one. It returns false if that is this node or no reader
+	// answers.
+	Reader func(skipped func(address string) bool) (address string, other bool)
+	// InLine reports whether this worker is one of those that may read for others.
+	InLine  func() bool
 	Connect func(address string) (drpc.Conn, error)
 	Now     func() time.Time
 
-	avoidance avoidance
-	// old holds the workers that answer and told what was too old: the store may turn them away alone.
-	old avoidance
+	skippedAddresses skippedAddresses
+	// stale holds the workers that answer with stale state: the store may refuse only them.
+	stale skippedAddresses
 
 	mutex sync.Mutex
-	// asked is the address of the call in progress, stop ends it; last is the one asked last.
-	asked, last string
-	stop        context.CancelFunc
+	// current is the address of the call in progress, and stop cancels that call; last is the address called most recently.
+	current, last string
+	stop          context.CancelFunc
 }
 
-// Next implements follower.Source. The call is given up where this node is to read itself meanwhile: the others wait for it, and
-// what it was told is as old as what they were.
+// Next implements follower.Source. It cancels the call if this node becomes the reader meanwhile: the other workers then wait
+// for this one, and the answer would be as old as theirs.
 func (l *LeaderFeed) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
 	address, other := l.reader()
 	if !other {
@@ -43,30 +43,30 @@
 	}
 	call, stop := context.WithCancel(ctx)
 	defer stop()
-	l.begin(address, stop)
-	defer l.begin("", nil)
+	l.setCall(address, stop)
+	defer l.setCall("", nil)
 	connection, err := l.Connect(address)
 	if err != nil {
-		l.avoid(address)
+		l.skip(address)
 		return nil, err
 	}
 	snapshot, err := fleetfeed.Ask(call, connection, known)
 	switch {
 	case err == nil:
-		// Workers follow each other by themselves: they need not be told of them again.
+		// Workers follow each other directly and do not need the list of workers again.
 		known.WorkersPrint = snapshot.WorkersPrint
 		return snapshot, nil
 	case call.Err() != nil && ctx.Err() == nil:
 		return nil, follower.ErrReadAlone
 	}
-	l.avoid(address)
+	l.skip(address)
 	return nil, err
 }
 
-func (l *LeaderFeed) begin(address string, stop context.CancelFunc) {
+func (l *LeaderFeed) setCall(address string, stop context.CancelFunc) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.asked, l.stop = address, stop
+	l.current, l.stop = address, stop
 	if address != "" {
 		l.last = address
 	}
@@ -76,25 +76,26 @@
 func (l *LeaderFeed) PassOver() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.old.avoid(l.last, l.Now())
+	l.stale.skip(l.last, l.Now())
 }
 
-// reader returns the worker to ask: the first in line that answers and tells what is new, and otherwise one that answers, unless this
-// worker is in line itself. While the store is away from all, what they tell is old, and one or two are to look for its return.
+// reader returns the worker to ask: the first eligible reader that answers with current state. If there is none and this
+// worker is not eligible itself, it returns any reader that answers. During an outage of the store for all nodes every answer
+// is stale, and only one or two workers should poll the store for its return.
 func (l *LeaderFeed) reader() (string, bool) {
-	address, other := l.Reader(func(address string) bool { return l.avoids(address) || l.old.avoids(address, l.Now()) })
+	address, other := l.Reader(func(address string) bool { return l.skips(address) || l.stale.skips(address, l.Now()) })
 	if other || l.InLine() {
 		return address, other
 	}
-	return l.Reader(l.avoids)
+	return l.Reader(l.skips)
 }
 
-// Changed has the call in progress end where this node is to read itself now.
+// Changed cancels the call in progress if this node has to read the registry itself now.
 func (l *LeaderFeed) Changed() {
 	l.mutex.Lock()
-	asked, stop := l.asked, l.stop
+	current, stop := l.current, l.stop
 	l.mutex.Unlock()
-	if asked == "" {
+	if current == "" {
 		return
 	}
 	if _, other := l.reader(); !other {
@@ -102,28 +103,28 @@
 	}
 }
 
-func (l *LeaderFeed) avoids(address string) bool { return l.avoidance.avoids(address, l.Now()) }
+func (l *LeaderFeed) skips(address string) bool { return l.skippedAddresses.skips(address, l.Now()) }
 
-func (l *LeaderFeed) avoid(address string) { l.avoidance.avoid(address, l.Now()) }
+func (l *LeaderFeed) skip(address string) { l.skippedAddresses.skip(address, l.Now()) }
 
-// avoidance is until when addresses are left alone after a call in vain. It is safe for concurrent use.
-type avoidance struct {
+// skippedAddresses records until when addresses are skipped after a failed call. It is safe for concurrent use.
+type skippedAddresses struct {
 	mutex sync.Mutex
 	until map[string]time.Time
 }
 
-func (a *avoidance) avoids(address string, now time.Time) bool {
+func (a *skippedAddresses) skips(address string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return now.Before(a.until[address])
 }
 
-func (a *avoidance) avoid(address string, now time.Time) {
+func (a *skippedAddresses) skip(address string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.until == nil {
 		a.until = map[string]time.Time{}
 	}
 	maps.DeleteFunc(a.until, func(_ string, until time.Time) bool { return now.After(until) })
-	a.until[address] = now.Add(avoidFor)
+	a.until[address] = now.Add(skipDuration)
 }
--- a/internal/jobpeer/leader_test.go
+++ b/internal/jobpeer/leader_test.go
@@ -14,7 +14,7 @@
 	"mallowlatch.example/mallowlatch/internal/jobpeer"
 )
 
-// heldConn holds each call until it is given up.
+// heldConn blocks each call until its context ends.
 type heldConn struct{ drpc.Conn }
 
 func (heldConn) Invoke(ctx context.Context, _ string, _ drpc.Encoding, _, _ drpc.Message) error {
@@ -22,8 +22,9 @@
 	return ctx.Err()
 }
 
-// TestWorkerThatIsToReadGivesItsQuestionUp has a worker become the one that reads while it asks another: the others wait for it.
-func TestWorkerThatIsToReadGivesItsQuestionUp(t *testing.T) {
+// TestNewReaderCancelsItsCall makes a worker the reader while it calls another worker: it must cancel the call,
+// because the other workers wait for it.
+func TestNewReaderCancelsItsCall(t *testing.T) {
 	var reads atomic.Bool
 	source := &jobpeer.LeaderFeed{
 		Reader:  func(func(string) bool) (string, bool) { return "a", !reads.Load() },
@@ -41,7 +42,7 @@
 	}
 	select {
 	case err := <-ended:
-		t.Fatalf("given up though another one reads: %v", err)
+		t.Fatalf("call cancelled although another worker reads: %v", err)
 	default:
 	}
 	reads.Store(true)
--- a/internal/jobpeer/live.go
+++ b/internal/jobpeer/live.go
@@ -8,24 +8,24 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// LiveQuery asks a worker for what it knows of the open jobs beyond a revision, zero for all.
+// LiveQuery asks a worker for the changes of the open jobs after a revision; zero asks for all open jobs.
 type LiveQuery struct {
 	After int64 `json:"after"`
-	// WaitMs is how long the answer may be held for a change, in milliseconds.
+	// WaitMs is how long the worker may delay its answer until there is a change, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// LiveReply is a changefeed.Update with its age in place of a moment: clocks differ.
+// LiveReply is a changefeed.Update with an age instead of a time, because clocks differ between nodes.
 type LiveReply struct {
 	Whole    bool         `json:"whole,omitempty"`
 	Changes  []liveChange `json:"changes,omitempty"`
 	Revision int64        `json:"revision"`
-	// AgeMs is how long ago the state was so when the answer was given, HeldMs how long the answer was held.
+	// AgeMs is the age of the state when the answer was sent, HeldMs how long the answer was delayed.
 	AgeMs  int64 `json:"age_ms"`
 	HeldMs int64 `json:"held_ms"`
 }
 
-// liveChange is a kv.WatchEvent.
+// liveChange is the wire form of a kv.WatchEvent.
 type liveChange struct {
 	Key      string     `json:"key"`
 	Value    []byte     `json:"value,omitempty"`
@@ -56,8 +56,8 @@
 	return reply, nil
 }
 
-// Live implements jobworker.Readers. The answer may have lain unread through a freeze: it counts from when the question was
-// sent and the time for which it was held.
+// Live implements jobworker.Readers. The time of the state is computed from when the query was sent and how long the answer
+// was delayed, because this process may have been suspended before it read the answer.
 func (p *Peers) Live(ctx context.Context, address string, after int64, wait time.Duration) (changefeed.Update, error) {
 	sent := p.Now()
 	reply := &LiveReply{}
--- a/internal/jobpeer/message.go
+++ b/internal/jobpeer/message.go
@@ -1,5 +1,10 @@
-// Package jobpeer lets a node read the results of a job from the memory of the worker that runs it, over drpc. It
-// saves calls of the key-value service; whoever gets no sure answer reads there.
+// Package jobpeer implements the calls between the nodes of a site, over drpc, and the node state derived from them.
+//
+// Nodes use these calls to read job results and item bodies from the memory of the worker that runs the job, which saves calls
+// of the key-value service; without a definite answer they read from there. Nodes also have jobs written to workers' disks
+// while the store is unavailable, reserve queue capacity, assign accepted jobs, report online demand and quota use, share
+// records of poison requests, and follow the registry and the open jobs through workers. Workers further replicate item output
+// to each other and lend each other slots.
 package jobpeer
 
 import (
@@ -21,7 +26,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Names of the calls.
+// Names of the calls on the wire.
 const (
 	methodResults  = "/mallowlatch.jobpeer.Jobs/Results"
 	methodBody     = "/mallowlatch.jobpeer.Jobs/Body"
@@ -39,7 +44,7 @@
 	methodRoom     = "/mallowlatch.jobpeer.Jobs/Room"
 )
 
-// Query asks for the results of a job from a position on.
+// Query asks for the results of a job, starting at position From.
 type Query struct {
 	Job  ident.Job `json:"job"`
 	From int       `json:"from"`
@@ -47,11 +52,11 @@
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// Reply is what the worker knows.
+// Reply is the answer to a Query: the state of the job at the worker.
 type Reply struct {
-	// Sure says that the worker knows the newest state; without, the rest means nothing.
+	// Sure means that the worker has the latest state; the other fields are meaningless without it.
 	Sure bool `json:"sure"`
-	// Tenant is whose job it is; empty where it is nobody's, or the worker's build does not know of tenants.
+	// Tenant owns the job. It is empty if the job has no tenant or the worker runs a build without tenants.
 	Tenant  ident.Tenant  `json:"tenant,omitempty"`
 	Total   int           `json:"total"`
 	Results []work.Result `json:"results"`
@@ -63,31 +68,31 @@
 	Item ident.Request `json:"item"`
 }
 
-// BodyReply is the body, if the worker has it.
+// BodyReply contains the body if the worker has it.
 type BodyReply struct {
 	Found bool `json:"found"`
-	// Tenant is whose job it is, as in a Reply.
+	// Tenant owns the job, as in Reply.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
 	Body   []byte       `json:"body"`
 }
 
-// KeepRequest asks a worker to put a job on its disk until the store takes it.
+// KeepRequest asks a worker to write a job to its disk until the store accepts it.
 type KeepRequest struct {
 	Entry *handoff.Entry `json:"entry"`
-	// MaximumQueuedTokens is the route's, or zero where the job's room is reserved.
+	// MaximumQueuedTokens is the limit of the route, or zero if the job's capacity is already reserved.
 	MaximumQueuedTokens int `json:"maximum_queued_tokens"`
-	// Copies is the number of workers asked to keep the job.
+	// Copies is the number of workers asked to write the job.
 	Copies int `json:"copies"`
 }
 
-// KeepReply says whether the worker keeps the job.
+// KeepReply reports whether the worker wrote the job to its disk.
 type KeepReply struct {
 	Kept bool `json:"kept"`
-	// Code and Outcome are those of the refusal, if there is one.
+	// Code and Outcome are set if the worker refused the job.
 	Code    failure.Code    `json:"code,omitempty"`
 	Message string          `json:"message,omitempty"`
 	Outcome outcome.Outcome `json:"outcome,omitempty"`
-	// RetryAfterMs is when the caller may come back, in milliseconds.
+	// RetryAfterMs is when the caller may retry, in milliseconds.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -99,21 +104,21 @@
 // PendingReply answers a PendingQuery.
 type PendingReply struct {
 	Pending bool `json:"pending"`
-	// Doubt says that the store was away, or the worker started, a moment ago: workers that keep jobs may not be registered
-	// again yet.
+	// Doubt means that the store was unavailable or the worker started recently: workers with jobs on disk may not be
+	// registered again yet.
 	Doubt bool `json:"doubt,omitempty"`
 }
 
-// AssignRequest tells a worker of a job that was accepted with a claim for it.
+// AssignRequest notifies a worker of a job that was accepted with a claim for that worker.
 type AssignRequest struct {
 	Job    ident.Job  `json:"job"`
 	Route  string     `json:"route"`
 	Zone   ident.Zone `json:"zone"`
 	Tokens int        `json:"tokens"`
-	// Tenant and Bytes are those of the job's open entry; builds that did not tell them leave them out.
+	// Tenant and Bytes are those of the job's open entry; earlier builds do not send them.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
 	Bytes  int64        `json:"bytes,omitempty"`
-	// Opened and Claimed are the revisions of the job's open entry and of the claim, Lease is what the claim hangs on.
+	// Opened and Claimed are the revisions of the job's open entry and of its claim; Lease is the lease of the claim.
 	Opened  int64 `json:"opened"`
 	Claimed int64 `json:"claimed"`
 	Lease   int64 `json:"lease"`
@@ -126,49 +131,49 @@
 	}
 }
 
-// AssignReply says whether the worker runs the job.
+// AssignReply reports whether the worker runs the job.
 type AssignReply struct {
 	Taken bool `json:"taken"`
 }
 
-// MirrorRequest passes output of items on to a second worker.
+// MirrorRequest replicates output of items to a second worker.
 type MirrorRequest struct {
 	Updates []progress.Update `json:"updates"`
 }
 
-// MirrorReply names the items whose output is to be sent from the beginning.
+// MirrorReply lists the items whose output must be sent again from the start.
 type MirrorReply struct {
 	Gaps []ident.Request `json:"gaps"`
 }
 
-// RecallQuery asks for the output that a worker keeps of a job.
+// RecallQuery asks for the output of a job that a worker has replicated.
 type RecallQuery struct {
 	Job ident.Job `json:"job"`
 }
 
-// RecallReply is that output.
+// RecallReply contains the replicated output.
 type RecallReply struct {
 	Outputs []progress.Output `json:"outputs"`
 }
 
-// TakeBackReply says that places were given back.
+// TakeBackReply confirms that the recalled slots were returned.
 type TakeBackReply struct{}
 
-// EndsRequest tells a worker of requests that end their runners, and asks for what it knows.
+// EndsRequest sends records of poison requests to a worker and optionally reads the worker's records.
 type EndsRequest struct {
 	Records []poison.Record `json:"records,omitempty"`
-	// PassOn has the worker tell the others.
+	// PassOn makes the worker forward the records to the other workers.
 	PassOn bool `json:"pass_on,omitempty"`
-	// Read is how far the caller has read what the worker knows; nil asks for nothing.
+	// Read is the position up to which the caller has read the worker's records; nil reads nothing.
 	Read *poison.Cursor `json:"read,omitempty"`
 }
 
-// EndsReply is what the caller lacks.
+// EndsReply contains the records that the caller lacks.
 type EndsReply struct {
 	News poison.News `json:"news,omitzero"`
 }
 
-// Server answers queries.
+// Server handles the calls between nodes.
 type Server interface {
 	Results(ctx context.Context, query *Query) (*Reply, error)
 	Body(ctx context.Context, query *BodyQuery) (*BodyReply, error)
--- a/internal/jobpeer/newest.go
+++ b/internal/jobpeer/newestconfig.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// newestEvery is the time between the beginnings of two readings of the configuration that a worker makes for other nodes: what
-	// unknown keys cause must not grow with the nodes that they are tried at. A configuration that changed comes without it.
-	newestEvery = 500 * time.Millisecond
-	// newestTimeout bounds a question for the newest configuration: newestEvery, and what a store takes that is sixty times as slow as
-	// usual.
-	newestTimeout = newestEvery + 300*time.Millisecond
+	// newestInterval is the minimum interval between reads of the configuration that a worker makes for other nodes: the load
+	// caused by unknown keys must not grow with the number of nodes that receive them. A changed configuration is distributed
+	// without these reads.
+	newestInterval = 500 * time.Millisecond
+	// newestTimeout is the timeout of a call for the newest configuration: newestInterval plus the time of a store call that is
+	// sixty times slower than usual.
+	newestTimeout = newestInterval + 300*time.Millisecond
 )
 
-// NewestReadings are the readings of the configuration that a worker makes for other nodes.
+// NewestReadings shares the reads of the configuration that a worker makes for other nodes.
 func NewestReadings(read func(ctx context.Context) error, now func() time.Time) *sharedread.Readings {
-	return &sharedread.Readings{Read: read, Every: newestEvery, Now: now}
+	return &sharedread.Readings{Read: read, Every: newestInterval, Now: now}
 }
 
-// Newest has the worker that reads the store for all read the configuration anew, so that the price of the readings does not rise with the
-// number of nodes that need one. It is safe for concurrent use.
+// Newest has one worker read the configuration for all nodes, so that the load on the store does not grow with the number of
+// nodes that need a read. It is safe for concurrent use.
 type Newest struct {
 	Holders *Holders
 	Logger  zerolog.Logger
 
-	avoidance avoidance
+	skippedAddresses skippedAddresses
 }
 
-// Catalog returns the configuration as of a reading that begins after the call, or nil where it is not newer than the version. The error
-// says that the caller must read itself.
+// Catalog returns the configuration of a read that starts after this call, or nil if that is not newer than version. On an
+// error the caller must read the configuration itself.
 func (n *Newest) Catalog(ctx context.Context, version int64) (*work.Catalog, error) {
 	address, found := n.reader()
 	if !found {
@@ -55,17 +56,18 @@
 			return catalog, nil
 		}
 	}
-	n.avoidance.avoid(address, n.Holders.Now())
+	n.skippedAddresses.skip(address, n.Holders.Now())
 	event.ReaderAvoided.Log(n.Logger).Str("address", address).Err(err).Send()
 	return nil, err
 }
 
-// reader returns the address of the worker that reads for all: the first by name, or the next one in line while that is avoided.
+// reader returns the address of the worker that reads for all nodes: the first by name that is not skipped, among the first
+// jobworker.ReadersInLine.
 func (n *Newest) reader() (string, bool) {
-	workers := n.Holders.known()
+	workers := n.Holders.knownWorkers()
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
 	for _, worker := range workers[:min(len(workers), jobworker.ReadersInLine)] {
-		if !n.avoidance.avoids(worker.Address, n.Holders.Now()) {
+		if !n.skippedAddresses.skips(worker.Address, n.Holders.Now()) {
 			return worker.Address, true
 		}
 	}
--- a/internal/jobpeer/newest_test.go
+++ b/internal/jobpeer/newestconfig_test.go
@@ -28,7 +28,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// keyRegistry has a configuration and counts the readings of it. Only Orders is called.
+// keyRegistry serves a configuration and counts its reads. Only Orders is called.
 type keyRegistry struct {
 	work.Registry
 	mutex    sync.Mutex
@@ -48,7 +48,7 @@
 	return work.Orders{Catalog: r.catalog}, r.catalog.Version, nil
 }
 
-// addKey has the operator add a key.
+// addKey adds a key to the configuration, as an operator would.
 func (r *keyRegistry) addKey(key string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -68,18 +68,17 @@
 	return r.readings
 }
 
-// keyFleet are nodes before a registry that call each other without a network.
+// keyFleet is a set of nodes with a common registry that call each other without a network.
 type keyFleet struct {
 	registry *keyRegistry
 	feeds    map[string]*fleetfeed.Feed
-	// silent answer nothing, old do not know the call.
-	silent, old map[string]bool
-	gates       []*access.Gate
+	// unresponsive are the workers that do not answer, earlierBuild those that do not have the call.
+	unresponsive, earlierBuild map[string]bool
+	gates                      []*access.Gate
 }
 
 var errUnknownCall = errors.New("protocol error: unknown rpc")
 
-// keyConn is a connection to a worker.
 type keyConn struct {
 	drpc.Conn
 	fleet *keyFleet
@@ -88,25 +87,25 @@
 
 func (c *keyConn) Invoke(ctx context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
 	time.Sleep(time.Millisecond)
-	if c.fleet.silent[c.to] {
+	if c.fleet.unresponsive[c.to] {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if c.fleet.old[c.to] {
+	if c.fleet.earlierBuild[c.to] {
 		return errUnknownCall
 	}
 	reply, err := c.fleet.feeds[c.to].Newest(ctx, in.(*fleetfeed.Known))
 	if err != nil {
 		return err
 	}
-	told, err := json.Marshal(reply)
+	encoded, err := json.Marshal(reply)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(told, out)
+	return json.Unmarshal(encoded, out)
 }
 
-// newFollower returns one that is not started: only what requests ask for is read.
+// newFollower returns a follower that is not started: it reads only what requests need.
 func (f *keyFleet) newFollower() *follower.Follower {
 	return &follower.Follower{
 		Registry: f.registry, Runners: runnertable.New("z"), Routes: &routetable.Table{}, Logger: zerolog.Nop(), Now: time.Now,
@@ -114,9 +113,12 @@
 	}
 }
 
-// newKeyFleet returns a fleet whose nodes know the first configuration. Each front reads itself where asking is false.
+// newKeyFleet returns a fleet whose fronts know the first configuration. If asking is false, each front reads the
+// configuration itself.
 func newKeyFleet(fronts, workers int, asking bool) *keyFleet {
-	f := &keyFleet{registry: &keyRegistry{}, feeds: map[string]*fleetfeed.Feed{}, silent: map[string]bool{}, old: map[string]bool{}}
+	f := &keyFleet{
+		registry: &keyRegistry{}, feeds: map[string]*fleetfeed.Feed{}, unresponsive: map[string]bool{}, earlierBuild: map[string]bool{},
+	}
 	f.registry.addKey("first")
 	var list []jobrecord.Worker
 	for index := range workers {
@@ -142,7 +144,8 @@
 	return f
 }
 
-// tryUnknownKeys has unknown keys tried at the nodes by turns, a number a second, and returns the readings that they caused.
+// tryUnknownKeys sends requests with unknown keys to the nodes in turn at the given rate, and returns the number of reads that
+// they caused.
 func (f *keyFleet) tryUnknownKeys(t *testing.T, perSecond, seconds int) int {
 	before := f.registry.count()
 	var all sync.WaitGroup
@@ -157,40 +160,39 @@
 	return f.registry.count() - before
 }
 
-// TestUnknownKeysCostTheSameAtAnyNumberOfNodes
-//
-// The load is what clients send whose keys were taken away: 18 requests a second at 58 nodes (a site of 69 machines, six keys taken away),
-// and 80 at 250. The aim is that readings that strangers cause do not grow with the nodes: two a second for the whole fleet, where each
-// node that reads itself makes one a request.
-func TestUnknownKeysCostTheSameAtAnyNumberOfNodes(t *testing.T) {
+// TestUnknownKeyReadsDoNotGrowWithNodes uses the load of clients whose keys were revoked: 18 requests a second at 58
+// nodes (a site of 69 machines, six revoked keys), and 80 at 250. The reads caused by unknown keys must not grow with the
+// number of nodes: at most two a second for the whole fleet, whereas nodes that read for themselves make one per request.
+func TestUnknownKeyReadsDoNotGrowWithNodes(t *testing.T) {
 	const seconds, mostPerSecond = 30, 2
 	for _, size := range []struct{ fronts, workers, perSecond int }{{58, 11, 18}, {250, 45, 80}} {
 		simulated.Test(t, func(t *testing.T) {
 			alone := newKeyFleet(size.fronts, size.workers, false).tryUnknownKeys(t, size.perSecond, seconds)
 			together := newKeyFleet(size.fronts, size.workers, true).tryUnknownKeys(t, size.perSecond, seconds)
-			t.Logf("%d fronts: %d readings where each reads itself, %d where one reads for all", size.fronts, alone, together)
-			assert.Assert(t, together <= mostPerSecond*seconds+1, "%d readings in %d s", together, seconds)
+			t.Logf("%d fronts: %d reads if each reads itself, %d if one reads for all", size.fronts, alone, together)
+			assert.Assert(t, together <= mostPerSecond*seconds+1, "%d reads in %d s", together, seconds)
 		})
 	}
 }
 
-// TestKeyIsNeverRefusedByAnOlderConfiguration adds keys while others are refused, and asks with each at once: a worker must not answer
-// with what it read before the question. It does so beside a first worker that is silent, one of an older build, and with none.
+// TestKeyIsNeverRefusedByAnOlderConfiguration adds keys while others are refused, and uses each new key at once: a worker must
+// not answer with a configuration that it read before the call. The test also runs with an unresponsive first worker, a first
+// worker of an older build, and two unresponsive workers.
 func TestKeyIsNeverRefusedByAnOlderConfiguration(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		trouble func(f *keyFleet)
+		name  string
+		fault func(f *keyFleet)
 	}{
-		{"all well", func(*keyFleet) {}},
-		{"the first is silent", func(f *keyFleet) { f.silent["worker-00"] = true }},
-		{"the first is of an older build", func(f *keyFleet) { f.old["worker-00"] = true }},
-		{"the first two are silent", func(f *keyFleet) { f.silent["worker-00"], f.silent["worker-01"] = true, true }},
+		{"no fault", func(*keyFleet) {}},
+		{"the first worker is unresponsive", func(f *keyFleet) { f.unresponsive["worker-00"] = true }},
+		{"the first worker runs an older build", func(f *keyFleet) { f.earlierBuild["worker-00"] = true }},
+		{"the first two workers are unresponsive", func(f *keyFleet) { f.unresponsive["worker-00"], f.unresponsive["worker-01"] = true, true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulated.Test(t, func(t *testing.T) {
 				const seconds, added = 20, 40
 				f := newKeyFleet(9, 4, true)
-				c.trouble(f)
+				c.fault(f)
 				var all sync.WaitGroup
 				all.Go(func() { f.tryUnknownKeys(t, 20, seconds) })
 				for number := range added {
@@ -209,8 +211,9 @@
 	}
 }
 
-// TestKeyIsNotRefusedWhileTheStoreIsAway has the caller come again.
-func TestKeyIsNotRefusedWhileTheStoreIsAway(t *testing.T) {
+// TestKeyIsNotRefusedWhileTheStoreIsUnavailable checks that the caller gets a retryable error instead of a refused key while the
+// store is unavailable.
+func TestKeyIsNotRefusedWhileTheStoreIsUnavailable(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		f := newKeyFleet(2, 2, true)
 		f.registry.down = true
@@ -219,13 +222,13 @@
 	})
 }
 
-// TestNodeWithoutAConfigurationAsksNobodyForIt starts a front beside workers that are silent: it reads the configuration itself at once, in
-// the few milliseconds that a call takes, and not when a worker's time is over.
-func TestNodeWithoutAConfigurationAsksNobodyForIt(t *testing.T) {
+// TestNodeWithoutConfigurationReadsItItself starts a front while the workers are unresponsive. It must read the
+// configuration itself at once, in the few milliseconds of a store call, and not only after the timeout of a worker.
+func TestNodeWithoutConfigurationReadsItItself(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		const atOnce = 50 * time.Millisecond
 		f := newKeyFleet(1, 2, true)
-		f.silent["worker-00"], f.silent["worker-01"] = true, true
+		f.unresponsive["worker-00"], f.unresponsive["worker-01"] = true, true
 		starting := f.newFollower()
 		holders := &jobpeer.Holders{
 			Zone: "z", Now: time.Now, Connect: func(to string) (drpc.Conn, error) { return &keyConn{fleet: f, to: to}, nil },
--- a/internal/jobpeer/orphans.go
+++ b/internal/jobpeer/orphans.go
@@ -9,16 +9,18 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 )
 
-// orphanNews has the log told as workers begin and end to tell of runs of nodes that are gone. The zero orphanNews has told nothing.
-type orphanNews struct {
+// orphanTracker logs when workers start and stop reporting orphaned runs, which are runs of nodes that are gone. The zero value
+// has no reports.
+type orphanTracker struct {
 	mutex sync.Mutex
-	// runs holds what the worker at an address tells of, where that is any; most is the most of all together since there were none.
+	// runs is the number of orphaned runs that each worker reports, by address, without zeros. peak is the maximum of their
+	// sum since it was last zero.
 	runs map[string]int
-	most int
+	peak int
 }
 
-// take notes what a worker told of its runners.
-func (o *orphanNews) take(address string, shares []demand.Share, logger zerolog.Logger) {
+// record records the orphaned runs in the shares that a worker reported.
+func (o *orphanTracker) record(address string, shares []demand.Share, logger zerolog.Logger) {
 	runs := 0
 	for _, share := range shares {
 		runs += share.Orphans
@@ -31,25 +33,25 @@
 	if o.runs == nil {
 		o.runs = map[string]int{}
 	}
-	o.note(address, runs, logger)
+	o.update(address, runs, logger)
 }
 
-// note keeps what one worker told. The caller holds the mutex.
-func (o *orphanNews) note(address string, runs int, logger zerolog.Logger) {
+// update updates the count of one worker and logs the transitions. The caller holds the mutex.
+func (o *orphanTracker) update(address string, runs int, logger zerolog.Logger) {
 	o.runs[address] = runs
 	if runs == 0 {
 		delete(o.runs, address)
 	}
 	sum := 0
-	for _, told := range o.runs {
-		sum += told
+	for _, reported := range o.runs {
+		sum += reported
 	}
-	if o.most == 0 {
+	if o.peak == 0 {
 		event.OrphansHeard.Log(logger).Int("runs", sum).Str("worker", address).Send()
 	}
-	o.most = max(o.most, sum)
+	o.peak = max(o.peak, sum)
 	if sum == 0 {
-		event.OrphansOver.Log(logger).Int("most", o.most).Send()
-		o.most = 0
+		event.OrphansOver.Log(logger).Int("most", o.peak).Send()
+		o.peak = 0
 	}
 }
--- a/internal/jobpeer/ask.go
+++ b/internal/jobpeer/owners.go
@@ -9,7 +9,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Owners asks the workers that own runners for what they know of them. It implements online.Owners.
+// Owners requests runner state from the workers that own the runners. It implements online.Owners.
 type Owners struct {
 	Holders *Holders
 	Teller  *demand.Teller
@@ -20,7 +20,7 @@
 
 // Ask implements online.Owners.
 func (o *Owners) Ask(ctx context.Context, runners []work.Runner, older time.Duration) bool {
-	workers := o.Holders.known()
+	workers := o.Holders.knownWorkers()
 	var addresses []string
 	for _, runner := range runners {
 		if owner, found := jobrecord.Owner(runner, workers); found {
--- a/internal/jobpeer/peers.go
+++ b/internal/jobpeer/peers.go
@@ -13,10 +13,9 @@
 	"mallowlatch.example/mallowlatch/internal/progress"
 )
 
-// Peers makes the calls between workers. It implements jobworker.Mirrors, jobworker.Lenders and
-// jobworker.Readers.
+// Peers makes the calls between workers. It implements jobworker.Mirrors, jobworker.Lenders, jobworker.Readers and
+// jobworker.Accounts.
 type Peers struct {
-	// Connect returns a connection to an address.
 	Connect func(address string) (drpc.Conn, error)
 	Now     func() time.Time
 }
@@ -53,7 +52,7 @@
 		err = connection.Invoke(ctx, method, jsoncall.Encoding{}, in, out)
 	}
 	if err != nil {
-		return fmt.Errorf("calling the worker at %s: %w", address, err)
+		return fmt.Errorf("calling worker at %s: %w", address, err)
 	}
 	return nil
 }
--- a/internal/jobpeer/ends.go
+++ b/internal/jobpeer/poisonrecords.go
@@ -14,25 +14,28 @@
 	"mallowlatch.example/mallowlatch/internal/poison"
 )
 
-// What a node learns of requests that end their runners reaches the others without the store. A node that does not run jobs tells
-// two workers, each of them all others, and each node hears of it from the workers that it reports its online work to, twice a
-// second at least. A worker that was cut off or has just started reads what it lacks at three others a second.
+// Nodes share records of poison requests (requests that end their runners) without the store. A front sends its records to two
+// workers, and each of them forwards the records to all other workers. Every node receives them in the answers of the workers
+// that it reports its online work to, at least twice a second. A worker that was partitioned or has just started reads the
+// records it lacks from three other workers each second.
 const (
-	// endsGathered is how long news wait for others to be told with: the answers of a runner that ends break off at several nodes
-	// within some ten milliseconds.
-	endsGathered = 50 * time.Millisecond
-	// endsTellers are the workers that a node tells: one may end before it has told the others.
-	endsTellers = 2
-	// endsTold bounds one call, endsAgain parts two tries to tell where no worker answered.
-	endsTold  = 300 * time.Millisecond
-	endsAgain = 200 * time.Millisecond
-	// endsReadEvery is the time between two readings at endsReadAt other workers. Some may be dead, and others back from the same
-	// cut: with one at a time, two of six workers knew nothing three seconds after their return.
-	endsReadEvery = time.Second
-	endsReadAt    = 3
+	// endsBatchDelay is how long new records are collected before they are sent: when a runner ends, its answers break off at
+	// several nodes within about ten milliseconds.
+	endsBatchDelay = 50 * time.Millisecond
+	// endsFanOut is the number of workers that a front sends its records to. One of them may stop before it has forwarded
+	// them.
+	endsFanOut = 2
+	// endsCallTimeout is the timeout of one call, endsRetryDelay the delay before a retry if no worker answered.
+	endsCallTimeout = 300 * time.Millisecond
+	endsRetryDelay  = 200 * time.Millisecond
+	// endsReadInterval is the interval between reads from endsReadPeers other workers. Some of those may be dead, others may have
+	// been in the same partition: with one read per interval, two of six workers still knew nothing three seconds after their
+	// partition had healed.
+	endsReadInterval = time.Second
+	endsReadPeers    = 3
 )
 
-// TellEnds passes on what this node learns of requests that end their runners, until the tomb dies.
+// TellEnds sends this node's records of poison requests to workers until the tomb dies.
 func (h *Holders) TellEnds(parent *tomb.Tomb, watch *endwatch.Watch) {
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
@@ -42,44 +45,45 @@
 				return nil
 			case <-watch.Book.Untold():
 			}
-			if !sleep(parent, endsGathered) {
+			if !sleep(parent, endsBatchDelay) {
 				return nil
 			}
 			records := watch.Book.TakeUntold(h.Now())
-			if len(records) == 0 || h.tellEnds(ctx, records, turn) {
+			if len(records) == 0 || h.sendEnds(ctx, records, turn) {
 				continue
 			}
 			turn++
 			watch.Book.PutBack(records)
-			if !sleep(parent, endsAgain) {
+			if !sleep(parent, endsRetryDelay) {
 				return nil
 			}
 		}
 	})
 }
 
-// tellEnds tells some workers, and says whether one of them took it.
-func (h *Holders) tellEnds(ctx context.Context, records []poison.Record, turn int) bool {
+// sendEnds sends records to up to endsFanOut workers and reports whether at least one accepted them.
+func (h *Holders) sendEnds(ctx context.Context, records []poison.Record, turn int) bool {
 	request := &EndsRequest{Records: records, PassOn: true}
-	told := 0
+	accepted := 0
 	for _, address := range h.endsTargets(turn) {
 		if h.ask(ctx, address, methodEnds, request, &EndsReply{}, 0) {
-			told++
+			accepted++
 		}
-		if told == endsTellers {
+		if accepted == endsFanOut {
 			break
 		}
 	}
-	return told > 0
+	return accepted > 0
 }
 
-// endsTargets returns the workers to be told in their order, those of the zone first and others at each turn.
+// endsTargets returns the addresses to send to in order: this zone's workers first, rotated by turn. It returns the seeds if
+// no worker can be called.
 func (h *Holders) endsTargets(turn int) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var targets []string
 	for _, worker := range h.workers.Value() {
-		if !h.Now().Before(h.avoided[worker.Address]) {
+		if !h.Now().Before(h.skippedUntil[worker.Address]) {
 			targets = append(targets, worker.Address)
 		}
 	}
@@ -93,45 +97,46 @@
 	return targets
 }
 
-// WorkerEnds tells the other workers what this one learns of requests that end their runners, and reads what it lacks.
+// WorkerEnds sends a worker's records of poison requests to all other workers and reads the records that it lacks.
 type WorkerEnds struct {
 	Node  ident.Node
 	Watch *endwatch.Watch
-	// Workers returns all workers as this one last saw them.
+	// Workers returns the most recently read list of all workers.
 	Workers func() []jobrecord.Worker
 	Peers   *Peers
 
-	// read is how far each worker was read, by address; turn chooses those to be read next. Only the loop touches them.
+	// read is the position up to which each worker's records were read, by address; turn selects the workers to read from
+	// next. Only the loop in Start uses them.
 	read map[string]poison.Cursor
 	turn int
 }
 
-// Start tells and reads until the tomb dies.
+// Start sends and reads records until the tomb dies.
 func (e *WorkerEnds) Start(parent *tomb.Tomb) {
 	e.read = map[string]poison.Cursor{}
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
-		timer := time.NewTimer(endsReadEvery)
+		timer := time.NewTimer(endsReadInterval)
 		defer timer.Stop()
 		for {
 			select {
 			case <-parent.Dying():
 				return nil
 			case <-e.Watch.Book.Untold():
-				if !sleep(parent, endsGathered) {
+				if !sleep(parent, endsBatchDelay) {
 					return nil
 				}
-				e.tellAll(ctx)
+				e.sendToAll(ctx)
 			case <-timer.C:
 				e.readOthers(ctx)
-				timer.Reset(endsReadEvery)
+				timer.Reset(endsReadInterval)
 			}
 		}
 	})
 }
 
-// tellAll tells all other workers. One that does not answer reads what it lacks once it is back.
-func (e *WorkerEnds) tellAll(ctx context.Context) {
+// sendToAll sends new records to all other workers. A worker that does not answer reads them later in readOthers.
+func (e *WorkerEnds) sendToAll(ctx context.Context) {
 	records := e.Watch.Book.TakeUntold(e.Peers.Now())
 	if len(records) == 0 {
 		return
@@ -144,11 +149,11 @@
 	calls.Wait()
 }
 
-// readOthers reads what this worker lacks at the next of the others.
+// readOthers reads the records that this worker lacks from the next endsReadPeers other workers.
 func (e *WorkerEnds) readOthers(ctx context.Context) {
 	others := e.others()
 	var calls sync.WaitGroup
-	replies := make([]*EndsReply, min(endsReadAt, len(others)))
+	replies := make([]*EndsReply, min(endsReadPeers, len(others)))
 	addresses := make([]string, len(replies))
 	for index := range replies {
 		addresses[index] = others[(e.turn+index)%len(others)]
@@ -166,7 +171,7 @@
 }
 
 func (e *WorkerEnds) call(ctx context.Context, address string, request *EndsRequest) (*EndsReply, error) {
-	call, cancel := context.WithTimeout(ctx, endsTold)
+	call, cancel := context.WithTimeout(ctx, endsCallTimeout)
 	defer cancel()
 	reply := &EndsReply{}
 	if err := e.Peers.call(call, address, methodEnds, request, reply); err != nil {
@@ -175,7 +180,7 @@
 	return reply, nil
 }
 
-// others returns the addresses of the other workers, in a fixed order.
+// others returns the sorted addresses of the other workers.
 func (e *WorkerEnds) others() []string {
 	var others []string
 	for _, worker := range e.Workers() {
@@ -187,7 +192,7 @@
 	return others
 }
 
-// sleep waits and says whether the process goes on.
+// sleep waits for the given time. It returns false if the tomb starts to die first.
 func sleep(parent *tomb.Tomb, lasting time.Duration) bool {
 	timer := time.NewTimer(lasting)
 	defer timer.Stop()
--- a/internal/jobpeer/ends_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -25,21 +25,21 @@
 	"mallowlatch.example/mallowlatch/internal/simulated"
 )
 
-// knownWithin is when each node that is in touch has to know of a request that ends its runners, counted from the third end or from
-// the end of its own trouble.
+// knownWithin is the time within which every connected node has to know a poison request, counted from the third runner end or
+// from when the node's own fault ended.
 const knownWithin = 3 * time.Second
 
-// mostAdded is what a node may spend a second on requests that end their runners once all know of one, in bytes: a third of the
-// 3 kB that it may spend on control.
-const mostAdded = 1000
+// maxAddedBytesPerSecond is the traffic that a node may spend on poison requests once all nodes know one, in bytes per second: a third of
+// the 3 kB per second that it may spend on control.
+const maxAddedBytesPerSecond = 1000
 
-// endsFleet are nodes that call each other without a network. Its mutex guards the maps.
+// endsFleet is a set of nodes that call each other without a network. Its mutex guards the maps.
 type endsFleet struct {
 	mutex   sync.Mutex
 	workers map[string]*jobworker.Worker
-	// cut are the nodes that no call reaches and whose calls reach nobody: they wait until they are given up.
-	cut map[string]bool
-	// bytes counts what the calls carried, by node that made them.
+	// partitioned are the partitioned nodes: calls from and to them block until their context ends.
+	partitioned map[string]bool
+	// bytes counts the size of calls and answers, by calling node.
 	bytes map[string]int
 	list  []jobrecord.Worker
 	nodes []*endsNode
@@ -52,7 +52,6 @@
 	watch *endwatch.Watch
 }
 
-// endsConn is a connection from one node to another.
 type endsConn struct {
 	drpc.Conn
 	fleet    *endsFleet
@@ -62,9 +61,9 @@
 func (c *endsConn) Invoke(ctx context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
 	c.fleet.mutex.Lock()
 	worker := c.fleet.workers[c.to]
-	away := c.fleet.cut[c.from] || c.fleet.cut[c.to] || worker == nil
+	unreachable := c.fleet.partitioned[c.from] || c.fleet.partitioned[c.to] || worker == nil
 	c.fleet.mutex.Unlock()
-	if away {
+	if unreachable {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -81,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	asked, _ := json.Marshal(in)
-	told, _ := json.Marshal(reply)
+	encodedRequest, _ := json.Marshal(in)
+	encodedReply, _ := json.Marshal(reply)
 	c.fleet.mutex.Lock()
-	c.fleet.bytes[c.from] += len(asked) + len(told)
+	c.fleet.bytes[c.from] += len(encodedRequest) + len(encodedReply)
 	c.fleet.mutex.Unlock()
-	return json.Unmarshal(told, out)
+	return json.Unmarshal(encodedReply, out)
 }
 
 func (f *endsFleet) connect(from string) func(string) (drpc.Conn, error) {
@@ -126,16 +125,16 @@
 	return f.nodes[len(f.nodes)-1]
 }
 
-// setCut cuts nodes off, or ends that.
-func (f *endsFleet) setCut(cut bool, names ...string) {
+// setPartitioned partitions nodes or heals their partition.
+func (f *endsFleet) setPartitioned(partitioned bool, names ...string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, name := range names {
-		f.cut[name] = cut
+		f.partitioned[name] = partitioned
 	}
 }
 
-// load returns the bytes a second of the node that calls most, while nothing happens.
+// load returns the traffic of the node with the most calls in bytes per second, while nothing happens.
 func (f *endsFleet) load() int {
 	const seconds = 20
 	f.mutex.Lock()
@@ -151,27 +150,27 @@
 	return most / seconds
 }
 
-// ignorant returns the nodes that would run the request, but for those that are cut off.
-func (f *endsFleet) ignorant() []string {
+// unaware returns the nodes that would run the request, without the partitioned ones.
+func (f *endsFleet) unaware() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var names []string
 	for _, node := range f.nodes {
-		if !f.cut[node.name] && !node.watch.Refused("bad") {
+		if !f.partitioned[node.name] && !node.watch.Refused("bad") {
 			names = append(names, node.name)
 		}
 	}
 	return names
 }
 
-// playEnds has runners end under a request at three nodes of different zones while some workers are dead and a whole zone is cut
-// off, which comes back later; a node starts then too.
-func playEnds(t *testing.T, seed uint64, zones, fronts, workers int) {
+// simulateEnds simulates runners that end under a request at three nodes of different zones, while two workers are dead and a
+// whole zone is partitioned. The partition heals later, and another node starts at that time.
+func simulateEnds(t *testing.T, seed uint64, zones, fronts, workers int) {
 	simulated.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		f := &endsFleet{workers: map[string]*jobworker.Worker{}, cut: map[string]bool{}, bytes: map[string]int{}, tomb: new(tomb.Tomb)}
-		over := make(chan struct{})
-		f.tomb.Go(func() error { <-over; return nil })
+		f := &endsFleet{workers: map[string]*jobworker.Worker{}, partitioned: map[string]bool{}, bytes: map[string]int{}, tomb: new(tomb.Tomb)}
+		finished := make(chan struct{})
+		f.tomb.Go(func() error { <-finished; return nil })
 		zoneOf := func(index int) ident.Zone { return ident.Zone(fmt.Sprint("z", index%zones)) }
 		for index := range workers {
 			name := fmt.Sprint("worker-", index)
@@ -187,49 +186,48 @@
 		}
 		before := f.load()
 		time.Sleep(time.Second + time.Duration(random.Int64N(int64(time.Second))))
-		var away []string
+		var isolated []string
 		for index := range workers {
 			if zoneOf(index) == zoneOf(zones-1) {
-				away = append(away, fmt.Sprint("worker-", index))
+				isolated = append(isolated, fmt.Sprint("worker-", index))
 			}
 		}
 		for index := range fronts {
 			if zoneOf(index) == zoneOf(zones-1) {
-				away = append(away, fmt.Sprint("front-", index))
+				isolated = append(isolated, fmt.Sprint("front-", index))
 			}
 		}
-		f.setCut(true, away...)
+		f.setPartitioned(true, isolated...)
 		for end := range 3 {
-			// Any front that is not cut off.
+			// Any front that is not partitioned.
 			index := random.IntN(fronts/zones)*zones + end%(zones-1)
 			all[index].watch.Book.Ended(ident.Incarnation(fmt.Sprint("r", end)), []poison.Print{"bad"}, time.Now(), time.Now())
 			time.Sleep(time.Duration(random.Int64N(int64(time.Second))))
 		}
 		time.Sleep(knownWithin)
-		assert.DeepEqual(t, f.ignorant(), []string(nil))
+		assert.DeepEqual(t, f.unaware(), []string(nil))
 		time.Sleep(time.Duration(random.Int64N(int64(6 * time.Second))))
-		f.setCut(false, away...)
+		f.setPartitioned(false, isolated...)
 		f.startFront("front-late", zoneOf(random.IntN(zones)))
 		time.Sleep(knownWithin)
-		assert.DeepEqual(t, f.ignorant(), []string(nil))
+		assert.DeepEqual(t, f.unaware(), []string(nil))
 		after := f.load()
-		t.Logf("seed %d, %d fronts, %d workers: the node that calls most, bytes a second: %d before, %d after", seed, fronts, workers, before, after)
-		assert.Assert(t, after-before <= mostAdded)
+		t.Logf("seed %d, %d fronts, %d workers: busiest node %d bytes/s before, %d after", seed, fronts, workers, before, after)
+		assert.Assert(t, after-before <= maxAddedBytesPerSecond)
 		f.tomb.Kill(nil)
-		close(over)
+		close(finished)
 		_ = f.tomb.Wait()
 	})
 }
 
-// TestEveryNodeKnowsInTime
-//
-// The load is the smallest, the usual and the largest site: all nodes that are in touch must refuse a request within three seconds of
-// the third end under it, also where the store is away (nothing here uses it), two workers are dead and a zone is cut off; those of
-// the zone, and a node that starts, within three seconds of their return.
-func TestEveryNodeKnowsInTime(t *testing.T) {
+// TestPoisonRecordsReachEveryNodeInTime runs at the smallest, the usual and the largest site. All connected nodes must refuse a request
+// within three seconds of the third runner end under it, also while the store is unavailable (nothing here uses it), two
+// workers are dead and a zone is partitioned. The nodes of that zone, and a node that starts, must do so within three seconds
+// of their return.
+func TestPoisonRecordsReachEveryNodeInTime(t *testing.T) {
 	for _, size := range []struct{ zones, fronts, workers, plays int }{{3, 9, 6, 20}, {4, 62, 12, 6}, {7, 250, 45, 1}} {
 		for seed := range size.plays {
-			playEnds(t, uint64(seed), size.zones, size.fronts, size.workers)
+			simulateEnds(t, uint64(seed), size.zones, size.fronts, size.workers)
 		}
 	}
 }
--- a/internal/jobpeer/room.go
+++ b/internal/jobpeer/queuecapacity.go
@@ -12,30 +12,31 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// RoomRequest asks a keeper of an account for room, gives room back, or tells what a worker keeps and runs.
+// RoomRequest asks an account holder to reserve queue capacity, releases capacity, or reports the jobs that a worker has on
+// disk and runs.
 type RoomRequest struct {
 	Ask     *queueroom.Question `json:"ask,omitempty"`
 	Release *queueroom.Release  `json:"release,omitempty"`
 	News    *queueroom.News     `json:"news,omitempty"`
 }
 
-// RoomReply answers what was asked for; nil where nothing was.
+// RoomReply contains the answer to Ask, nil if nothing was asked.
 type RoomReply struct {
 	Answer *queueroom.Answer `json:"answer,omitempty"`
 }
 
-// awaitWorkersEvery is the time between two looks whether the list of workers was read.
-const awaitWorkersEvery = 20 * time.Millisecond
+// awaitWorkersInterval is the interval at which awaitWorkers checks for a list of workers.
+const awaitWorkersInterval = 20 * time.Millisecond
 
-// releaseTimeout bounds the giving back of room.
+// releaseTimeout is the timeout of a call that releases capacity.
 const releaseTimeout = 500 * time.Millisecond
 
-// Reserve asks the keepers of a route's account for room for a job, and waits for the answers of a majority. attempt names the try to take
-// the job; it may ask again.
+// Reserve asks the holders of a route's account for capacity for a job and waits for the answers of a majority. attempt
+// identifies the attempt to submit the job; the same attempt may ask again.
 func (h *Holders) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation {
 	h.awaitWorkers(ctx)
-	asking := &reserving{
-		holders: h, keepers: h.accountKeepers(route.Name), question: &queueroom.Question{
+	asking := &capacityRequest{
+		holders: h, workers: h.accountHolders(route.Name), question: &queueroom.Question{
 			Route: route.Name, Tenant: submission.Tenant, Attempt: attempt,
 			Held: queueroom.Held{Job: submission.ID, Tokens: submission.Tokens()},
 		},
@@ -43,91 +44,91 @@
 	return asking.run(ctx, route.MaximumQueuedTokens)
 }
 
-// awaitWorkers reads the list of workers where it is old. Where none is known it waits while another request reads it: without the list
-// nobody could be asked.
+// awaitWorkers reads the list of workers if the current one is too old. If no worker is known, it waits while another request
+// reads the list: without the list there is no one to ask.
 func (h *Holders) awaitWorkers(ctx context.Context) {
 	h.readWorkers(ctx)
-	for end := h.Now().Add(lookupTimeout); len(h.known()) == 0 && h.Now().Before(end); {
+	for end := h.Now().Add(lookupTimeout); len(h.knownWorkers()) == 0 && h.Now().Before(end); {
 		select {
-		case <-time.After(awaitWorkersEvery):
+		case <-time.After(awaitWorkersInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (h *Holders) accountKeepers(route string) []queueroom.Worker {
+func (h *Holders) accountHolders(route string) []queueroom.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.roster.Keepers(route, h.Copies-1, h.Now())
 }
 
-// reserving is the asking for the room of one job.
-type reserving struct {
+// capacityRequest is the state of one reservation.
+type capacityRequest struct {
 	holders  *Holders
-	keepers  []queueroom.Worker
+	workers  []queueroom.Worker
 	question *queueroom.Question
 }
 
-// roomAnswer is what came of one question.
-type roomAnswer struct {
+// capacityAnswer is the result of one call.
+type capacityAnswer struct {
 	answer *queueroom.Answer
-	// unkept says that the worker is of a build that keeps no account.
-	unkept bool
+	// unsupported means that the worker's build does not support queue accounts.
+	unsupported bool
 }
 
-func (r *reserving) run(ctx context.Context, bound int) *queueroom.Reservation {
-	replies := make(chan roomAnswer, len(r.keepers))
-	for _, keeper := range r.keepers {
-		// Each call has a tomb of its own: the last ones outlive the request.
+func (r *capacityRequest) run(ctx context.Context, bound int) *queueroom.Reservation {
+	replies := make(chan capacityAnswer, len(r.workers))
+	for _, worker := range r.workers {
+		// Each call gets a new tomb, because the last calls outlive the request.
 		new(tomb.Tomb).Go(func() error {
-			replies <- r.ask(ctx, keeper.Address)
+			replies <- r.ask(ctx, worker.Address)
 			return nil
 		})
 	}
 	reservation := &queueroom.Reservation{Release: r.release}
 	var answers []*queueroom.Answer
-	unkept := false
-	for range r.keepers {
+	unsupported := false
+	for range r.workers {
 		reply := <-replies
-		unkept = unkept || reply.unkept
+		unsupported = unsupported || reply.unsupported
 		if reply.answer == nil {
 			continue
 		}
 		answers = append(answers, reply.answer)
 		reservation.Count = queueroom.Sum(answers)
-		reservation.Verdict = queueroom.Decide(reservation.Count, len(r.keepers), r.question.Tokens, bound)
+		reservation.Verdict = queueroom.Decide(reservation.Count, len(r.workers), r.question.Tokens, bound)
 		if reservation.Verdict > queueroom.Unkept {
 			return reservation
 		}
 	}
-	if unkept {
+	if unsupported {
 		reservation.Verdict = queueroom.Unkept
 	}
 	return reservation
 }
 
-func (r *reserving) ask(ctx context.Context, address string) roomAnswer {
+func (r *capacityRequest) ask(ctx context.Context, address string) capacityAnswer {
 	reply := &RoomReply{}
-	err := r.holders.askRoom(ctx, address, &RoomRequest{Ask: r.question}, reply, callSlack)
-	return roomAnswer{answer: reply.Answer, unkept: err != nil && isUnknownCall(err)}
+	err := r.holders.callAccountHolder(ctx, address, &RoomRequest{Ask: r.question}, reply, callSlack)
+	return capacityAnswer{answer: reply.Answer, unsupported: err != nil && isUnknownCall(err)}
 }
 
-// release gives the room back in the background: it outlives the request.
-func (r *reserving) release() {
+// release releases the capacity in the background, because the calls outlive the request.
+func (r *capacityRequest) release() {
 	request := &RoomRequest{Release: &queueroom.Release{Job: r.question.Job, Attempt: r.question.Attempt}}
-	for _, keeper := range r.keepers {
+	for _, worker := range r.workers {
 		new(tomb.Tomb).Go(func() error {
-			// A keeper that is not reached lets the room go by itself.
-			_ = r.holders.askRoom(context.Background(), keeper.Address, request, &RoomReply{}, releaseTimeout)
+			// An account holder that is not reached releases the capacity when the reservation expires.
+			_ = r.holders.callAccountHolder(context.Background(), worker.Address, request, &RoomReply{}, releaseTimeout)
 			return nil
 		})
 	}
 }
 
-// askRoom makes one call of a keeper. One that does not answer is not left alone by other calls for that: keepers are asked with each job, so
-// that disks would never be asked again.
-func (h *Holders) askRoom(ctx context.Context, address string, request *RoomRequest, reply *RoomReply, within time.Duration) error {
+// callAccountHolder makes one call to an account holder. A failure does not make other calls skip the worker: account holders are called
+// for every job, and a skipped worker would never be asked again to store jobs on disk.
+func (h *Holders) callAccountHolder(ctx context.Context, address string, request *RoomRequest, reply *RoomReply, within time.Duration) error {
 	call, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	connection, err := h.Connect(address)
--- a/internal/jobpeer/quota.go
+++ b/internal/jobpeer/quota.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// quotaDuty is what workers are ranked by for the account of a tenant: all nodes must rank alike.
-	quotaDuty = "quota/"
-	// unlimitedFor is how long a worker of a build that keeps no account is not asked for one.
-	unlimitedFor = 10 * time.Second
+	// quotaRankPrefix is the prefix of the keys by which workers are ranked to find the account holder of a tenant's quota. All
+	// nodes must rank workers alike.
+	quotaRankPrefix = "quota/"
+	// quotaRetryInterval is how long a worker whose build does not support quotas is not called for them.
+	quotaRetryInterval = 10 * time.Second
 )
 
-// QuotaOwner returns the address of the worker that keeps account of a tenant's requests: the first by rank of those that answer. It
-// is empty where none does; kept is false where the workers are known, and are of a build that keeps no account.
+// QuotaOwner returns the address of the account holder of a tenant's quota: the first worker by rank that is not skipped. The
+// address is empty if there is none. kept is false if workers are known and none of them supports quotas.
 func (h *Holders) QuotaOwner(tenant ident.Tenant) (address string, kept bool) {
-	if len(h.known()) == 0 {
+	if len(h.knownWorkers()) == 0 {
 		h.readWorkers(context.Background())
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
 	var best ident.Node
-	old := 0
+	unsupportedCount := 0
 	for _, worker := range h.workers.Value() {
-		if now.Before(h.unlimited[worker.Address]) {
-			old++
+		if now.Before(h.quotaUnsupported[worker.Address]) {
+			unsupportedCount++
 			continue
 		}
-		if now.Before(h.avoided[worker.Address]) {
+		if now.Before(h.skippedUntil[worker.Address]) {
 			continue
 		}
-		if address == "" || rendezvous.Compare(quotaDuty+string(tenant), worker.Node, best) < 0 {
+		if address == "" || rendezvous.Compare(quotaRankPrefix+string(tenant), worker.Node, best) < 0 {
 			address, best = worker.Address, worker.Node
 		}
 	}
-	return address, old == 0 || old < len(h.workers.Value())
+	return address, unsupportedCount == 0 || unsupportedCount < len(h.workers.Value())
 }
 
-// TellQuota tells a worker what was let through of the tenants that it keeps account of.
+// TellQuota reports the admitted requests of tenants to their account holder.
 func (h *Holders) TellQuota(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error) {
 	connection, err := h.Connect(address)
 	answer := &quota.Answer{}
@@ -57,24 +58,24 @@
 		h.Heard.Answered()
 		return answer, nil
 	case isUnknownCall(err):
-		h.noteUnlimited(address)
+		h.markQuotaUnsupported(address)
 	case ctx.Err() == nil || context.Cause(ctx) == context.DeadlineExceeded:
 		h.Heard.Failed(h.Now())
-		h.avoid(address)
+		h.skip(address)
 	}
 	return nil, fmt.Errorf("%w: %s: %w", ErrNoWorker, address, err)
 }
 
-// isUnknownCall says whether a node answered that it has no such call: its build is older.
+// isUnknownCall reports whether a node answered that it does not have the call because its build is older.
 func isUnknownCall(err error) bool { return strings.Contains(err.Error(), "unknown rpc") }
 
-func (h *Holders) noteUnlimited(address string) {
+func (h *Holders) markQuotaUnsupported(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.unlimited == nil {
-		h.unlimited = map[string]time.Time{}
+	if h.quotaUnsupported == nil {
+		h.quotaUnsupported = map[string]time.Time{}
 	}
-	h.unlimited[address] = h.Now().Add(unlimitedFor)
+	h.quotaUnsupported[address] = h.Now().Add(quotaRetryInterval)
 }
 
 // Quota implements Server.
@@ -82,7 +83,7 @@
 	return s.Ledger.Settle(spending, s.limitOf, s.Worker.Now()), nil
 }
 
-// limitOf returns the limit of a tenant in the configuration in force.
+// limitOf returns the limit of a tenant in the active configuration.
 func (s *WorkerServer) limitOf(name ident.Tenant) (quota.Limit, bool) {
 	tenant := s.Worker.Routes.Tenant(name)
 	if tenant == nil {
--- a/internal/jobpeer/ration.go
+++ b/internal/jobpeer/ration.go
@@ -8,13 +8,14 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Waiters is the requests of a node that wait for places; see online.Forwarder.
+// Waiters reports a node's requests that wait for slots; see online.Forwarder.
 type Waiters interface {
 	Waiting() []demand.Waiting
 	Granted()
 }
 
-// addWaiting adds what waits for places to the work by the workers' addresses, for those that ration the places of the service.
+// addWaiting adds the requests waiting for slots to the work for the workers that ration the slots of their service, by
+// address.
 func (o *OnlineWork) addWaiting(owned map[string]demand.Owned, workers []jobrecord.Worker) {
 	if o.Waiters == nil {
 		return
@@ -25,18 +26,18 @@
 	}
 	waiting := o.Waiters.Waiting()
 	for address, services := range rationers {
-		of := owned[address]
-		for _, told := range waiting {
-			if slices.Contains(services, told.Service) {
-				of.Waiting = append(of.Waiting, told)
+		entry := owned[address]
+		for _, request := range waiting {
+			if slices.Contains(services, request.Service) {
+				entry.Waiting = append(entry.Waiting, request)
 			}
 		}
-		owned[address] = of
+		owned[address] = entry
 	}
 }
 
-// rationers returns the services whose places a worker rations, by its address. Workers of other zones are left out where this one has runners
-// of the service: else the questions of all nodes would rise with nodes times workers.
+// rationers returns the services whose slots each worker rations, by address. Workers of other zones are left out if this zone
+// has runners of the service: otherwise the number of reports would grow with nodes times workers.
 func (o *OnlineWork) rationers(workers []jobrecord.Worker) map[string][]string {
 	rationers := map[string][]string{}
 	for _, runner := range o.Runners.Rationed(o.Now()) {
@@ -44,14 +45,14 @@
 		if !found || slices.Contains(rationers[owner.Address], runner.Service) {
 			continue
 		}
-		if owner.Zone == o.Holders.Zone || !o.hasNear(runner.Service) {
+		if owner.Zone == o.Holders.Zone || !o.hasRunnerInZone(runner.Service) {
 			rationers[owner.Address] = append(rationers[owner.Address], runner.Service)
 		}
 	}
 	return rationers
 }
 
-// hasNear says whether runners of a service are in this node's zone.
-func (o *OnlineWork) hasNear(service string) bool {
+// hasRunnerInZone reports whether this node's zone has runners of a service.
+func (o *OnlineWork) hasRunnerInZone(service string) bool {
 	return slices.ContainsFunc(o.Runners.Of(service), func(runner work.Runner) bool { return runner.Zone == o.Holders.Zone })
 }
--- a/internal/jobpeer/ration_test.go
+++ b/internal/jobpeer/ration_test.go
@@ -13,7 +13,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// waitingRequests is a node with a request that waits for each of two services, and counts the grants it is told of.
+// waitingRequests is a node with requests that wait for two services. It counts the grants that it is notified of.
 type waitingRequests struct{ granted int }
 
 func (w *waitingRequests) Waiting() []demand.Waiting {
@@ -22,9 +22,10 @@
 
 func (w *waitingRequests) Granted() { w.granted++ }
 
-// TestThoseThatRationAreToldWhatWaits has a runner in each of two zones. The owner that rations hears what waits for the service of its runner
-// and of nothing else, the other one nothing; one of another zone hears only where the own zone has no runner of the service.
-func TestThoseThatRationAreToldWhatWaits(t *testing.T) {
+// TestRationingWorkersReceiveWaitingRequests has up to one runner in each of two zones. A worker that rations a runner must receive
+// the requests waiting for that runner's service and no others; other workers receive none. A worker of another zone receives
+// them only if this zone has no runner of the service.
+func TestRationingWorkersReceiveWaitingRequests(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	near := work.Runner{ID: "near", Service: "s", Zone: "a", Slots: 8, State: work.Ready}
 	far := work.Runner{ID: "far", Service: "s", Zone: "b", Slots: 8, State: work.Ready}
@@ -33,10 +34,10 @@
 		rationed ident.Incarnation
 		told     string
 	}{
-		"nothing is rationed":           {runners: []work.Runner{near, far}},
-		"the own zone's is":             {runners: []work.Runner{near, far}, rationed: "near", told: "1"},
-		"another zone's is":             {runners: []work.Runner{near, far}, rationed: "far"},
-		"there are runners there alone": {runners: []work.Runner{far}, rationed: "far", told: "2"},
+		"no runner is rationed":                  {runners: []work.Runner{near, far}},
+		"the runner of this zone is rationed":    {runners: []work.Runner{near, far}, rationed: "near", told: "1"},
+		"the runner of another zone is rationed": {runners: []work.Runner{near, far}, rationed: "far"},
+		"only another zone has a runner":         {runners: []work.Runner{far}, rationed: "far", told: "2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			holders := &Holders{Zone: "a", Now: func() time.Time { return now }}
@@ -48,7 +49,7 @@
 			assert.Equal(t, requests.granted, 0)
 			for address, owned := range online.Online() {
 				if address != c.told {
-					assert.Equal(t, len(owned.Waiting), 0, "%s is told", address)
+					assert.Equal(t, len(owned.Waiting), 0, "worker %s receives waiting requests", address)
 					continue
 				}
 				assert.DeepEqual(t, owned.Waiting, []demand.Waiting{{Service: "s", OnTime: 2}})
--- a/internal/jobpeer/refused_test.go
+++ b/internal/jobpeer/refused_test.go
@@ -25,17 +25,17 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// sharedRegistry is a registry that turns single nodes away.
+// sharedRegistry is a registry that refuses the calls of selected nodes.
 type sharedRegistry struct {
 	mutex   sync.Mutex
 	version int64
 	refused map[string]bool
-	// calls counts the calls of each node, probes left out; probes counts those, and asked the questions to feeds.
+	// calls counts the calls of each node without probes, probes counts the probes, and asked counts the calls to feeds.
 	calls, probes map[string]int
 	asked         int
 }
 
-// nodeRegistry is a node's way to it. It implements work.Registry.
+// nodeRegistry is a node's connection to the registry. It implements work.Registry.
 type nodeRegistry struct {
 	work.Registry
 	shared *sharedRegistry
@@ -93,7 +93,6 @@
 	return err
 }
 
-// snapshotConn is a connection to a worker's feed.
 type snapshotConn struct {
 	drpc.Conn
 	feed   *fleetfeed.Feed
@@ -112,7 +111,7 @@
 	return err
 }
 
-// refusedFleet are workers and fronts that follow the registry through each other.
+// refusedFleet is a set of workers and fronts that follow the registry through each other.
 type refusedFleet struct {
 	registry *sharedRegistry
 	tomb     *tomb.Tomb
@@ -135,14 +134,14 @@
 	followed.Start(f.tomb)
 }
 
-// reader is how a worker finds the one to ask; see jobworker.Worker.Reader.
+// reader returns the function by which a worker finds the one to ask; see jobworker.Worker.Reader.
 func (f *refusedFleet) reader(self string) func(func(string) bool) (string, bool) {
-	return func(avoided func(string) bool) (string, bool) {
+	return func(skipped func(string) bool) (string, bool) {
 		for _, name := range f.workers[:2] {
 			if name == self {
 				return "", false
 			}
-			if !avoided(name) {
+			if !skipped(name) {
 				return name, true
 			}
 		}
@@ -159,17 +158,17 @@
 	for index := range workers {
 		name := fmt.Sprintf("worker-%02d", index)
 		f.workers = append(f.workers, name)
-		// No two processes start at the same nanosecond, by which their feeds are told apart.
+		// Feeds are distinguished by their start time in nanoseconds, so no two may start at the same time.
 		time.Sleep(time.Millisecond)
 		f.feeds[name] = fleetfeed.New(time.Now)
 		list = append(list, jobrecord.Worker{Node: ident.Node(name), Zone: "z", Address: name})
 	}
-	told := make([]fleetfeed.Worker, 0, workers)
+	listed := make([]fleetfeed.Worker, 0, workers)
 	for _, worker := range list {
-		told = append(told, fleetfeed.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
+		listed = append(listed, fleetfeed.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
 	for index, name := range f.workers {
-		f.feeds[name].Workers = func() []fleetfeed.Worker { return told }
+		f.feeds[name].Workers = func() []fleetfeed.Worker { return listed }
 		source := &jobpeer.LeaderFeed{Reader: f.reader(name), InLine: func() bool { return index < 2 }, Connect: f.connect, Now: time.Now}
 		f.start(name, source, f.feeds[name])
 	}
@@ -181,8 +180,8 @@
 	return f
 }
 
-// change has the operator change the configuration.
-func (f *refusedFleet) change() int64 {
+// changeConfiguration changes the configuration, as an operator would.
+func (f *refusedFleet) changeConfiguration() int64 {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
 	f.registry.version++
@@ -197,8 +196,8 @@
 	}
 }
 
-// others adds up the calls of the nodes that are not in line.
-func (f *refusedFleet) others() int {
+// otherCalls returns the sum of the calls of the nodes that are not eligible readers.
+func (f *refusedFleet) otherCalls() int {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
 	sum := 0
@@ -210,15 +209,15 @@
 	return sum
 }
 
-// counted returns the questions to feeds and the probes of each node so far.
-func (f *refusedFleet) counted() (asked int, probes map[string]int) {
+// counts returns the number of calls to feeds and the probes of each node so far.
+func (f *refusedFleet) counts() (asked int, probes map[string]int) {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
 	return f.registry.asked, maps.Clone(f.registry.probes)
 }
 
-// mustKnow fails where a node that is not turned away lacks a configuration.
-func (f *refusedFleet) mustKnow(t *testing.T, version int64) {
+// checkVersion fails if a node that is not refused lacks a configuration.
+func (f *refusedFleet) checkVersion(t *testing.T, version int64) {
 	t.Helper()
 	f.registry.mutex.Lock()
 	refused := maps.Clone(f.registry.refused)
@@ -228,44 +227,42 @@
 	}
 }
 
-// TestReaderThatTheStoreTurnsAwayIsPassedOver
-//
-// The load is a site of eleven workers and 22 fronts whose reader for all the store turns away for 9 s while it answers the other nodes.
-// The aim is that the next in line reads for all: each other node reads the list and the orders itself once at most while that is found
-// out, and no more while it lasts. Configurations must be in force within the 3 s that a site allows, all the while.
-func TestReaderThatTheStoreTurnsAwayIsPassedOver(t *testing.T) {
+// TestReaderThatTheStoreRefusesIsPassedOver uses a site of eleven workers and 22 fronts. The store refuses the reader for
+// 9 s while it answers the other nodes. The next eligible worker must read for all: each other node reads the list and the
+// orders itself at most once until it has found that worker, and not at all afterwards. During all that time configurations
+// must be active within the 3 s that a site allows.
+func TestReaderThatTheStoreRefusesIsPassedOver(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		const workers, fronts, callsEach, inForceWithin = 11, 22, 3, 3 * time.Second
 		f := newRefusedFleet(workers, fronts)
 		time.Sleep(10 * time.Second)
 		f.refuse(true, f.workers[0])
-		before := f.others()
+		before := f.otherCalls()
 		for range 3 {
-			version := f.change()
+			version := f.changeConfiguration()
 			time.Sleep(inForceWithin)
-			f.mustKnow(t, version)
+			f.checkVersion(t, version)
 		}
-		calls := f.others() - before
-		t.Logf("%d calls of %d nodes", calls, workers-2+fronts)
+		calls := f.otherCalls() - before
+		t.Logf("%d calls by %d nodes", calls, workers-2+fronts)
 		assert.Assert(t, calls <= callsEach*(workers-2+fronts), "%d calls", calls)
 		f.refuse(false, f.workers[0])
 		time.Sleep(inForceWithin)
-		before = f.others()
-		version := f.change()
+		before = f.otherCalls()
+		version := f.changeConfiguration()
 		time.Sleep(inForceWithin)
-		f.mustKnow(t, version)
-		assert.Equal(t, f.others(), before, "calls after the reader is back")
+		f.checkVersion(t, version)
+		assert.Equal(t, f.otherCalls(), before, "calls after the reader has returned")
 		f.tomb.Kill(nil)
 		_ = f.tomb.Wait()
 	})
 }
 
-// TestNodesWaitWhileTheStoreIsAwayFromAll
-//
-// The load is the same site while the store answers nobody for 8 s. The aim is that passing readers over costs no more than before: the
-// two in line look for its return ten times a second, the others twice, and each asks its source a few times a second at most. A
-// configuration of the outage must be in force everywhere within 3 s of the return.
-func TestNodesWaitWhileTheStoreIsAwayFromAll(t *testing.T) {
+// TestNodesWaitWhileTheStoreIsUnavailable uses the same site while the store answers no node for 8 s. Passing readers over
+// must cost no more than before: the two eligible readers probe the store at most ten times a second, the others twice, and
+// each node calls its source at most a few times a second. A configuration changed during the outage must be active everywhere
+// within 3 s of the store's return.
+func TestNodesWaitWhileTheStoreIsUnavailable(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		const workers, fronts, seconds, askedEach, inForceWithin = 11, 22, 8, 3, 3 * time.Second
 		f := newRefusedFleet(workers, fronts)
@@ -275,12 +272,12 @@
 			all = append(all, name)
 		}
 		f.refuse(true, all...)
-		before, _ := f.counted()
+		before, _ := f.counts()
 		time.Sleep(seconds * time.Second)
-		after, probed := f.counted()
+		after, probed := f.counts()
 		asked := after - before
-		t.Logf("%d questions of %d nodes in %d s, %v probes", asked, len(all), seconds, probed)
-		assert.Assert(t, asked <= askedEach*seconds*len(all), "%d questions", asked)
+		t.Logf("%d calls to feeds by %d nodes in %d s, probes: %v", asked, len(all), seconds, probed)
+		assert.Assert(t, asked <= askedEach*seconds*len(all), "%d calls to feeds", asked)
 		for name, probes := range probed {
 			most := 2 * seconds
 			if name == f.workers[0] || name == f.workers[1] {
@@ -288,10 +285,10 @@
 			}
 			assert.Assert(t, probes <= most, "%s made %d probes", name, probes)
 		}
-		version := f.change()
+		version := f.changeConfiguration()
 		f.refuse(false, all...)
 		time.Sleep(inForceWithin)
-		f.mustKnow(t, version)
+		f.checkVersion(t, version)
 		f.tomb.Kill(nil)
 		_ = f.tomb.Wait()
 	})
--- a/internal/jobpeer/server.go
+++ b/internal/jobpeer/server.go
@@ -11,19 +11,19 @@
 	"mallowlatch.example/mallowlatch/internal/quota"
 )
 
-// longestWait bounds how long a query is held.
-const longestWait = 2 * time.Second
+// maxQueryWait is the maximum time that a query may wait for a result.
+const maxQueryWait = 2 * time.Second
 
-// WorkerServer answers queries from a worker's memory. It implements Server.
+// WorkerServer answers calls from a worker's memory and disk. It implements Server.
 type WorkerServer struct {
 	Worker *jobworker.Worker
-	// Ledger is the account of the tenants that this worker owns.
+	// Ledger contains the quota accounts of the tenants whose account holder this worker is.
 	Ledger *quota.Ledger
 }
 
 // Results implements Server.
 func (s *WorkerServer) Results(ctx context.Context, query *Query) (*Reply, error) {
-	wait := min(time.Duration(query.WaitMs)*time.Millisecond, longestWait)
+	wait := min(time.Duration(query.WaitMs)*time.Millisecond, maxQueryWait)
 	held, sure := s.Worker.Held(ctx, query.Job, max(query.From, 0), wait)
 	return &Reply{Sure: sure, Tenant: held.Tenant, Total: held.Total, Results: held.Results}, nil
 }
--- a/internal/jobpeer/places_test.go
+++ b/internal/jobpeer/slots_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 )
 
-// tenantUses are what a node's tenants take, and what it learned.
+// tenantUses reports preset slot use and records the received bounds.
 type tenantUses struct {
 	uses    []demand.Use
 	learned []demand.Bound
@@ -22,18 +22,22 @@
 
 func (t *tenantUses) Learn(bounds []demand.Bound, _ time.Time) { t.learned = bounds }
 
-// TestUsesGoToTheOneKeeperOfTheirService has nodes that list the workers in different orders tell one worker of a service, whether they have work at
-// its runners or not, and the next one where it does not answer.
-func TestUsesGoToTheOneKeeperOfTheirService(t *testing.T) {
+// TestSlotUseIsReportedToOneAccountHolder has nodes that list the workers in different orders report a service to the same
+// worker, whether or not they have work at its runners, and to the next worker if that one does not answer.
+func TestSlotUseIsReportedToOneAccountHolder(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	workers := []jobrecord.Worker{{Node: "w-1", Zone: "a", Address: "1"}, {Node: "w-2", Zone: "a", Address: "2"}, {Node: "w-3", Zone: "b", Address: "3"}}
-	tenants := &tenantUses{uses: []demand.Use{{Service: "s", Tenant: "hot", Taken: 3}, {Service: "other", Tenant: "hot", Taken: 1}, {Service: "s", Taken: 2}}}
-	told := func(work *OnlineWork, service string) string {
+	workers := []jobrecord.Worker{
+		{Node: "w-1", Zone: "a", Address: "1"}, {Node: "w-2", Zone: "a", Address: "2"}, {Node: "w-3", Zone: "b", Address: "3"},
+	}
+	tenants := &tenantUses{uses: []demand.Use{
+		{Service: "s", Tenant: "hot", Taken: 3}, {Service: "other", Tenant: "hot", Taken: 1}, {Service: "s", Taken: 2},
+	}}
+	reportedTo := func(work *OnlineWork, service string) string {
 		found := ""
 		for address, owned := range work.Online() {
 			for _, use := range owned.Uses {
 				if use.Service == service {
-					assert.Assert(t, found == "" || found == address, "two workers are told")
+					assert.Assert(t, found == "" || found == address, "two workers receive a report")
 					found = address
 				}
 			}
@@ -45,19 +49,20 @@
 		h := &Holders{Zone: "a", Now: func() time.Time { return now }}
 		h.Learn(listed, now)
 		work := &OnlineWork{Holders: h, Runners: runnertable.New("a"), Tenants: tenants, Now: h.Now}
-		keeper := told(work, "s")
-		assert.Assert(t, keeper != "" && (first == "" || first == keeper))
-		first = keeper
-		h.avoid(keeper)
-		next := told(work, "s")
-		assert.Assert(t, next != "" && next != keeper, "%q after %q", next, keeper)
-		now = now.Add(2 * avoidFor)
-		assert.Equal(t, told(work, "s"), keeper)
+		holder := reportedTo(work, "s")
+		assert.Assert(t, holder != "" && (first == "" || first == holder))
+		first = holder
+		h.skip(holder)
+		next := reportedTo(work, "s")
+		assert.Assert(t, next != "" && next != holder, "%q after %q", next, holder)
+		now = now.Add(2 * skipDuration)
+		assert.Equal(t, reportedTo(work, "s"), holder)
 	}
 }
 
-// TestWhatAKeeperSaysIsLearned has a worker's answer with bounds, and one of a build that tells none.
-func TestWhatAKeeperSaysIsLearned(t *testing.T) {
+// TestBoundsInAnswersArePassedOn checks that bounds in a worker's answer are passed on, and that an answer of a build without
+// bounds does not replace them.
+func TestBoundsInAnswersArePassedOn(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	tenants := &tenantUses{}
 	work := &OnlineWork{Holders: &Holders{Now: func() time.Time { return now }}, Runners: runnertable.New("a"), Tenants: tenants}
--- a/internal/jobpeer/zones_test.go
+++ b/internal/jobpeer/zones_test.go
@@ -40,49 +40,49 @@
 }
 
 const (
-	// cutKnownWithin is when an idle node has to know that a zone is cut off: peaks last two seconds, and half of one is to be
-	// served without asking where nobody answers. backKnownWithin is when it has to know that the zone is back: each moment more
-	// leaves free places unused.
+	// cutKnownWithin is the time within which an idle node has to detect that a zone is partitioned: load peaks last two
+	// seconds, and half of one must be served without calls to unresponsive workers. backKnownWithin is the time within which
+	// it has to detect that the zone is back: any further delay leaves free slots unused.
 	cutKnownWithin, backKnownWithin = 1250 * time.Millisecond, 500 * time.Millisecond
 )
 
-// TestNodeKnowsWhichZonesAnswer has a node without any request lose a zone of three, whose workers leave its calls without an answer. A single
-// worker that dies is no cut zone.
-func TestNodeKnowsWhichZonesAnswer(t *testing.T) {
+// TestNodeDetectsPartitionedZones has a node without requests lose one zone of three, whose workers stop answering its calls. A
+// single dead worker must not count as a partitioned zone.
+func TestNodeDetectsPartitionedZones(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		f := &endsFleet{workers: map[string]*jobworker.Worker{}, cut: map[string]bool{}, bytes: map[string]int{}, tomb: new(tomb.Tomb)}
-		over := make(chan struct{})
-		f.tomb.Go(func() error { <-over; return nil })
-		var away []string
+		f := &endsFleet{workers: map[string]*jobworker.Worker{}, partitioned: map[string]bool{}, bytes: map[string]int{}, tomb: new(tomb.Tomb)}
+		finished := make(chan struct{})
+		f.tomb.Go(func() error { <-finished; return nil })
+		var isolated []string
 		for index := range 24 {
 			name, zone := fmt.Sprint("worker-", index), ident.Zone(fmt.Sprint("z", index%3))
 			f.list = append(f.list, jobrecord.Worker{Node: ident.Node(name), Zone: zone, Address: name})
 			f.startWorker(name, zone)
 			if zone == "z2" {
-				away = append(away, name)
+				isolated = append(isolated, name)
 			}
 		}
-		table, told := runnertable.New("z0"), &lines{}
+		table, logged := runnertable.New("z0"), &lines{}
 		holders := &jobpeer.Holders{Zone: "z0", Connect: f.connect("front"), Now: time.Now}
 		holders.Learn(append([]jobrecord.Worker(nil), f.list...), time.Now())
-		online := &jobpeer.OnlineWork{Holders: holders, Runners: table, Logger: zerolog.New(told), Now: time.Now}
+		online := &jobpeer.OnlineWork{Holders: holders, Runners: table, Logger: zerolog.New(logged), Now: time.Now}
 		teller := demand.NewTeller("front", online, time.Now)
 		teller.Tell = online.Tell
 		teller.Start(f.tomb)
 		time.Sleep(5 * time.Second)
-		f.setCut(true, away[0])
+		f.setPartitioned(true, isolated[0])
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, told.count("zone_out_of_reach"), 0, "one worker that died was taken for a zone that is cut off")
-		f.setCut(true, away...)
+		assert.Equal(t, logged.count("zone_out_of_reach"), 0, "one dead worker was taken for a partitioned zone")
+		f.setPartitioned(true, isolated...)
 		time.Sleep(cutKnownWithin)
-		assert.Equal(t, told.count("zone_out_of_reach"), 1)
+		assert.Equal(t, logged.count("zone_out_of_reach"), 1)
 		assert.Assert(t, !table.ZoneDoubted("z2").IsZero() && table.ZoneDoubted("z1").IsZero())
 		time.Sleep(5 * time.Second)
-		f.setCut(false, away...)
+		f.setPartitioned(false, isolated...)
 		time.Sleep(backKnownWithin)
-		assert.Equal(t, told.count("zone_back"), 1)
+		assert.Equal(t, logged.count("zone_back"), 1)
 		assert.Assert(t, table.ZoneDoubted("z2").IsZero())
-		close(over)
+		close(finished)
 		f.tomb.Kill(nil)
 		assert.NilError(t, f.tomb.Wait())
 	})
--- a/internal/jobpeer/neighbours_test.go
+++ b/internal/jobpeer/zoneworkers_test.go
@@ -9,34 +9,35 @@
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 )
 
-// TestWorkersOfTheZoneStayWhileTheirRegistrationsAreGone has a zone whose registrations lapsed together, with one of its two workers dead.
-func TestWorkersOfTheZoneStayWhileTheirRegistrationsAreGone(t *testing.T) {
+// TestZoneWorkersStayInUseWithoutRegistrations has all registrations of a zone expire together, with one of its two
+// workers dead.
+func TestZoneWorkersStayInUseWithoutRegistrations(t *testing.T) {
 	now := time.Unix(100, 0)
 	one, two, far := jobrecord.Worker{Node: "1", Zone: "a", Address: "1"}, jobrecord.Worker{Node: "2", Zone: "a", Address: "2"}, jobrecord.Worker{Node: "3", Zone: "b", Address: "3"}
-	var known neighbours
+	var known zoneWorkers
 	assert.Equal(t, len(known.workers("a", []jobrecord.Worker{far}, now)), 1)
 	all := []jobrecord.Worker{one, two, far}
 	assert.DeepEqual(t, known.workers("a", all, now), all)
 	known.answered("1", now)
 	known.answered("2", now)
-	// One that retires goes from the list by itself.
+	// A worker that retires is removed from the list alone.
 	assert.DeepEqual(t, known.workers("a", []jobrecord.Worker{two, far}, now), []jobrecord.Worker{two, far})
 	assert.DeepEqual(t, known.workers("a", all, now), all)
-	now = now.Add(answersFor)
+	now = now.Add(answerTTL)
 	known.answered("1", now)
 	assert.DeepEqual(t, known.workers("a", []jobrecord.Worker{far}, now), []jobrecord.Worker{far, one})
-	// Their registrations come back one after the other.
+	// Their registrations return one by one.
 	assert.DeepEqual(t, known.workers("a", []jobrecord.Worker{two, far}, now), []jobrecord.Worker{two, far, one})
-	now = now.Add(unlistedFor)
+	now = now.Add(unlistedGrace)
 	known.answered("1", now)
 	assert.DeepEqual(t, known.workers("a", []jobrecord.Worker{far}, now), []jobrecord.Worker{far})
 }
 
-// TestListIsGoneByAgainOnceAllAreBack has a worker retire after a zone has its registrations back.
-func TestListIsGoneByAgainOnceAllAreBack(t *testing.T) {
+// TestOnlyListedWorkersAreUsedOnceAllAreBack has a worker retire after the registrations of its zone have returned.
+func TestOnlyListedWorkersAreUsedOnceAllAreBack(t *testing.T) {
 	now := time.Unix(100, 0)
 	one, two := jobrecord.Worker{Node: "1", Zone: "a", Address: "1"}, jobrecord.Worker{Node: "2", Zone: "a", Address: "2"}
-	var known neighbours
+	var known zoneWorkers
 	both := []jobrecord.Worker{one, two}
 	known.workers("a", both, now)
 	known.answered("1", now)
--- a/internal/queueroom/decide.go
+++ b/internal/queueroom/decide.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Verdict says whether a job may be taken.
+// Verdict is the decision on whether a job may be accepted.
 type Verdict uint8
 
 const (
-	// Unheard means that no keeper answered.
+	// Unheard means that no account holder answered.
 	Unheard Verdict = iota
-	// Unsure means that too few of them answered for certain. What they know of is known.
+	// Unsure means that too few account holders gave a definite answer. The tokens that they know of are still counted.
 	Unsure
-	// Unkept means that the keepers are of a build that keeps no account.
+	// Unkept means that the account holders run a build without queue accounts.
 	Unkept
-	// Fits means that the job's room is reserved.
+	// Fits means that capacity is reserved for the job.
 	Fits
-	// Full means that there is no room for it.
+	// Full means that the queue lacks the capacity for the job.
 	Full
 )
 
-// Reservation is the room of one attempt to take a job.
+// Reservation is the queue capacity reserved for one attempt to submit a job.
 type Reservation struct {
 	Verdict Verdict
 	Count   Count
-	// Release gives the room back; it is to be called where the job was certainly not taken. It does not wait.
+	// Release releases the capacity without blocking. It must be called only if the job was definitely not accepted.
 	Release func()
 }
 
-// Decide says whether a job of some tokens fits beside what a count has, given the number of keepers and the bound.
-func Decide(count Count, keepers, tokens, bound int) Verdict {
+// Decide returns whether a job with the given tokens fits next to the counted tokens, given the number of account holders and
+// the bound.
+func Decide(count Count, holders, tokens, bound int) Verdict {
 	switch {
 	case count.Answers == 0:
 		return Unheard
-	case count.Sure < Majority(keepers):
+	case count.Sure < Majority(holders):
 		return Unsure
 	case count.Taken, count.Waiting+tokens <= bound:
 		return Fits
@@ -40,22 +41,22 @@
 }
 
 const (
-	// soonest and latest bound when the caller of a job that does not fit may come back: it has a few seconds left, as a rule.
-	soonest = 300 * time.Millisecond
-	latest  = 1500 * time.Millisecond
-	// unknownReturn is when it may where nothing was finished lately.
-	unknownReturn = time.Second
-	// spreadOver is the part of the time over which those who were sent away come back.
-	spreadOver = 0.5
+	// minRetryDelay and maxRetryDelay limit the retry delay of a job that does not fit: its caller usually has a few seconds left.
+	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
+	// defaultRetryDelay is the retry delay if no tokens were finished recently.
+	defaultRetryDelay = time.Second
+	// jitterFraction is the maximum jitter as a fraction of the delay, so that refused callers do not retry all at once.
+	jitterFraction = 0.5
 )
 
-// ReturnAfter is when the caller of a job that does not fit may come back: once so much is finished as it lacks, at the pace of late. spread,
-// from zero to one, is drawn for each caller.
+// ReturnAfter returns the retry delay for the caller of a job that does not fit: the time until the missing capacity is free
+// at the recent rate of finished tokens. spread is a random number from zero to one, drawn for each caller.
 func ReturnAfter(count Count, tokens, bound int, spread float64) time.Duration {
-	after := unknownReturn
+	after := defaultRetryDelay
 	if lacking := count.Waiting + tokens - bound; count.Freed > 0 {
 		after = time.Duration(float64(lacking) / float64(count.Freed) * float64(time.Second))
 	}
-	after = min(max(after, soonest), latest)
-	return after + time.Duration(spreadOver*spread*float64(after))
+	after = min(max(after, minRetryDelay), maxRetryDelay)
+	return after + time.Duration(jitterFraction*spread*float64(after))
 }
--- a/internal/queueroom/queueroom.go
+++ b/internal/queueroom/queueroom.go
@@ -1,49 +1,52 @@
-// Package queueroom keeps account of the tokens that wait on a batch route, so that their bound holds whichever way a job is taken: by
-// the metadata store, or on the disks of workers. A few workers keep the account of each route. A node that takes a job reserves its
-// tokens at a majority of them before anything is written, and counts together what they hold: any two majorities have a keeper in common.
-// The package makes no calls and reads no clock.
+// Package queueroom accounts for the tokens queued on a batch route, so that their bound holds whether jobs are accepted by
+// the metadata store or on the disks of workers. Several workers hold the account of each route. A node that accepts a job
+// reserves its tokens at a majority of them before anything is written, and combines their answers; any two majorities have an
+// account holder in common. The package also decides whether a job fits, estimates when a refused caller may retry, and ranks
+// the workers that hold an account. It makes no calls and reads no clock.
 package queueroom
 
 import (
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Held is a job that takes room in a queue before the store is known to list it.
+// Held is a job that takes queue capacity before the store is known to list it.
 type Held struct {
 	Job    ident.Job `json:"job"`
 	Tokens int       `json:"tokens"`
 }
 
-// Question asks a keeper for room. Its job is noted there before the answer is made.
+// Question asks an account holder for capacity. The job is recorded there before the answer is made.
 type Question struct {
 	Route string `json:"route"`
-	// Tenant is whose queue it is; empty means that of the whole route.
+	// Tenant owns the queue; empty stands for the queue of the whole route.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
 	Held
-	// Attempt names the asking node's try: a job that is handed in at two nodes is counted once, until neither needs its room.
+	// Attempt identifies the asking node's attempt. A job that is submitted at two nodes is counted once, until neither
+	// attempt needs its capacity.
 	Attempt string `json:"attempt"`
 }
 
-// Answer is what a keeper knows of a queue.
+// Answer is an account holder's view of a queue.
 type Answer struct {
-	// Sure says that the keeper knows everything that it was told of a while ago; without, only what Unlisted names is certain.
+	// Sure means that the account holder has held the account long enough to know every job that takes capacity. Otherwise the
+	// jobs in Unlisted are certain, but others may be missing.
 	Sure bool `json:"sure"`
-	// Revision is that of the list of open jobs which the keeper follows.
+	// Revision is that of the list of open jobs that the account holder follows.
 	Revision int64 `json:"revision"`
-	// Taken says that the job is listed, or on a disk; Asked that another attempt needs room for it.
+	// Taken means that the job is listed or on a disk, Asked that another attempt needs capacity for it.
 	Taken bool `json:"taken,omitempty"`
 	Asked bool `json:"asked,omitempty"`
-	// Open are the tokens that wait of the queue's listed jobs beside the one asked for.
+	// Open is the number of unfinished tokens of the queue's listed jobs, without the job of the question.
 	Open int `json:"open"`
-	// Unlisted are the queue's jobs that hold room and are not listed yet, as far as they were noted before the one asked for.
+	// Unlisted are the queue's jobs that take capacity, are not listed yet and were recorded before the job of the question.
 	Unlisted []Held `json:"unlisted,omitempty"`
-	// Lately are jobs that were listed a moment ago: another keeper may still count them among its unlisted ones.
-	Lately []ident.Job `json:"lately,omitempty"`
-	// Freed are the tokens of the queue that were finished in the last second, as a mean over some.
+	// RecentlyListed are recently listed jobs: another account holder may still count them as unlisted.
+	RecentlyListed []ident.Job `json:"lately,omitempty"`
+	// Freed is the recent rate of finished tokens of the queue, in tokens per second.
 	Freed int `json:"freed,omitempty"`
 }
 
-// Release ends the need of one attempt for its room: the job was certainly not taken by it.
+// Release releases the capacity of one attempt, which definitely did not submit the job.
 type Release struct {
 	Job     ident.Job `json:"job"`
 	Attempt string    `json:"attempt"`
@@ -56,31 +59,31 @@
 	Held
 }
 
-// Left is how many tokens of a job that a worker runs are not finished.
+// Left is the number of unfinished tokens of a job that a worker runs.
 type Left struct {
 	Job    ident.Job `json:"job"`
 	Tokens int       `json:"tokens"`
 }
 
-// News is what a worker tells the keepers of a route.
+// News is a worker's report to the holders of a route's account.
 type News struct {
 	Kept []Kept `json:"kept,omitempty"`
 	Left []Left `json:"left,omitempty"`
 }
 
-// Count is what the answers of several keepers say together.
+// Count combines the answers of several account holders.
 type Count struct {
-	// Answers is how many answered, Sure how many of those are sure.
+	// Answers is the number of answers, Sure the number of definite ones.
 	Answers, Sure int
-	// Taken and Asked say that one of them knew the job so.
+	// Taken and Asked are set if any answer sets them.
 	Taken, Asked bool
-	// Waiting are the tokens beside the job, Freed those finished in a second.
+	// Waiting is the number of queued tokens without the job itself, Freed the tokens finished per second.
 	Waiting, Freed int
-	// Unlisted are those of the waiting that the store does not list yet.
+	// Unlisted is the part of Waiting that the store does not list yet.
 	Unlisted int
 }
 
-// Sum counts what some keepers know together: the open jobs of the newest list, and what any of them holds beside it.
+// Sum combines answers: the open jobs of the newest list, plus the unlisted jobs of any answer.
 func Sum(answers []*Answer) Count {
 	var count Count
 	newest := newestOf(answers)
@@ -88,7 +91,7 @@
 		return count
 	}
 	counted := map[ident.Job]bool{}
-	for _, listed := range newest.Lately {
+	for _, listed := range newest.RecentlyListed {
 		counted[listed] = true
 	}
 	for _, answer := range answers {
@@ -110,7 +113,7 @@
 	return count
 }
 
-// newestOf returns the answer with the newest list of open jobs; a sure one goes before one that is not.
+// newestOf returns the answer with the newest list of open jobs; definite answers take precedence.
 func newestOf(answers []*Answer) *Answer {
 	var newest *Answer
 	for _, answer := range answers {
@@ -121,5 +124,5 @@
 	return newest
 }
 
-// Majority is how many of some keepers must be sure for a count to hold.
-func Majority(keepers int) int { return keepers/2 + 1 }
+// Majority returns how many of the account holders must give a definite answer for a count to be valid.
+func Majority(holders int) int { return holders/2 + 1 }
