--- a/internal/jobpeer/intake_faults_test.go
+++ b/internal/jobpeer/intake_faults_test.go
@@ -19,7 +19,7 @@
 }
 
 // fault injects a fault into a site for a while.
-type fault func(s *intake, lasting time.Duration)
+type fault func(s *intake, duration time.Duration)
 
 type namedFault struct {
 	name   string
@@ -28,7 +28,7 @@
 
 // storeOutage makes the store unresponsive for a random part of the nodes, or has it refuse their calls.
 func storeOutage(unresponsive bool, part float64) fault {
-	return func(s *intake, lasting time.Duration) {
+	return func(s *intake, duration time.Duration) {
 		var affected []*intakeStore
 		for _, store := range s.stores() {
 			if s.draw() < part {
@@ -45,14 +45,14 @@
 			}
 		}
 		set(true)
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		set(false)
 	}
 }
 
 // unansweredWrites has the store apply some writes without an answer, immediately or seconds later.
 func unansweredWrites(late bool) fault {
-	return func(s *intake, lasting time.Duration) {
+	return func(s *intake, duration time.Duration) {
 		for _, store := range s.stores() {
 			if late {
 				store.SetFaults(kvtest.PagedFaults{DelayNext: 2})
@@ -60,7 +60,7 @@
 				store.SetFaults(kvtest.PagedFaults{LoseNext: 2})
 			}
 		}
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		for _, store := range s.stores() {
 			store.SetFaults(kvtest.PagedFaults{})
 			store.ApplyDelayed()
@@ -68,34 +68,34 @@
 	}
 }
 
-func slowStore(s *intake, lasting time.Duration) {
+func slowStore(s *intake, duration time.Duration) {
 	for _, store := range s.stores() {
 		store.setDelay(40 * storeCall)
 	}
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	for _, store := range s.stores() {
 		store.setDelay(storeCall)
 	}
 }
 
-func unresponsiveWorker(s *intake, lasting time.Duration) {
+func unresponsiveWorker(s *intake, duration time.Duration) {
 	affected := s.drawWorker()
 	affected.setUnresponsive(true)
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	affected.setUnresponsive(false)
 }
 
-func killedWorker(s *intake, lasting time.Duration) { s.drawWorker().restart(lasting/4, true) }
+func killedWorker(s *intake, duration time.Duration) { s.drawWorker().restart(duration/4, true) }
 
-func allKilled(s *intake, lasting time.Duration) {
+func allKilled(s *intake, duration time.Duration) {
 	var restarts sync.WaitGroup
 	for _, w := range s.workers {
-		restarts.Go(func() { w.restart(lasting/4, true) })
+		restarts.Go(func() { w.restart(duration/4, true) })
 	}
 	restarts.Wait()
 }
 
-func lostDisk(s *intake, lasting time.Duration) { s.drawWorker().restart(lasting/4, false) }
+func lostDisk(s *intake, duration time.Duration) { s.drawWorker().restart(duration/4, false) }
 
 func (s *intake) draw() float64 {
 	s.mutex.Lock()
--- a/internal/jobpeer/intake_simulation_test.go
+++ b/internal/jobpeer/intake_simulation_test.go
@@ -93,13 +93,13 @@
 func simulateIntake(t *testing.T, size intakeSize, seed uint64) {
 	s := newIntake(t, size, seed)
 	var all sync.WaitGroup
-	injectRandom := func(of []namedFault) {
-		chosen := of[int(s.draw()*float64(len(of)))]
-		after, lasting := time.Duration(s.draw()*float64(time.Second)), time.Duration((0.5+4*s.draw())*float64(time.Second))
-		t.Logf("%s after %v for %v", chosen.name, after, lasting)
+	injectRandom := func(faults []namedFault) {
+		chosen := faults[int(s.draw()*float64(len(faults)))]
+		after, duration := time.Duration(s.draw()*float64(time.Second)), time.Duration((0.5+4*s.draw())*float64(time.Second))
+		t.Logf("%s after %v for %v", chosen.name, after, duration)
 		all.Go(func() {
 			time.Sleep(after)
-			chosen.inject(s, lasting)
+			chosen.inject(s, duration)
 		})
 	}
 	if s.draw() < 0.8 {
--- a/internal/jobpeer/intake_test.go
+++ b/internal/jobpeer/intake_test.go
@@ -152,9 +152,9 @@
 }
 
 // sleepFor waits for the given time. It returns false if ctx ends first.
-func sleepFor(ctx context.Context, lasting time.Duration) bool {
+func sleepFor(ctx context.Context, duration time.Duration) bool {
 	select {
-	case <-time.After(lasting):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
 		return false
@@ -430,11 +430,11 @@
 }
 
 // burst submits jobs spread over a period, and waits until each is accepted or given up.
-func (s *intake) burst(jobs, tokens int, over, timeout time.Duration) {
+func (s *intake) burst(jobs, tokens int, period, timeout time.Duration) {
 	var callers sync.WaitGroup
 	for index := range jobs {
 		job := intakeJob{id: ident.Job(fmt.Sprintf("j-%d-%03d", time.Now().UnixMilli(), index)), tokens: tokens}
-		after := time.Duration(s.draw() * float64(over))
+		after := time.Duration(s.draw() * float64(period))
 		callers.Go(func() {
 			time.Sleep(after)
 			s.call(job, timeout)
--- a/internal/jobpeer/live.go
+++ b/internal/jobpeer/live.go
@@ -64,9 +64,9 @@
 	if err := p.call(ctx, address, methodLive, &LiveQuery{After: after, WaitMs: wait.Milliseconds()}, reply); err != nil {
 		return changefeed.Update{}, err
 	}
-	told := sent.Add(time.Duration(reply.HeldMs) * time.Millisecond)
+	answeredAt := sent.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	update := changefeed.Update{
-		Whole: reply.Whole, Revision: reply.Revision, AsOf: told.Add(-time.Duration(reply.AgeMs) * time.Millisecond),
+		Whole: reply.Whole, Revision: reply.Revision, AsOf: answeredAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond),
 	}
 	for _, change := range reply.Changes {
 		update.Changes = append(update.Changes, kv.WatchEvent{Deleted: change.Deleted, Pair: kv.Pair{
--- a/internal/jobpeer/poisonrecords.go
+++ b/internal/jobpeer/poisonrecords.go
@@ -193,8 +193,8 @@
 }
 
 // sleep waits for the given time. It returns false if the tomb starts to die first.
-func sleep(parent *tomb.Tomb, lasting time.Duration) bool {
-	timer := time.NewTimer(lasting)
+func sleep(parent *tomb.Tomb, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -225,8 +225,8 @@
 // workers are dead and a zone is partitioned. The nodes of that zone, and a node that starts, must do so within three seconds
 // of their return.
 func TestPoisonRecordsReachEveryNodeInTime(t *testing.T) {
-	for _, size := range []struct{ zones, fronts, workers, plays int }{{3, 9, 6, 20}, {4, 62, 12, 6}, {7, 250, 45, 1}} {
-		for seed := range size.plays {
+	for _, size := range []struct{ zones, fronts, workers, runs int }{{3, 9, 6, 20}, {4, 62, 12, 6}, {7, 250, 45, 1}} {
+		for seed := range size.runs {
 			simulateEnds(t, uint64(seed), size.zones, size.fronts, size.workers)
 		}
 	}
--- a/internal/jobpeer/ration_test.go
+++ b/internal/jobpeer/ration_test.go
@@ -32,12 +32,12 @@
 	for name, c := range map[string]struct {
 		runners  []work.Runner
 		rationed ident.Incarnation
-		told     string
+		reported string
 	}{
 		"no runner is rationed":                  {runners: []work.Runner{near, far}},
-		"the runner of this zone is rationed":    {runners: []work.Runner{near, far}, rationed: "near", told: "1"},
+		"the runner of this zone is rationed":    {runners: []work.Runner{near, far}, rationed: "near", reported: "1"},
 		"the runner of another zone is rationed": {runners: []work.Runner{near, far}, rationed: "far"},
-		"only another zone has a runner":         {runners: []work.Runner{far}, rationed: "far", told: "2"},
+		"only another zone has a runner":         {runners: []work.Runner{far}, rationed: "far", reported: "2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			holders := &Holders{Zone: "a", Now: func() time.Time { return now }}
@@ -48,7 +48,7 @@
 			online.Take("1", &demand.Answer{Shares: []demand.Share{{Runner: c.rationed, Rationed: true}}}, now)
 			assert.Equal(t, requests.granted, 0)
 			for address, owned := range online.Online() {
-				if address != c.told {
+				if address != c.reported {
 					assert.Equal(t, len(owned.Waiting), 0, "worker %s receives waiting requests", address)
 					continue
 				}
--- a/internal/queueroom/ledger_test.go
+++ b/internal/queueroom/ledger_test.go
@@ -22,9 +22,9 @@
 type site struct {
 	now     time.Time
 	holders []*Ledger
-	// follows is the number of store events that each account holder has read.
-	follows []int
-	events  []storeEvent
+	// eventsRead is the number of store events that each account holder has read.
+	eventsRead []int
+	events     []storeEvent
 	// queued are the jobs whose acceptance was reported to their callers, with their unfinished tokens.
 	queued map[ident.Job]int
 	// unlisted are those of them that are only on disks.
@@ -34,12 +34,12 @@
 
 // storeEvent lists a job as open, or as no longer open.
 type storeEvent struct {
-	job  Kept
-	over bool
+	job    Kept
+	closed bool
 }
 
 func newSite() *site {
-	s := &site{now: time.Unix(1000, 0), follows: make([]int, testHolders), queued: map[ident.Job]int{}, unlisted: map[ident.Job]bool{}}
+	s := &site{now: time.Unix(1000, 0), eventsRead: make([]int, testHolders), queued: map[ident.Job]int{}, unlisted: map[ident.Job]bool{}}
 	for range testHolders {
 		s.holders = append(s.holders, &Ledger{})
 	}
@@ -56,14 +56,14 @@
 
 // follow has an account holder read some of the store's events.
 func (s *site) follow(holder, events int) {
-	for ; events > 0 && s.follows[holder] < len(s.events); events-- {
-		next := s.events[s.follows[holder]]
-		if next.over {
+	for ; events > 0 && s.eventsRead[holder] < len(s.events); events-- {
+		next := s.events[s.eventsRead[holder]]
+		if next.closed {
 			s.holders[holder].Unlist(next.job.Job, s.now)
 		} else {
 			s.holders[holder].List(next.job, s.now)
 		}
-		s.follows[holder]++
+		s.eventsRead[holder]++
 	}
 }
 
@@ -71,7 +71,7 @@
 func (s *site) ask(question *Question, reached []int) (Verdict, Count) {
 	var answers []*Answer
 	for _, holder := range reached {
-		answers = append(answers, s.holders[holder].Place(question, true, int64(1+s.follows[holder]), s.now))
+		answers = append(answers, s.holders[holder].Place(question, true, int64(1+s.eventsRead[holder]), s.now))
 	}
 	count := Sum(answers)
 	return Decide(count, testHolders, question.Tokens, testBound), count
@@ -118,10 +118,10 @@
 func (s *site) acceptJob(t *rapid.T, job ident.Job) {
 	tokens := rapid.IntRange(1, testBound/4).Draw(t, "tokens")
 	question := s.question(job, tokens)
-	places := reached(t)
-	verdict, _ := s.ask(question, places)
+	asked := reached(t)
+	verdict, _ := s.ask(question, asked)
 	if verdict != Fits {
-		for _, holder := range places {
+		for _, holder := range asked {
 			s.holders[holder].Release(&Release{Job: job, Attempt: question.Attempt})
 		}
 		return
@@ -157,9 +157,9 @@
 // finishJob finishes the oldest listed job that is open.
 func (s *site) finishJob(*rapid.T) {
 	for _, event := range s.events {
-		if _, open := s.queued[event.job.Job]; open && !event.over && !s.unlisted[event.job.Job] {
+		if _, open := s.queued[event.job.Job]; open && !event.closed && !s.unlisted[event.job.Job] {
 			delete(s.queued, event.job.Job)
-			s.events = append(s.events, storeEvent{job: event.job, over: true})
+			s.events = append(s.events, storeEvent{job: event.job, closed: true})
 			return
 		}
 	}
@@ -240,7 +240,7 @@
 		holder.Learn(&News{Left: []Left{{Job: "open", Tokens: 700}}}, s.now)
 	}
 	assert.Assert(t, fits("a", 300), "finished items still take capacity")
-	s.events = append(s.events, storeEvent{job: s.events[0].job, over: true})
+	s.events = append(s.events, storeEvent{job: s.events[0].job, closed: true})
 	for holder := range s.holders {
 		s.follow(holder, 1)
 	}
