--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,217 +10,224 @@
 )
 
 const (
-	// paceSlots is how many slots back the pace of a node's requests is taken from, aheadSlots for how many it gets credit ahead: until
-	// its next report, and some more.
-	paceSlots, aheadSlots = 4, 2
-	// aheadPart of what is left is the most that one node gets ahead, so that others find some.
-	aheadPart = 0.5
-	// tightShare of what a limit allows in a window must be used for its owner to be told soon.
-	tightShare = 0.25
-	// hotShare of what a limit allows in a window must have been used for an owner that takes over to count on an empty bucket.
-	hotShare = 0.5
-	// sharedPart of what a limit allows in a window is the least that nodes' shares are of.
-	sharedPart = 0.25
-	// shareSteps is how many different shares there are: few digits are told of one.
+	// recentSlots is the number of past slots from which the rate of a node's requests is taken. advanceSlots is the number of
+	// slots for which the node receives credit in advance: enough to last until its next report, with a margin.
+	recentSlots, advanceSlots = 4, 2
+	// maxAdvanceFraction of what is left is the most that one node receives in advance, so that some remains for other nodes.
+	maxAdvanceFraction = 0.5
+	// tightFraction of a limit's allowance for a window is the use above which nodes must report to the owner soon.
+	tightFraction = 0.25
+	// nearLimitFraction of a limit's allowance for a window is the use above which an owner that takes over assumes that the burst
+	// is used up.
+	nearLimitFraction = 0.5
+	// minShareBaseFraction of a limit's allowance for a window is the least number of requests by which nodes' shares are divided.
+	minShareBaseFraction = 0.25
+	// shareSteps is the number of distinct values of a share, so that an encoded share has few digits.
 	shareSteps = 10_000
-	// epochs is how many milliseconds lie between two moments with the same epoch.
-	epochs = 10_000_000
+	// epochModulus is the number of milliseconds after which epochs repeat.
+	epochModulus = 10_000_000
 )
 
-// Ledger is the account of the tenants that a worker owns. It is safe for concurrent use.
+// Ledger holds the request counts of the tenants that a worker owns. It is safe for concurrent use.
 type Ledger struct {
-	on      ruler
+	clock   slotClock
 	window  time.Duration
 	started time.Time
 
-	mutex   sync.Mutex
-	forgot  time.Time
-	tenants map[ident.Tenant]*book
-	nodes   map[ident.Node]*teller
+	mutex     sync.Mutex
+	lastSweep time.Time
+	tenants   map[ident.Tenant]*entry
+	nodes     map[ident.Node]*reporter
 }
 
-// teller is a node that reported.
-type teller struct {
-	// young says that its process began no earlier than a window before the ledger.
-	young bool
-	heard time.Time
-	// epoch is what the process of that incarnation was told of the memory of it, kept when it last said that what it let through is known.
+// reporter is a node that has reported.
+type reporter struct {
+	// recentlyStarted is set if the node's process started later than one window before the ledger did.
+	recentlyStarted bool
+	lastReport      time.Time
+	// epoch was sent to the process of that incarnation to identify this ledger's state. settledAt is when the process last
+	// reported that the ledger has counted everything it admitted.
 	incarnation int64
 	epoch       uint32
-	kept        time.Time
+	settledAt   time.Time
 }
 
-// book is the account of one tenant.
-type book struct {
-	// total is what all nodes let through, also processes that have ended.
-	total tally
-	nodes map[ident.Node]*holding
-	// began is when the first node told of the tenant; hot says that much was let through before, of which another owner knew.
-	began time.Time
-	hot   bool
-	// moved says that another owner knew of some of it, given is the part of the limit that nodes had from that one in all.
-	moved bool
-	given float64
-	// told is the limit that a node told last; without a rate none did.
-	told Limit
+// entry is the account of one tenant.
+type entry struct {
+	// allSpent counts the requests admitted by all nodes, including processes that have ended.
+	allSpent tally
+	nodes    map[ident.Node]*nodeUsage
+	// firstReport is when the first node reported the tenant. nearLimit is set if much of the limit was used before that, under
+	// another owner.
+	firstReport time.Time
+	nearLimit   bool
+	// inherited is set if nodes hold shares from another owner; inheritedShares is the sum of the shares that nodes had from it.
+	inherited       bool
+	inheritedShares float64
+	// reportedLimit is the limit that a node reported last; its rate is zero if none did.
+	reportedLimit Limit
 }
 
-// holding is what the owner knows of a tenant's requests at one node.
-type holding struct {
+// nodeUsage is the owner's record of a tenant's requests at one node.
+type nodeUsage struct {
 	incarnation int64
 	spent       tally
-	// heard is when the node last told of the tenant, idleAt when all it told of is out of the window.
-	heard, idleAt time.Time
-	// credit is what it was given last beyond the requests that waited, which count as let through, share the part of the limit that it
-	// may use alone.
+	// lastReport is when the node last reported the tenant. emptyAt is when all requests it reported will have left the window.
+	lastReport, emptyAt time.Time
+	// credit is the last grant beyond the waiting requests, which count as admitted. share is the fraction of the limit that the
+	// node may use while it reaches no owner.
 	credit int
 	share  float64
-	// carried is the share that another owner gave it.
-	carried float64
-	// tight says that it was told to report soon.
+	// inheritedShare is the share that another owner granted.
+	inheritedShare float64
+	// tight is set if the node was asked to report soon.
 	tight bool
 }
 
-// NewLedger returns an account that knows nothing. window is the time in which a limit counts.
+// NewLedger returns an empty ledger. window is the period over which limits count.
 func NewLedger(window time.Duration, now time.Time) *Ledger {
 	return &Ledger{
-		on: newRuler(now.Add(-window), window), window: window, started: now,
-		tenants: map[ident.Tenant]*book{}, nodes: map[ident.Node]*teller{},
+		clock: newSlotClock(now.Add(-window), window), window: window, started: now,
+		tenants: map[ident.Tenant]*entry{}, nodes: map[ident.Node]*reporter{},
 	}
 }
 
-// Settle takes what a node let through and answers with its credit for each tenant. limit returns a tenant's bound as this worker knows
-// it, and false for a tenant that it does not know.
+// Settle records what a node admitted and returns its credit for each tenant. limit returns a tenant's limit by this worker's
+// configuration, and false for a tenant that the configuration lacks.
 func (l *Ledger) Settle(spending *Spending, limit func(ident.Tenant) (Limit, bool), now time.Time) *Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	began := now.Add(-time.Duration(spending.AgeMs) * time.Millisecond)
-	known := l.teller(spending, now)
-	known.young, known.heard = began.After(l.started.Add(-l.window)), now
+	known := l.reporter(spending, now)
+	known.recentlyStarted, known.lastReport = began.After(l.started.Add(-l.window)), now
 	if spending.Kept == known.epoch {
-		known.kept = now
+		known.settledAt = now
 	}
-	l.forget(now)
+	l.sweep(now)
 	answer := &Answer{Nodes: len(l.nodes), Epoch: known.epoch}
 	for _, spent := range spending.Spent {
-		book := l.book(spent.Tenant, now)
+		entry := l.entry(spent.Tenant, now)
 		bound, known := limit(spent.Tenant)
 		if !known {
-			// The configuration of one of the two is old, or this worker has none yet: the limit that a node told holds. Without one the
-			// node, of an older build, goes by its own until it is told otherwise.
-			bound = book.limitTold(spent)
+			// The configuration of the node or of this worker is outdated, or this worker has none yet: the limit that a node
+			// reported applies. If no limit was reported, the tenant counts as unbounded here and the node, of an older build,
+			// applies its own.
+			bound = entry.lastReportedLimit(spent)
 		}
-		book.estimate(spent, l, bound, now)
-		held := book.take(spending, spent, l, now)
-		held.carried = max(held.carried, usable(spent.Share, bound, l.window))
-		book.given = max(book.given, min(usable(spent.Share, bound, l.window)+spent.Others, 1))
-		answer.Credits = append(answer.Credits, l.credit(book, held, spent, bound, now))
+		entry.estimate(spent, l, bound, now)
+		usage := entry.applyReport(spending, spent, l, now)
+		usage.inheritedShare = max(usage.inheritedShare, usableShare(spent.Share, bound, l.window))
+		entry.inheritedShares = max(entry.inheritedShares, min(usableShare(spent.Share, bound, l.window)+spent.Others, 1))
+		answer.Credits = append(answer.Credits, l.credit(entry, usage, spent, bound, now))
 	}
 	return answer
 }
 
-// teller returns what is known of the node that tells. The caller holds the mutex.
-func (l *Ledger) teller(spending *Spending, now time.Time) *teller {
+// reporter returns the record of the reporting node. The caller holds the mutex.
+func (l *Ledger) reporter(spending *Spending, now time.Time) *reporter {
 	known := l.nodes[spending.Node]
 	if known == nil || spending.Incarnation > known.incarnation {
-		// The moment tells this memory from an earlier one, and from that of another owner.
-		known = &teller{incarnation: spending.Incarnation, epoch: 1 + uint32(now.UnixMilli()%epochs)}
+		// The current time distinguishes this ledger from an earlier one of the same owner and from that of another owner.
+		known = &reporter{incarnation: spending.Incarnation, epoch: 1 + uint32(now.UnixMilli()%epochModulus)}
 		l.nodes[spending.Node] = known
 	}
 	return known
 }
 
-// lastKept is when a node last said of a tenant that what it let through is known. The caller holds the mutex.
-func (l *Ledger) lastKept(node ident.Node, held *holding) time.Time {
+// lastSettled returns when the process that reported the usage last confirmed that this ledger has counted everything it admitted.
+// The caller holds the mutex.
+func (l *Ledger) lastSettled(node ident.Node, usage *nodeUsage) time.Time {
 	known := l.nodes[node]
-	if known == nil || known.incarnation != held.incarnation {
+	if known == nil || known.incarnation != usage.incarnation {
 		return time.Time{}
 	}
-	return known.kept
+	return known.settledAt
 }
 
-// hasEnded says whether the process of which a holding is has been followed by another one, which tells of other tenants: it is not cut
-// off, and lets nothing through any more. The caller holds the mutex.
-func (l *Ledger) hasEnded(node ident.Node, held *holding) bool {
+// hasEnded reports whether the process that reported the usage has been replaced by a later one of the same node, which reports
+// other tenants. The old process is not partitioned; it admits nothing any more. The caller holds the mutex.
+func (l *Ledger) hasEnded(node ident.Node, usage *nodeUsage) bool {
 	known := l.nodes[node]
-	return known != nil && known.incarnation > held.incarnation
+	return known != nil && known.incarnation > usage.incarnation
 }
 
-// silenceOf is after how long a node is taken for cut off.
-func silenceOf(tight bool) time.Duration {
+// partitionTimeout returns the time without reports after which a node counts as partitioned.
+func partitionTimeout(tight bool) time.Duration {
 	if tight {
-		return silentAfter
+		return tightPartitionedAfter
 	}
-	return looseSilentAfter
+	return loosePartitionedAfter
 }
 
-// forgetEvery is the time between two looks for nodes and tenants of which nothing was heard for long.
-const forgetEvery = 10 * time.Second
+// sweepInterval is the time between two removals of nodes and tenants without recent reports.
+const sweepInterval = 10 * time.Second
 
-// forget drops the nodes and the tenants that nobody tells of any more. The caller holds the mutex.
-func (l *Ledger) forget(now time.Time) {
-	if now.Sub(l.forgot) < forgetEvery {
+// sweep removes the nodes and tenants that no node reports any more. The caller holds the mutex.
+func (l *Ledger) sweep(now time.Time) {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.forgot = now
-	maps.DeleteFunc(l.nodes, func(_ ident.Node, known *teller) bool { return now.Sub(known.heard) > aloneFor })
-	maps.DeleteFunc(l.tenants, func(_ ident.Tenant, known *book) bool {
+	l.lastSweep = now
+	maps.DeleteFunc(l.nodes, func(_ ident.Node, known *reporter) bool { return now.Sub(known.lastReport) > isolationPeriod })
+	maps.DeleteFunc(l.tenants, func(_ ident.Tenant, known *entry) bool {
 		l.others(known, nil, Limit{}, now)
-		return len(known.nodes) == 0 && known.total.all(l.on.index(now)) == 0
+		return len(known.nodes) == 0 && known.allSpent.total(l.clock.index(now)) == 0
 	})
 }
 
-// book returns the account of a tenant. The caller holds the mutex.
-func (l *Ledger) book(tenant ident.Tenant, now time.Time) *book {
+// entry returns the account of a tenant, creating it if necessary. The caller holds the mutex.
+func (l *Ledger) entry(tenant ident.Tenant, now time.Time) *entry {
 	known := l.tenants[tenant]
 	if known == nil {
-		known = &book{nodes: map[ident.Node]*holding{}, began: now}
+		known = &entry{nodes: map[ident.Node]*nodeUsage{}, firstReport: now}
 		l.tenants[tenant] = known
 	}
 	return known
 }
 
-// estimate finds out from what one node tells, and from its share in the tenant's requests, whether much was let through before this
+// estimate infers from one node's report and its share of the tenant's requests whether much of the limit was used before this
 // worker became the owner.
-func (b *book) estimate(spent Spent, l *Ledger, limit Limit, now time.Time) {
-	if now.Sub(b.began) >= allToldAfter || spent.Share <= 0 {
+func (e *entry) estimate(spent Spent, l *Ledger, limit Limit, now time.Time) {
+	if now.Sub(e.firstReport) >= tightReportedAfter || spent.Share <= 0 {
 		return
 	}
-	b.moved = true
-	// Since it was told of its share, the node may have let many more through at once.
+	e.inherited = true
+	// The node may have admitted many more requests at once after it received its share, so only the requests that the share was
+	// computed from count.
 	own := spent.count()
 	if spent.Of > 0 {
 		own = min(own, spent.Of)
 	}
-	b.hot = b.hot || float64(own)/spent.Share > hotShare*limit.window(l.window)
+	e.nearLimit = e.nearLimit || float64(own)/spent.Share > nearLimitFraction*limit.allowance(l.window)
 }
 
-// take replaces what is known of a node by what it tells. What an earlier process of it let through stays in the total.
-func (b *book) take(spending *Spending, spent Spent, l *Ledger, now time.Time) *holding {
-	index := l.on.index(now)
-	held := b.nodes[spending.Node]
-	if held == nil || spending.Incarnation > held.incarnation {
-		var carried float64
-		if held != nil {
-			carried = held.carried
+// applyReport replaces the counts of a node by those it reports. The requests that an earlier process of the node admitted remain in
+// allSpent.
+func (e *entry) applyReport(spending *Spending, spent Spent, l *Ledger, now time.Time) *nodeUsage {
+	index := l.clock.index(now)
+	usage := e.nodes[spending.Node]
+	if usage == nil || spending.Incarnation > usage.incarnation {
+		var inheritedShare float64
+		if usage != nil {
+			inheritedShare = usage.inheritedShare
 		}
-		held = &holding{incarnation: spending.Incarnation, carried: carried}
-		b.nodes[spending.Node] = held
+		usage = &nodeUsage{incarnation: spending.Incarnation, inheritedShare: inheritedShare}
+		e.nodes[spending.Node] = usage
 	}
-	for age, count := range held.spent.byAge(index) {
-		b.total.add(index, age, -count)
+	for age, count := range usage.spent.byAge(index) {
+		e.allSpent.add(index, age, -count)
 	}
-	held.spent = tally{}
-	held.heard, held.idleAt = now, now
+	usage.spent = tally{}
+	usage.lastReport, usage.emptyAt = now, now
 	for age, count := range spent.Recent {
-		if count <= 0 || age > slots {
+		if count <= 0 || age > slotsPerWindow {
 			continue
 		}
-		held.spent.add(index, age, count)
-		b.total.add(index, age, count)
-		held.idleAt = latest(held.idleAt, now.Add(l.window-time.Duration(age)*l.on.slot))
+		usage.spent.add(index, age, count)
+		e.allSpent.add(index, age, count)
+		usage.emptyAt = latest(usage.emptyAt, now.Add(l.window-time.Duration(age)*l.clock.slotLength))
 	}
-	return held
+	return usage
 }
 
 func latest(first, second time.Time) time.Time {
@@ -230,174 +237,183 @@
 	return second
 }
 
-// limitTold is the limit that a node told last, for a worker that does not know the tenant.
-func (b *book) limitTold(spent Spent) Limit {
-	if told := (Limit{Rate: spent.Rate, Burst: spent.Burst}); told.Bounded() {
-		b.told = told
+// lastReportedLimit records the limit in a report, if there is one, and returns the one recorded last. It is used if this worker's
+// configuration lacks the tenant.
+func (e *entry) lastReportedLimit(spent Spent) Limit {
+	if reportedLimit := (Limit{Rate: spent.Rate, Burst: spent.Burst}); reportedLimit.Bounded() {
+		e.reportedLimit = reportedLimit
 	}
-	return b.told
+	return e.reportedLimit
 }
 
-// credit is what a node is told. The caller holds the mutex.
-func (l *Ledger) credit(book *book, held *holding, spent Spent, limit Limit, now time.Time) Credit {
-	index := l.on.index(now)
+// credit computes the answer to a node for one tenant. The caller holds the mutex.
+func (l *Ledger) credit(entry *entry, usage *nodeUsage, spent Spent, limit Limit, now time.Time) Credit {
+	index := l.clock.index(now)
 	answer := Credit{Tenant: spent.Tenant}
-	held.credit, held.share = 0, 0
-	ahead := aheadSlots * held.spent.sum(index, paceSlots) / paceSlots
-	held.tight = false
+	usage.credit, usage.share = 0, 0
+	advance := advanceSlots * usage.spent.sum(index, recentSlots) / recentSlots
+	usage.tight = false
 	if !limit.Bounded() {
-		answer.Amount = spent.Want + ahead
-		book.expect(held, spent.Want, l, now)
+		answer.Amount = spent.Want + advance
+		entry.expect(usage, spent.Want, l, now)
 		return answer
 	}
-	others := l.others(book, held, limit, now)
-	cut := others.cut + book.reserved(others, l.window, now)
+	others := l.others(entry, usage, limit, now)
+	partitioned := others.partitioned + entry.reserved(others, l.window, now)
 	credits := others.credits
-	held.tight = float64(book.total.all(index)+credits+spent.Want) > tightShare*limit.window(l.window)
-	answer.Tight = held.tight
-	left := min(book.total.left(limit.part(max(1-cut, 0)), l.on, now), l.filled(book, limit, now), l.untold(book, limit, now))
-	left -= float64(credits) + l.unknown(book, limit, now)
-	answer.Amount = amount(left, spent.Want, ahead)
+	usage.tight = float64(entry.allSpent.total(index)+credits+spent.Want) > tightFraction*limit.allowance(l.window)
+	answer.Tight = usage.tight
+	left := min(
+		entry.allSpent.left(limit.scaled(max(1-partitioned, 0)), l.clock, now),
+		l.refilled(entry, limit, now), l.unreported(entry, limit, now),
+	)
+	left -= float64(credits) + l.possiblyAdmitted(entry, limit, now)
+	answer.Amount = creditAmount(left, spent.Want, advance)
 	expected := min(answer.Amount, spent.Want)
-	held.credit = answer.Amount - expected
-	book.expect(held, expected, l, now)
+	usage.credit = answer.Amount - expected
+	entry.expect(usage, expected, l, now)
 	if answer.Amount == 0 {
 		answer.AfterMs = int64(math.Ceil(max(1-left, 0) / limit.Rate * float64(time.Second/time.Millisecond)))
 	}
-	if now.Sub(book.began) >= allToldAfter {
-		// Shares of few requests are told at moments that differ too much to add up.
-		missing := book.missing(others, now)
-		of := max(float64(book.total.all(index)), sharedPart*limit.window(l.window), 1)
-		held.share = inSteps(float64(held.spent.all(index)) / of * (1 - missing))
-		answer.Share, answer.Others = held.share, inSteps(others.shares+missing)
+	if now.Sub(entry.firstReport) >= tightReportedAfter {
+		// Before this, nodes report at times that differ too much for their shares to add up.
+		missingShare := entry.missingShare(others, now)
+		of := max(float64(entry.allSpent.total(index)), minShareBaseFraction*limit.allowance(l.window), 1)
+		usage.share = roundUpShare(float64(usage.spent.total(index)) / of * (1 - missingShare))
+		answer.Share, answer.Others = usage.share, roundUpShare(others.shares+missingShare)
 	}
 	return answer
 }
 
-// usable is a share if a node can let a request through for it while it reaches no owner; else it is zero.
-func usable(share float64, limit Limit, window time.Duration) float64 {
-	if alonePart*share*limit.window(window) < 1 {
+// usableShare returns the share if it lets the node admit at least one request while it reaches no owner, else zero.
+func usableShare(share float64, limit Limit, window time.Duration) float64 {
+	if isolatedShareFraction*share*limit.allowance(window) < 1 {
 		return 0
 	}
 	return share
 }
 
-// inSteps rounds a share up.
-func inSteps(share float64) float64 { return math.Ceil(share*shareSteps) / shareSteps }
+// roundUpShare rounds a share up to the next of shareSteps values.
+func roundUpShare(share float64) float64 { return math.Ceil(share*shareSteps) / shareSteps }
 
-// missing is the share of nodes that another owner gave one to and that this one has not heard: they may be cut off.
-func (b *book) missing(others around, now time.Time) float64 {
-	if now.Sub(b.began) > aloneFor {
+// missingShare returns the sum of the shares, granted by another owner, of nodes that have not reported to this one: they may be
+// partitioned.
+func (e *entry) missingShare(others otherUsage, now time.Time) float64 {
+	if now.Sub(e.firstReport) > isolationPeriod {
 		return 0
 	}
-	return max(b.given-others.carried, 0)
+	return max(e.inheritedShares-others.inheritedShare, 0)
 }
 
-// reserved is the part of the limit that is left to nodes that were never heard: in the first window they may have let through all of
-// their share.
-func (b *book) reserved(others around, window time.Duration, now time.Time) float64 {
-	switch age := now.Sub(b.began); {
-	case age < allToldAfter:
-		// The others have yet to tell.
+// reserved returns the fraction of the limit that is reserved for nodes that have never reported. In the first window they may
+// have admitted all of their share.
+func (e *entry) reserved(others otherUsage, window time.Duration, now time.Time) float64 {
+	switch age := now.Sub(e.firstReport); {
+	case age < tightReportedAfter:
+		// The other nodes have not had time to report.
 		return 0
 	case age < window:
-		return b.missing(others, now)
+		return e.missingShare(others, now)
 	}
-	return alonePart * b.missing(others, now)
+	return isolatedShareFraction * e.missingShare(others, now)
 }
 
-// expect counts requests that wait at a node, and have got credit, as let through: so the node need not tell that they were.
-func (b *book) expect(held *holding, count int, l *Ledger, now time.Time) {
+// expect counts waiting requests that received credit as admitted, so that the node need not report them.
+func (e *entry) expect(usage *nodeUsage, count int, l *Ledger, now time.Time) {
 	if count == 0 {
 		return
 	}
-	index := l.on.index(now)
-	held.spent.add(index, 0, count)
-	b.total.add(index, 0, count)
-	held.idleAt = now.Add(l.window)
+	index := l.clock.index(now)
+	usage.spent.add(index, 0, count)
+	e.allSpent.add(index, 0, count)
+	usage.emptyAt = now.Add(l.window)
 }
 
-// amount is the credit of a node for the requests that wait there and for some ahead.
-func amount(left float64, want, ahead int) int {
+// creditAmount returns the credit of a node for its waiting requests and for some in advance.
+func creditAmount(left float64, want, advance int) int {
 	waiting := min(want, int(max(left, 0)))
-	return waiting + min(ahead, int(max(left-float64(waiting), 0)*aheadPart))
+	return waiting + min(advance, int(max(left-float64(waiting), 0)*maxAdvanceFraction))
 }
 
-// unknown is what nodes may have let through of which this worker does not know yet, where another one was the owner of a tenant that came
-// near its limit: as much as leaves nothing of the burst, less what has come free since.
-func (l *Ledger) unknown(book *book, limit Limit, now time.Time) float64 {
-	if age := now.Sub(book.began); book.hot && age < allToldAfter {
-		return max(l.on.allows(limit, 0)-limit.Rate*age.Seconds(), 0)
+// possiblyAdmitted returns how many requests nodes may have admitted without this worker's knowledge, if another worker owned the tenant
+// and the tenant came near its limit: the whole burst, less what the rate has freed since.
+func (l *Ledger) possiblyAdmitted(entry *entry, limit Limit, now time.Time) float64 {
+	if age := now.Sub(entry.firstReport); entry.nearLimit && age < tightReportedAfter {
+		return max(l.clock.allows(limit, 0)-limit.Rate*age.Seconds(), 0)
 	}
 	return 0
 }
 
-// untold is what is left of the window of a tenant of which another worker was the owner, while nodes may have as much to tell as does not
-// make them tight.
-func (l *Ledger) untold(book *book, limit Limit, now time.Time) float64 {
-	if !book.moved || now.Sub(book.began) >= looseToldAfter {
+// unreported returns what is left of the window for a tenant that another worker owned, as long as nodes may have as many
+// unreported requests as fit below the tight fraction.
+func (l *Ledger) unreported(entry *entry, limit Limit, now time.Time) float64 {
+	if !entry.inherited || now.Sub(entry.firstReport) >= looseReportedAfter {
 		return math.Inf(1)
 	}
-	whole := limit.window(l.window)
-	return whole - max(float64(book.total.all(l.on.index(now))), tightShare*whole)
+	whole := limit.allowance(l.window)
+	return whole - max(float64(entry.allSpent.total(l.clock.index(now))), tightFraction*whole)
 }
 
-// filled is what is left where the worker and nodes were started together, so that nobody knows any more what was let through before: an
-// empty memory is no full bucket, but an empty one, which fills at the rate. Nodes that were started earlier remember their part.
-func (l *Ledger) filled(book *book, limit Limit, now time.Time) float64 {
+// refilled returns what is left if the worker and nodes started together, so that earlier requests are not recorded anywhere: the
+// bucket starts empty, not full, and fills at the rate. Nodes that started earlier have their counts, so the bucket starts full in
+// proportion to their number.
+func (l *Ledger) refilled(entry *entry, limit Limit, now time.Time) float64 {
 	age := now.Sub(l.started)
 	if age >= l.window || len(l.nodes) == 0 {
 		return math.Inf(1)
 	}
-	young := 0
+	recentlyStarted := 0
 	for _, known := range l.nodes {
-		if known.young {
-			young++
+		if known.recentlyStarted {
+			recentlyStarted++
 		}
 	}
-	known := 1 - float64(young)/float64(len(l.nodes))
-	since := book.total.sum(l.on.index(now), int(age/l.on.slot)+1)
-	return l.on.allows(limit, 0)*known + limit.Rate*age.Seconds() - float64(since)
+	known := 1 - float64(recentlyStarted)/float64(len(l.nodes))
+	since := entry.allSpent.sum(l.clock.index(now), int(age/l.clock.slotLength)+1)
+	return l.clock.allows(limit, 0)*known + limit.Rate*age.Seconds() - float64(since)
 }
 
-// around is what is known of a tenant at the nodes but one.
-type around struct {
-	// credits are out there.
+// otherUsage sums up a tenant's usage at all nodes but the asking one.
+type otherUsage struct {
+	// credits is the outstanding credit.
 	credits int
-	// shares are the parts of the limit that they may use alone, cut those of nodes that are cut off: these do. A node that stopped telling
-	// when all it had told of was out of the window has none.
-	shares, cut float64
-	// carried are the shares that all nodes, that one too, had from another owner.
-	carried float64
+	// shares is the sum of the fractions of the limit that the nodes may use without an owner. partitioned is that of the partitioned
+	// nodes, which do so now. A node that stopped reporting after all its reported requests had left the window counts in neither.
+	shares, partitioned float64
+	// inheritedShare is the sum of the shares that all nodes, including the asking one, had from another owner.
+	inheritedShare float64
 }
 
-// others sums up what is known of a tenant at the nodes but one, and forgets those that are silent for long. The caller holds the mutex.
-func (l *Ledger) others(b *book, asking *holding, bound Limit, now time.Time) around {
-	var sum around
-	for node, held := range b.nodes {
-		kept := l.lastKept(node, held)
-		heard := latest(held.heard, kept)
-		silent := now.Sub(heard)
-		if silent > aloneFor {
-			delete(b.nodes, node)
+// others sums up a tenant's usage at all nodes but the asking one, and removes nodes without a report or confirmation for
+// isolationPeriod. The caller holds the mutex.
+func (l *Ledger) others(e *entry, asking *nodeUsage, bound Limit, now time.Time) otherUsage {
+	var sum otherUsage
+	for node, usage := range e.nodes {
+		settledAt := l.lastSettled(node, usage)
+		lastReport := latest(usage.lastReport, settledAt)
+		silent := now.Sub(lastReport)
+		if silent > isolationPeriod {
+			delete(e.nodes, node)
 			continue
 		}
-		sum.carried += held.carried
-		if held == asking {
+		sum.inheritedShare += usage.inheritedShare
+		if usage == asking {
 			continue
 		}
-		limit := silenceOf(held.tight)
-		cut := silent > limit && held.idleAt.Sub(heard) > limit && !l.hasEnded(node, held)
-		if cut {
-			sum.cut += held.share
+		limit := partitionTimeout(usage.tight)
+		partitioned := silent > limit && usage.emptyAt.Sub(lastReport) > limit && !l.hasEnded(node, usage)
+		if partitioned {
+			sum.partitioned += usage.share
 		}
-		if cut || silent <= limit {
-			sum.shares += usable(held.share, bound, l.window)
+		if partitioned || silent <= limit {
+			sum.shares += usableShare(usage.share, bound, l.window)
 		}
-		// Whatever became of credit, the node will tell, or it is out of the window. A node that says that all is known when it could use
-		// the credit no more has used none of it.
-		if unused := kept.Sub(held.heard) > usedFor; !unused && (cut || now.Sub(held.heard) <= creditFor+l.window) {
-			sum.credits += held.credit
+		// Outstanding credit counts until the node reports how much of it was used, or until all its uses have left the window. If
+		// a node confirms, after its credit can no longer be in use, that everything it admitted is counted, it has used none of
+		// that credit.
+		if unused := settledAt.Sub(usage.lastReport) > creditUsableFor; !unused &&
+			(partitioned || now.Sub(usage.lastReport) <= creditLifetime+l.window) {
+			sum.credits += usage.credit
 		}
 	}
 	return sum
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// leastDenied and mostDenied bound for how long a node that was told that nothing is left refuses without asking again: what the
-	// tenant sends must not become as many questions, and others may give back what they had.
-	leastDenied, mostDenied = 50 * time.Millisecond, 250 * time.Millisecond
-	// aloneNodes is how many nodes that reach no owner may let through one request in a window each of a tenant in which they have no
-	// share. Of a larger site a hash chooses chosenNodes of them, in the mean: few enough that hardly any draw has more than a window may
-	// have above its limit.
-	aloneNodes  = 15
-	chosenNodes = 7
-	// sparePart of a limit is what all nodes together may let through in a window without a share, where that is more: it fits into what a
-	// window may have above its limit, as the requests of aloneNodes do. A node of a tenant far below its limit needs no share by it.
-	sparePart = 0.02
-	// assumedNodes is how many nodes share a limit as long as no owner has said.
+	// minRefusal and maxRefusal bound how long a node refuses without asking again after an owner answered that nothing is left. A
+	// tenant's requests must not each cause a call to the owner, but other nodes may return credit meanwhile.
+	minRefusal, maxRefusal = 50 * time.Millisecond, 250 * time.Millisecond
+	// isolatedNodes is the largest number of nodes that may each admit one request per window, without a share of the tenant,
+	// while they reach no owner. On a larger site a hash selects isolatedChosen of them on average: few enough that hardly any
+	// selection exceeds the overage that a window may have.
+	isolatedNodes  = 15
+	isolatedChosen = 7
+	// spareFraction of a limit is what all nodes together may admit in a window without shares, if that is more than isolatedNodes
+	// allows. Like the requests of isolatedNodes, it fits into the overage that a window may have. With it, a node needs no share
+	// for a tenant far below its limit.
+	spareFraction = 0.02
+	// assumedNodes is the number of nodes that share a limit as long as no owner has reported one.
 	assumedNodes = 330
-	// alonePart of its share is what a node uses that reaches no owner: until the owner takes it for cut off, others get its part too.
-	alonePart = 0.4
-	// aloneAfter is when a caller may come back to a node that reaches no owner.
-	aloneAfter = time.Second
+	// isolatedShareFraction is the fraction of its share that a node uses while it reaches no owner. Until the owner treats the
+	// node as partitioned, it grants that share to others too.
+	isolatedShareFraction = 0.4
+	// isolatedRetryAfter is the retry delay sent to callers that a node refuses while it reaches no owner.
+	isolatedRetryAfter = time.Second
 )
 
-// Decision is what becomes of a request.
+// Decision is the outcome for a request.
 type Decision uint8
 
 const (
-	// Admit lets the request through; it is counted.
+	// Admit means that the request is admitted and counted.
 	Admit Decision = iota
-	// Ask means that the owner has to be asked before the request is decided on again.
+	// Ask means that the node must ask the owner before it decides on the request again.
 	Ask
-	// Refuse means that the request is beyond the tenant's limit.
+	// Refuse means that the request exceeds the tenant's limit.
 	Refuse
 )
 
-// Verdict is a decision, and for Refuse when the next request of the tenant may fit.
+// Verdict is a decision and, for Refuse, the time after which the next request of the tenant may be admitted.
 type Verdict struct {
 	Decision Decision
 	After    time.Duration
@@ -53,72 +55,73 @@
 	node        ident.Node
 	incarnation int64
 	started     time.Time
-	on          ruler
+	clock       slotClock
 	window      time.Duration
 
 	mutex    sync.Mutex
 	accounts map[ident.Tenant]*account
-	owners   map[string]*informed
-	// nodes is how many share the limits, by the owner that has heard of the most in the last minute.
+	owners   map[string]*ownerState
+	// nodes is the number of nodes that share the limits: the largest number in the owners' last answers.
 	nodes int
-	// told says that one did.
-	told bool
+	// nodesKnown is set once an owner has sent such a number.
+	nodesKnown bool
 }
 
-// informed is what the node knows of one owner.
-type informed struct {
-	// epoch is that of its last answer; zero is one that wants to be told all each time.
+// ownerState is what the node knows of one owner.
+type ownerState struct {
+	// epoch is that of the last answer; zero if the owner needs a full report each time.
 	epoch uint32
-	// heard is when what it answered last was sent, nodes how many told it then of what they let through.
-	heard time.Time
-	nodes int
-	// telling says that a message without tenants is on its way.
-	telling bool
+	// lastAnswer is when the report was sent that the owner answered last. nodes is the number of reporting nodes in that answer.
+	lastAnswer time.Time
+	nodes      int
+	// reporting is set while a report without tenants is in transit.
+	reporting bool
 }
 
-// account is what the node knows of one tenant.
+// account is the node's state of one tenant.
 type account struct {
 	limit Limit
 	spent tally
-	// count numbers the requests let through, settled is the last of them that an owner has answered for: the one of that name and epoch.
-	// It has also counted the expected: the credit that it gave for requests that waited.
+	// count is the number of requests admitted. settled is its value at the last report that an owner answered; owner and epoch
+	// are those of the answer. The owner has also counted expected requests: the waiting ones for which it granted credit.
 	count, settled uint64
 	expected       uint64
 	owner          string
 	epoch          uint32
-	// credit is what may be let through until creditUntil.
+	// credit is the number of requests that may be admitted until creditUntil.
 	credit      int
 	creditUntil time.Time
-	// ahead says that the credit was for more than the requests that waited, tight that the owner is to be told soon.
-	ahead, tight bool
-	// deniedUntil is until when nothing is left, after is what callers are told then.
-	deniedUntil time.Time
-	after       time.Duration
-	// share is the part of the limit that the node may use while it reaches no owner, until shareUntil.
-	// others is what other nodes may use then, shareOf the requests that share was reckoned from. shareOwner and shareEpoch are the owner that knows of the share.
+	// advance is set if the credit exceeded the waiting requests. tight is set if the owner requires frequent reports.
+	advance, tight bool
+	// refuseUntil is until when requests are refused without asking. retryAfter is the delay that callers are sent meanwhile.
+	refuseUntil time.Time
+	retryAfter  time.Duration
+	// share is the fraction of the limit that the node may use until shareUntil while it reaches no owner. others is the fraction
+	// that other nodes may use then, shareBase the number of requests that share was computed from. shareOwner and shareEpoch
+	// identify the owner that has a record of the share.
 	share, others float64
-	shareOf       int
+	shareBase     int
 	shareUntil    time.Time
 	shareOwner    string
 	shareEpoch    uint32
-	// givenUp is when the node gave its share up, because nothing of the tenant was in the window; zero while it has one.
-	givenUp time.Time
-	// waiting are the requests that wait for an answer; telling says that an owner is being told. Two messages at a time could overtake
-	// each other, and the older one would take back what the newer one told.
-	waiting int
-	telling bool
-	// failures counts the messages that were not answered.
+	// releasedAt is when the node released its share because the window held no request of the tenant; zero while it has a share.
+	releasedAt time.Time
+	// waiting is the number of requests that wait for an answer. reporting is set while a report is in transit: two reports at a
+	// time could arrive out of order, and the older one would undo the newer one.
+	waiting   int
+	reporting bool
+	// failures is the number of reports that were not answered.
 	failures int
-	// lastTold is when an owner was told last that answered.
-	lastTold time.Time
+	// lastSettled is when the last report was sent that an owner answered.
+	lastSettled time.Time
 }
 
-// NewMeter returns a meter of a node that has let nothing through. window is the time in which a limit counts, incarnation rises with
-// each start of the node.
+// NewMeter returns a meter of a node that has admitted nothing. window is the period over which limits count; incarnation
+// increases with each start of the node.
 func NewMeter(node ident.Node, incarnation int64, window time.Duration, now time.Time) *Meter {
 	return &Meter{
-		node: node, incarnation: incarnation, started: now, on: newRuler(now.Add(-window), window), window: window, nodes: assumedNodes,
-		accounts: map[ident.Tenant]*account{}, owners: map[string]*informed{},
+		node: node, incarnation: incarnation, started: now, clock: newSlotClock(now.Add(-window), window), window: window, nodes: assumedNodes,
+		accounts: map[ident.Tenant]*account{}, owners: map[string]*ownerState{},
 	}
 }
 
@@ -129,318 +132,327 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	known := m.account(tenant, limit)
+	acct := m.account(tenant, limit)
 	switch {
-	case known.credit > 0 && now.Before(known.creditUntil):
-		known.credit--
-	case now.Before(known.deniedUntil):
-		return Verdict{Decision: Refuse, After: known.after}
+	case acct.credit > 0 && now.Before(acct.creditUntil):
+		acct.credit--
+	case now.Before(acct.refuseUntil):
+		return Verdict{Decision: Refuse, After: acct.retryAfter}
 	default:
 		return Verdict{Decision: Ask}
 	}
-	m.spend(known, now)
+	m.spend(acct, now)
 	return Verdict{}
 }
 
-// TakeAlone decides on a request for which no owner answered: it fits where the node has not used its share of the limit in the window.
+// TakeAlone decides on a request for which no owner answered: it is admitted while the node has not used up its share of the limit
+// in the window.
 func (m *Meter) TakeAlone(tenant ident.Tenant, limit Limit, now time.Time) Verdict {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	known := m.account(tenant, limit)
+	acct := m.account(tenant, limit)
 	nodes := float64(m.nodes)
 	budget := 1.0
-	if m.nodes > aloneNodes {
-		budget = chosenNodes / nodes
+	if m.nodes > isolatedNodes {
+		budget = isolatedChosen / nodes
 	}
-	budget = max(budget, sparePart*limit.window(m.window)/nodes)
-	if !m.told {
-		budget = max(budget, alonePart*limit.window(m.window)/assumedNodes)
+	budget = max(budget, spareFraction*limit.allowance(m.window)/nodes)
+	if !m.nodesKnown {
+		budget = max(budget, isolatedShareFraction*limit.allowance(m.window)/assumedNodes)
 	}
-	if now.Before(known.shareUntil) && known.givenUp.IsZero() {
-		budget = max(budget, alonePart*known.share*limit.window(m.window))
+	if now.Before(acct.shareUntil) && acct.releasedAt.IsZero() {
+		budget = max(budget, isolatedShareFraction*acct.share*limit.allowance(m.window))
 	}
-	// A part of a request is a whole one at that part of the nodes.
-	if known.spent.all(m.on.index(now)) >= int(budget+m.draw(tenant)) {
-		return Verdict{Decision: Refuse, After: aloneAfter}
+	// A fraction of a request becomes one whole request at that fraction of the nodes.
+	if acct.spent.total(m.clock.index(now)) >= int(budget+m.hashFraction(tenant)) {
+		return Verdict{Decision: Refuse, After: isolatedRetryAfter}
 	}
-	m.spend(known, now)
+	m.spend(acct, now)
 	return Verdict{}
 }
 
-// draw is a number from 0 to below 1 that is the node's for a tenant.
-func (m *Meter) draw(tenant ident.Tenant) float64 {
+// hashFraction returns a number in [0, 1) that depends on the node and the tenant.
+func (m *Meter) hashFraction(tenant ident.Tenant) float64 {
 	const digits = 53
 	return float64(xxhash.Sum64String(string(m.node)+"/"+string(tenant))>>(64-digits)) / (1 << digits)
 }
 
-// Pass lets a request through of which nobody keeps account; it is counted for an owner that may come.
+// Pass admits a request that no owner counts; it is reported to a later owner.
 func (m *Meter) Pass(tenant ident.Tenant, limit Limit, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.spend(m.account(tenant, limit), now)
 }
 
-// account returns that of a tenant. Credit is given by a limit, and goes with it. The caller holds the mutex.
+// account returns the account of a tenant, creating it if necessary. A change of the limit voids the credit. The caller holds the
+// mutex.
 func (m *Meter) account(tenant ident.Tenant, limit Limit) *account {
-	known := m.accounts[tenant]
-	if known == nil {
-		known = &account{limit: limit}
-		m.accounts[tenant] = known
+	acct := m.accounts[tenant]
+	if acct == nil {
+		acct = &account{limit: limit}
+		m.accounts[tenant] = acct
 	}
-	if known.limit != limit {
-		known.limit, known.credit, known.deniedUntil = limit, 0, time.Time{}
+	if acct.limit != limit {
+		acct.limit, acct.credit, acct.refuseUntil = limit, 0, time.Time{}
 	}
-	return known
+	return acct
 }
 
-// spend counts a request. The caller holds the mutex.
-func (m *Meter) spend(known *account, now time.Time) {
-	known.spent.add(m.on.index(now), 0, 1)
-	known.count++
+// spend counts an admitted request. The caller holds the mutex.
+func (m *Meter) spend(acct *account, now time.Time) {
+	acct.spent.add(m.clock.index(now), 0, 1)
+	acct.count++
 }
 
-// Wait notes that a request waits for credit, and returns the Failures so far.
+// Wait records that a request waits for credit, and returns the current value of Failures.
 func (m *Meter) Wait(tenant ident.Tenant, limit Limit) (failures int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	known := m.account(tenant, limit)
-	known.waiting++
-	return known.failures
+	acct := m.account(tenant, limit)
+	acct.waiting++
+	return acct.failures
 }
 
-// Failures counts how often no owner answered to what it was told of a tenant of which a request waits.
+// Failures returns the number of unanswered reports of a tenant that has a waiting request.
 func (m *Meter) Failures(tenant ident.Tenant) int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.accounts[tenant].failures
 }
 
-// Leave notes that a request waits no more.
+// Leave records that a request no longer waits.
 func (m *Meter) Leave(tenant ident.Tenant) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.accounts[tenant].waiting--
 }
 
-// pending is what one owner may be told.
+// pending groups the tenants of one owner by what has to be reported.
 type pending struct {
-	// due are the tenants that it is to be told of now, open those of which it does not know all: they are told beside others. settled says
-	// that there are tenants with requests in the window of which it knows all, tight that a good part of the limit of one of them is used.
-	due, open      []ident.Tenant
+	// due lists the tenants to report now. unsettled lists those that the owner has not fully counted; they are added to a report
+	// that is due. settled is set if there are tenants with requests in the window that the owner has fully counted, tight if one
+	// of these uses a large part of its limit.
+	due, unsettled []ident.Tenant
 	settled, tight bool
-	// telling says that it is being told of a tenant, so that nobody can say what it knows.
-	telling bool
+	// reporting is set while a report of a tenant is in transit, so that the node cannot say what the owner has counted.
+	reporting bool
 }
 
-// Due returns what owners are to be told now, by their names: the tenants whose requests wait for credit, now and then those of which they
-// do not know all, and that the others are as they know them. owner returns an empty name where there is none. Each message that is
-// returned must be settled, or be told to have failed.
+// Due returns the reports to send now, by the names of the owners. A report covers the tenants whose requests wait for credit and,
+// at intervals, those that the owner has not fully counted; it also states that the owner has fully counted the others. owner
+// returns an empty name if a tenant has no owner. For each report the caller must call Settle or Failed.
 func (m *Meter) Due(owner func(ident.Tenant) string, now time.Time) map[string]*Spending {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var due map[string]*Spending
 	all := m.pending(owner, now)
-	maps.DeleteFunc(m.owners, func(name string, state *informed) bool {
-		return all[name] == nil && !state.telling && now.Sub(state.heard) > aloneFor
+	maps.DeleteFunc(m.owners, func(name string, state *ownerState) bool {
+		return all[name] == nil && !state.reporting && now.Sub(state.lastAnswer) > isolationPeriod
 	})
-	for name, told := range all {
-		if len(told.due) == 0 && !m.isSilent(name, told, now) {
+	for name, group := range all {
+		if len(group.due) == 0 && !m.needsHeartbeat(name, group, now) {
 			continue
 		}
 		if due == nil {
 			due = map[string]*Spending{}
 		}
-		due[name] = m.message(name, told, now)
+		due[name] = m.report(name, group, now)
 	}
 	return due
 }
 
-// pending sorts the tenants by their owners, and forgets those that nobody needs any more. The caller holds the mutex.
+// pending groups the tenants by their owners, and removes those that are no longer needed. The caller holds the mutex.
 func (m *Meter) pending(owner func(ident.Tenant) string, now time.Time) map[string]*pending {
 	all := map[string]*pending{}
-	for tenant, known := range m.accounts {
-		over := m.isOver(tenant, known, now)
-		if over && !known.remembersShare(m.window, now) {
+	for tenant, acct := range m.accounts {
+		idle := m.isIdle(tenant, acct, now)
+		if idle && !acct.retainsShare(m.window, now) {
 			continue
 		}
 		name := owner(tenant)
-		if name == "" || over && !known.isNewTo(name, m.owner(name).epoch) {
+		if name == "" || idle && !acct.isShareUnknownTo(name, m.owner(name).epoch) {
 			continue
 		}
-		told := all[name]
-		if told == nil {
-			told = &pending{}
-			all[name] = told
+		group := all[name]
+		if group == nil {
+			group = &pending{}
+			all[name] = group
 		}
 		switch {
-		case known.telling:
-			told.telling = true
-		case m.isDue(known, name, now):
-			told.due = append(told.due, tenant)
-		case !known.told():
-			told.open = append(told.open, tenant)
+		case acct.reporting:
+			group.reporting = true
+		case m.isDue(acct, name, now):
+			group.due = append(group.due, tenant)
+		case !acct.isSettled():
+			group.unsettled = append(group.unsettled, tenant)
 		default:
-			told.settled, told.tight = true, told.tight || known.tight
+			group.settled, group.tight = true, group.tight || acct.tight
 		}
 	}
 	return all
 }
 
-// isOver says whether nothing of a tenant is in the window and none of its requests waits. The caller holds the mutex.
-func (m *Meter) isOver(tenant ident.Tenant, known *account, now time.Time) bool {
-	if known.telling || known.waiting > 0 || known.spent.all(m.on.index(now)) > 0 {
+// isIdle reports whether a tenant has no request in the window and none waiting. It also records that the share is released, and
+// removes an account that is no longer needed. The caller holds the mutex.
+func (m *Meter) isIdle(tenant ident.Tenant, acct *account, now time.Time) bool {
+	if acct.reporting || acct.waiting > 0 || acct.spent.total(m.clock.index(now)) > 0 {
 		return false
 	}
-	if known.givenUp.IsZero() {
-		known.givenUp = now
+	if acct.releasedAt.IsZero() {
+		acct.releasedAt = now
 	}
-	if now.After(known.creditUntil) && !known.remembersShare(m.window, now) {
+	if now.After(acct.creditUntil) && !acct.retainsShare(m.window, now) {
 		delete(m.accounts, tenant)
 	}
 	return true
 }
 
-// remembersShare says whether a share that the node gave up is one that the next owner may still miss: others were told of it before,
-// and would be left less for it.
-func (a *account) remembersShare(window time.Duration, now time.Time) bool {
-	return usable(a.share, a.limit, window) > 0 && now.Sub(a.givenUp) < givenUpFor && now.Before(a.shareUntil)
+// retainsShare reports whether the next owner may still treat a released share as missing: other nodes were sent it, and the owner
+// would reserve a part of the limit for it.
+func (a *account) retainsShare(window time.Duration, now time.Time) bool {
+	return usableShare(a.share, a.limit, window) > 0 && now.Sub(a.releasedAt) < releasedShareRetention && now.Before(a.shareUntil)
 }
 
-// isDue says whether a tenant's owner is to be told of it. The caller holds the mutex.
-func (m *Meter) isDue(known *account, name string, now time.Time) bool {
+// isDue reports whether a tenant has to be reported to its owner now. The caller holds the mutex.
+func (m *Meter) isDue(acct *account, name string, now time.Time) bool {
 	state := m.owner(name)
-	since := now.Sub(known.lastTold)
+	since := now.Sub(acct.lastSettled)
 	switch {
-	case known.waiting > 0, known.low(now):
+	case acct.waiting > 0, acct.usedUpAdvance(now):
 		return true
-	case !known.knownTo(name, state.epoch), known.tellsShare(name, state.epoch, now):
+	case !acct.isKnownTo(name, state.epoch), acct.mustReportShare(name, state.epoch, now):
 		return true
-	case known.credit > 0, state.epoch == 0:
-		return since >= keepEvery
-	case known.told():
+	case acct.credit > 0, state.epoch == 0:
+		return since >= tightReportInterval
+	case acct.isSettled():
 		return false
 	}
-	return since >= every(known.tight)
+	return since >= reportInterval(acct.tight)
 }
 
-// every is the time between two reports of a tenant.
-func every(tight bool) time.Duration {
+// reportInterval returns the time between two reports of a tenant.
+func reportInterval(tight bool) time.Duration {
 	if tight {
-		return keepEvery
+		return tightReportInterval
 	}
-	return looseEvery
+	return looseReportInterval
 }
 
-// isSilent says whether an owner would soon take the node for cut off. The caller holds the mutex.
-func (m *Meter) isSilent(name string, told *pending, now time.Time) bool {
+// needsHeartbeat reports whether an owner would soon treat the node as partitioned. The caller holds the mutex.
+func (m *Meter) needsHeartbeat(name string, group *pending, now time.Time) bool {
 	state := m.owner(name)
-	return told.settled && state.epoch != 0 && !state.telling && !told.telling && now.Sub(state.heard) >= every(told.tight)
+	return group.settled && state.epoch != 0 && !state.reporting && !group.reporting &&
+		now.Sub(state.lastAnswer) >= reportInterval(group.tight)
 }
 
-// owner returns what is known of an owner. The caller holds the mutex.
-func (m *Meter) owner(name string) *informed {
+// owner returns the state of an owner, creating it if necessary. The caller holds the mutex.
+func (m *Meter) owner(name string) *ownerState {
 	state := m.owners[name]
 	if state == nil {
-		state = &informed{}
+		state = &ownerState{}
 		m.owners[name] = state
 	}
 	return state
 }
 
-// message tells an owner of the tenants of which it does not know all. The caller holds the mutex.
-func (m *Meter) message(name string, told *pending, now time.Time) *Spending {
+// report builds the report to an owner of the tenants that it has not fully counted. The caller holds the mutex.
+func (m *Meter) report(name string, group *pending, now time.Time) *Spending {
 	spending := &Spending{Node: m.node, Incarnation: m.incarnation, AgeMs: now.Sub(m.started).Milliseconds(), owner: name}
 	state := m.owner(name)
-	if !told.telling {
+	if !group.reporting {
 		spending.Kept = state.epoch
 	}
-	for _, tenant := range append(told.due, told.open...) {
-		known := m.accounts[tenant]
-		known.telling = true
-		spent := Spent{Tenant: tenant, Recent: known.spent.recent(m.on.index(now)), Want: known.waiting, upTo: known.count}
-		if !known.knownTo(name, state.epoch) {
-			spent.Rate, spent.Burst = known.limit.Rate, known.limit.Burst
+	for _, tenant := range append(group.due, group.unsettled...) {
+		acct := m.accounts[tenant]
+		acct.reporting = true
+		spent := Spent{Tenant: tenant, Recent: acct.spent.recent(m.clock.index(now)), Want: acct.waiting, upTo: acct.count}
+		if !acct.isKnownTo(name, state.epoch) {
+			spent.Rate, spent.Burst = acct.limit.Rate, acct.limit.Burst
 		}
-		if now.Before(known.shareUntil) && (state.epoch == 0 || known.tellsShare(name, state.epoch, now)) {
-			spent.Share, spent.Of = known.share, known.shareOf
-			// What others had when this node still had a share is long over.
-			if known.givenUp.IsZero() {
-				spent.Others = known.others
+		if now.Before(acct.shareUntil) && (state.epoch == 0 || acct.mustReportShare(name, state.epoch, now)) {
+			spent.Share, spent.Of = acct.share, acct.shareBase
+			// The fraction of the other nodes is outdated once this node has released its share.
+			if acct.releasedAt.IsZero() {
+				spent.Others = acct.others
 			}
 		}
 		spending.Spent = append(spending.Spent, spent)
 	}
-	state.telling = state.telling || len(spending.Spent) == 0
+	state.reporting = state.reporting || len(spending.Spent) == 0
 	return spending
 }
 
-// knownTo says whether an owner of that epoch has answered for the tenant last: another one has never heard of it, or lost its memory.
-func (a *account) knownTo(name string, epoch uint32) bool { return a.owner == name && a.epoch == epoch }
+// isKnownTo reports whether an owner with that epoch gave the last answer for the tenant. Any other owner has no record of it, or
+// has lost it.
+func (a *account) isKnownTo(name string, epoch uint32) bool {
+	return a.owner == name && a.epoch == epoch
+}
 
-// tellsShare says whether an owner of that epoch has yet to hear of the node's share.
-func (a *account) tellsShare(name string, epoch uint32, now time.Time) bool {
-	return epoch != 0 && a.share > 0 && now.Before(a.shareUntil) && a.isNewTo(name, epoch)
+// mustReportShare reports whether the node's share has still to be reported to an owner of that epoch.
+func (a *account) mustReportShare(name string, epoch uint32, now time.Time) bool {
+	return epoch != 0 && a.share > 0 && now.Before(a.shareUntil) && a.isShareUnknownTo(name, epoch)
 }
 
-// isNewTo says whether an owner of that epoch, or one of which no epoch is known, has yet to hear of the node's share.
-func (a *account) isNewTo(name string, epoch uint32) bool {
+// isShareUnknownTo reports whether an owner of that epoch, or of no known epoch, has no record of the node's share.
+func (a *account) isShareUnknownTo(name string, epoch uint32) bool {
 	return a.shareOwner != name || epoch != 0 && a.shareEpoch != epoch
 }
 
-// told says whether the owner has counted all that was let through.
-func (a *account) told() bool { return a.count == a.settled+a.expected }
+// isSettled reports whether the owner has counted all admitted requests.
+func (a *account) isSettled() bool { return a.count == a.settled+a.expected }
 
-// low says whether the node had credit ahead and used all of it.
-func (a *account) low(now time.Time) bool {
-	return a.ahead && a.settled != a.count && a.credit == 0 && now.Before(a.creditUntil)
+// usedUpAdvance reports whether the node had credit in advance and has used all of it.
+func (a *account) usedUpAdvance(now time.Time) bool {
+	return a.advance && a.settled != a.count && a.credit == 0 && now.Before(a.creditUntil)
 }
 
-// Settle takes an owner's answer to what it was told at a moment. It returns false where the answer lacks a tenant: an owner of a build
-// that keeps no account answers for none.
-func (m *Meter) Settle(told *Spending, answer *Answer, sent time.Time) bool {
+// Settle applies an owner's answer to a report that was sent at a given time. It returns false if the answer lacks a tenant: an
+// owner of a build without ledgers answers for none.
+func (m *Meter) Settle(spending *Spending, answer *Answer, sent time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.hear(told, answer, sent)
-	m.nodes, m.told = m.heardOf(), true
+	m.recordAnswer(spending, answer, sent)
+	m.nodes, m.nodesKnown = m.maxReportedNodes(), true
 	answers := make(map[ident.Tenant]Credit, len(answer.Credits))
 	for _, credit := range answer.Credits {
 		answers[credit.Tenant] = credit
 	}
-	whole := true
-	for _, spent := range told.Spent {
-		known := m.accounts[spent.Tenant]
-		if known == nil {
+	complete := true
+	for _, spent := range spending.Spent {
+		acct := m.accounts[spent.Tenant]
+		if acct == nil {
 			continue
 		}
-		known.telling = false
+		acct.reporting = false
 		credit, answered := answers[spent.Tenant]
 		if answered {
-			known.settle(spent, credit, sent)
-			known.owner, known.epoch, known.expected = told.owner, answer.Epoch, 0
+			acct.settle(spent, credit, sent)
+			acct.owner, acct.epoch, acct.expected = spending.owner, answer.Epoch, 0
 			if credit.Share > 0 || spent.Share > 0 {
-				known.shareOwner, known.shareEpoch = told.owner, answer.Epoch
+				acct.shareOwner, acct.shareEpoch = spending.owner, answer.Epoch
 			}
 			if answer.Epoch != 0 {
-				known.expected = uint64(min(credit.Amount, spent.Want))
+				acct.expected = uint64(min(credit.Amount, spent.Want))
 			}
 		}
-		whole = whole && answered
+		complete = complete && answered
 	}
-	return whole
+	return complete
 }
 
-// hear notes that an owner answered. The caller holds the mutex.
-func (m *Meter) hear(told *Spending, answer *Answer, sent time.Time) {
-	state := m.owner(told.owner)
-	state.telling = state.telling && len(told.Spent) > 0
-	if sent.After(state.heard) {
-		state.heard, state.epoch, state.nodes = sent, answer.Epoch, answer.Nodes
+// recordAnswer records that an owner answered. The caller holds the mutex.
+func (m *Meter) recordAnswer(spending *Spending, answer *Answer, sent time.Time) {
+	state := m.owner(spending.owner)
+	state.reporting = state.reporting && len(spending.Spent) > 0
+	if sent.After(state.lastAnswer) {
+		state.lastAnswer, state.epoch, state.nodes = sent, answer.Epoch, answer.Nodes
 	}
 }
 
-// heardOf is the most nodes that an owner told of in the last minute: one that has just taken over has not heard of all yet. The caller
-// holds the mutex.
-func (m *Meter) heardOf() int {
+// maxReportedNodes returns the largest number of nodes in the last answers of the owners, since an owner that has just taken over
+// has not yet received reports from all nodes. Due removes owners that have not answered for isolationPeriod and have no tenants
+// left. The caller holds the mutex.
+func (m *Meter) maxReportedNodes() int {
 	most := 1
 	for _, state := range m.owners {
 		most = max(most, state.nodes)
@@ -448,33 +460,33 @@
 	return most
 }
 
-// Failed notes that an owner did not answer to what it was told.
-func (m *Meter) Failed(told *Spending) {
+// Failed records that an owner did not answer a report.
+func (m *Meter) Failed(spending *Spending) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	state := m.owner(told.owner)
-	state.telling = state.telling && len(told.Spent) > 0
-	for _, spent := range told.Spent {
-		if known := m.accounts[spent.Tenant]; known != nil {
-			known.telling = false
-			known.failures++
+	state := m.owner(spending.owner)
+	state.reporting = state.reporting && len(spending.Spent) > 0
+	for _, spent := range spending.Spent {
+		if acct := m.accounts[spent.Tenant]; acct != nil {
+			acct.reporting = false
+			acct.failures++
 		}
 	}
 }
 
-// settle takes over what the owner said of one tenant. Requests let through meanwhile are taken from the credit.
+// settle applies the owner's answer for one tenant. Requests admitted since the report are subtracted from the credit.
 func (a *account) settle(spent Spent, answer Credit, sent time.Time) {
-	a.settled, a.lastTold = spent.upTo, sent
+	a.settled, a.lastSettled = spent.upTo, sent
 	a.credit = max(answer.Amount-int(a.count-spent.upTo), 0)
-	a.creditUntil = sent.Add(creditFor)
-	a.ahead, a.tight = answer.Amount > spent.Want, answer.Tight
+	a.creditUntil = sent.Add(creditLifetime)
+	a.advance, a.tight = answer.Amount > spent.Want, answer.Tight
 	if answer.Share > 0 {
-		a.share, a.others, a.shareUntil, a.givenUp = answer.Share, answer.Others, sent.Add(aloneFor), time.Time{}
-		a.shareOf = spent.count() + min(answer.Amount, spent.Want)
+		a.share, a.others, a.shareUntil, a.releasedAt = answer.Share, answer.Others, sent.Add(isolationPeriod), time.Time{}
+		a.shareBase = spent.count() + min(answer.Amount, spent.Want)
 	}
-	a.deniedUntil = time.Time{}
+	a.refuseUntil = time.Time{}
 	if answer.Amount < spent.Want {
-		a.after = time.Duration(answer.AfterMs) * time.Millisecond
-		a.deniedUntil = sent.Add(min(max(a.after, leastDenied), mostDenied))
+		a.retryAfter = time.Duration(answer.AfterMs) * time.Millisecond
+		a.refuseUntil = sent.Add(min(max(a.retryAfter, minRefusal), maxRefusal))
 	}
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -14,18 +14,19 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// What the users state of the limits: the window in which they count, and by how much they may be passed in it.
+// The stated requirements of the limits: the window over which they count, and by how much they may be exceeded in it.
 const (
 	simWindow  = 5 * time.Second
 	simOverage = 0.1
 	simSlack   = 20
-	// simAfter is how long after a change a lower limit binds: the time in which configurations are in force, and a window.
-	simAfter  = 3*time.Second + simWindow
-	simTenant = ident.Tenant("tenant")
+	// simSettleTime is how long after a change a lower limit becomes binding: the time in which a configuration takes effect, plus
+	// a window.
+	simSettleTime = 3*time.Second + simWindow
+	simTenant     = ident.Tenant("tenant")
 )
 
-// world is simulated time, the faults, and one tenant's requests.
-type world struct {
+// simulation holds the simulated time, the faults and one tenant's requests.
+type simulation struct {
 	random *rand.Rand
 	now    time.Time
 	end    time.Time
@@ -33,25 +34,26 @@
 	order  int
 
 	nodes, owners int
-	// limits are those in force at each node, configured the newest.
+	// limits holds the limit in force at each node; configured is the newest.
 	limits     []Limit
 	configured Limit
-	// replaced are the limits that were configured before, and until when each may still be used up.
+	// replaced holds the limits that were configured before, and until when each may still be used up.
 	replaced []replacedLimit
-	// cut nodes reach no owner, down ones get no requests; gone owners answer nobody, and unlisted ones are not asked.
-	cut, down      []bool
-	gone, unlisted []bool
-	// loss is the part of the calls that is lost, way the longest time of one.
+	// partitioned nodes reach no owner; down nodes receive no requests; unresponsive owners answer no calls; unlisted owners are
+	// not called.
+	partitioned, down      []bool
+	unresponsive, unlisted []bool
+	// loss is the fraction of messages that are lost.
 	loss float64
 
 	admitted []time.Time
-	// ideal is a bucket that sees all at once; within is how many of the requests it would let through.
+	// ideal is the level of a token bucket that sees all requests at once; within is how many of the requests it would admit.
 	ideal   float64
 	idealAt time.Time
 	within  int
 	broken  string
-	// struck tells the faults so far.
-	struck string
+	// faultLog lists the faults so far.
+	faultLog string
 }
 
 type replacedLimit struct {
@@ -79,111 +81,115 @@
 	return last
 }
 
-func (w *world) after(delay time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.queue, simEvent{at: w.now.Add(delay), order: w.order, run: run})
+func (sim *simulation) after(delay time.Duration, run func()) {
+	sim.order++
+	heap.Push(&sim.queue, simEvent{at: sim.now.Add(delay), order: sim.order, run: run})
 }
 
-func (w *world) run() {
-	for len(w.queue) > 0 && w.broken == "" {
-		next := heap.Pop(&w.queue).(simEvent)
-		if next.at.After(w.end) {
+func (sim *simulation) run() {
+	for len(sim.queue) > 0 && sim.broken == "" {
+		next := heap.Pop(&sim.queue).(simEvent)
+		if next.at.After(sim.end) {
 			return
 		}
-		w.now = next.at
+		sim.now = next.at
 		next.run()
 	}
 }
 
-// call passes a message to an owner and its answer back; answer is false where one of the two is lost.
-func (w *world) call(node, owner int, serve func(), back func(answered bool)) {
+// call delivers a message to an owner and its answer back; answered is false if either is lost.
+func (sim *simulation) call(node, owner int, serve func(), reply func(answered bool)) {
 	const timeout = 100 * time.Millisecond
-	hop := func() time.Duration { return time.Duration(200+w.random.IntN(3000)) * time.Microsecond }
-	lost := func() bool { return w.cut[node] || w.gone[owner] || w.random.Float64() < w.loss }
-	fails := func(spent time.Duration) { w.after(timeout-spent, func() { back(false) }) }
+	hop := func() time.Duration { return time.Duration(200+sim.random.IntN(3000)) * time.Microsecond }
+	lost := func() bool {
+		return sim.partitioned[node] || sim.unresponsive[owner] || sim.random.Float64() < sim.loss
+	}
+	fails := func(spent time.Duration) { sim.after(timeout-spent, func() { reply(false) }) }
 	there := hop()
-	w.after(there, func() {
+	sim.after(there, func() {
 		if lost() {
 			fails(there)
 			return
 		}
 		serve()
 		away := hop()
-		w.after(away, func() {
+		sim.after(away, func() {
 			if lost() {
 				fails(there + away)
 				return
 			}
-			back(true)
+			reply(true)
 		})
 	})
 }
 
-// owner is the worker that a node takes for the tenant's: the first that is listed.
-func (w *world) owner() int {
-	for owner := range w.owners {
-		if !w.unlisted[owner] {
+// owner returns the worker that nodes take for the tenant's owner: the first one listed.
+func (sim *simulation) owner() int {
+	for owner := range sim.owners {
+		if !sim.unlisted[owner] {
 			return owner
 		}
 	}
 	return -1
 }
 
-// admit notes a request that was let through, and checks each window that it ends.
-func (w *world) admit() {
-	w.admitted = append(w.admitted, w.now)
-	limit := w.configured
-	for _, before := range w.replaced {
-		if w.now.Before(before.until) && before.limit.Rate > limit.Rate {
+// admit records an admitted request, and checks the window that ends with it.
+func (sim *simulation) admit() {
+	sim.admitted = append(sim.admitted, sim.now)
+	limit := sim.configured
+	for _, before := range sim.replaced {
+		if sim.now.Before(before.until) && before.limit.Rate > limit.Rate {
 			limit = before.limit
 		}
 	}
 	count := 0
-	for index := len(w.admitted) - 1; index >= 0 && w.now.Sub(w.admitted[index]) <= simWindow; index-- {
+	for index := len(sim.admitted) - 1; index >= 0 && sim.now.Sub(sim.admitted[index]) <= simWindow; index-- {
 		count++
 	}
 	bound := (limit.Rate*simWindow.Seconds()+limit.Burst)*(1+simOverage) + simSlack
 	if float64(count) > bound {
-		w.broken = fmt.Sprintf("%.1f s before the end %d requests in a window, at most %.0f may (limit %+v); faults before the end:%s",
-			w.end.Sub(w.now).Seconds(), count, bound, limit, w.struck)
+		sim.broken = fmt.Sprintf(
+			"%.1f s before the end: %d requests in a window, at most %.0f allowed (limit %+v); faults, in seconds before the end:%s",
+			sim.end.Sub(sim.now).Seconds(), count, bound, limit, sim.faultLog,
+		)
 	}
 }
 
-// arrive has a request come to a node.
-func (w *world) arrive(by way, node int) {
-	if w.down[node] {
+// arrive simulates the arrival of a request at a node.
+func (sim *simulation) arrive(limiter strategy, node int) {
+	if sim.down[node] {
 		return
 	}
-	w.ideal = min(w.configured.Burst, w.ideal+w.configured.Rate*w.now.Sub(w.idealAt).Seconds())
-	w.idealAt = w.now
-	if w.ideal >= 1 {
-		w.ideal--
-		w.within++
+	sim.ideal = min(sim.configured.Burst, sim.ideal+sim.configured.Rate*sim.now.Sub(sim.idealAt).Seconds())
+	sim.idealAt = sim.now
+	if sim.ideal >= 1 {
+		sim.ideal--
+		sim.within++
 	}
-	by.request(node, func(admitted bool) {
+	limiter.request(node, func(admitted bool) {
 		if admitted {
-			w.admit()
+			sim.admit()
 		}
 	})
 }
 
-// served is how many requests were let through, no more than the ideal bucket would have.
-func (w *world) served() int { return min(len(w.admitted), w.within) }
+// served returns the number of admitted requests, but no more than the ideal bucket would admit.
+func (sim *simulation) served() int { return min(len(sim.admitted), sim.within) }
 
-// plan is what is drawn for a play.
-type plan struct {
+// scenario holds the randomly chosen parameters of a simulated run.
+type scenario struct {
 	nodes, owners int
 	limit         Limit
-	// demand times the rate is what comes, spread over that many nodes, in peaks or evenly.
+	// The request rate is demand times the limit's rate, spread over the first spread nodes, either in peaks or evenly.
 	demand float64
 	spread int
 	peaks  bool
 	faults bool
 }
 
-func drawPlan(random *rand.Rand, faults bool) plan {
+func drawScenario(random *rand.Rand, faults bool) scenario {
 	sizes := []int{1, 9, 61, 330}
-	p := plan{
+	p := scenario{
 		nodes: sizes[random.IntN(len(sizes))], owners: 1 + random.IntN(4), faults: faults,
 		limit:  Limit{Rate: float64(2 + random.IntN(150)), Burst: float64(random.IntN(300))},
 		demand: []float64{0.3, 0.6, 0.9, 1.5, 3, 7.5}[random.IntN(6)], peaks: random.IntN(2) == 0,
@@ -192,111 +198,111 @@
 	return p
 }
 
-// play runs a plan one way.
-func play(p plan, seed uint64, made func(*world) way) *world {
+// simulate runs a scenario with a strategy.
+func simulate(p scenario, seed uint64, newStrategy func(*simulation) strategy) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
-	w := &world{
+	sim := &simulation{
 		random: random, now: start, end: start.Add(30 * time.Second), nodes: p.nodes, owners: p.owners, configured: p.limit,
-		limits: make([]Limit, p.nodes), cut: make([]bool, p.nodes), down: make([]bool, p.nodes),
-		gone: make([]bool, p.owners), unlisted: make([]bool, p.owners), ideal: p.limit.Burst, idealAt: start,
+		limits: make([]Limit, p.nodes), partitioned: make([]bool, p.nodes), down: make([]bool, p.nodes),
+		unresponsive: make([]bool, p.owners), unlisted: make([]bool, p.owners), ideal: p.limit.Burst, idealAt: start,
 	}
-	for node := range w.limits {
-		w.limits[node] = p.limit
+	for node := range sim.limits {
+		sim.limits[node] = p.limit
 	}
-	by := made(w)
+	limiter := newStrategy(sim)
 	if p.faults {
-		w.loss = 0.02
+		sim.loss = 0.02
 		for range 1 + random.IntN(5) {
-			w.after(time.Duration(random.IntN(24000))*time.Millisecond, func() { w.strike(by) })
+			sim.after(time.Duration(random.IntN(24000))*time.Millisecond, func() { sim.injectFault(limiter) })
 		}
 	}
 	var next func()
 	next = func() {
-		w.arrive(by, random.IntN(p.spread))
+		sim.arrive(limiter, random.IntN(p.spread))
 		rate := p.limit.Rate * p.demand
-		if p.peaks && w.now.Sub(start)%(5800*time.Millisecond) < 3400*time.Millisecond {
+		if p.peaks && sim.now.Sub(start)%(5800*time.Millisecond) < 3400*time.Millisecond {
 			rate *= 0.38
 		} else if p.peaks {
 			rate *= 1.87
 		}
-		w.after(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), next)
+		sim.after(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
-	w.after(0, next)
-	w.run()
-	return w
+	sim.after(0, next)
+	sim.run()
+	return sim
 }
 
-// strikes names the faults of strike.
-var strikes = []string{"cut", "cut", "nodes killed", "owner lost", "all killed", "limit lowered", "calls lost"}
+// faultNames holds the names of the faults of injectFault.
+var faultNames = []string{"cut", "cut", "nodes killed", "owner lost", "all killed", "limit lowered", "calls lost"}
 
-// strike does one thing that may happen at any time.
-func (w *world) strike(by way) {
-	lasts := time.Duration(500+w.random.IntN(8000)) * time.Millisecond
-	share := w.random.Float64() * 0.6
-	kind := w.random.IntN(7)
-	w.struck += fmt.Sprintf(" %.1f s: %s (%.1f s, %.2f)", w.end.Sub(w.now).Seconds(), strikes[kind], lasts.Seconds(), share)
+// injectFault injects one random fault.
+func (sim *simulation) injectFault(limiter strategy) {
+	duration := time.Duration(500+sim.random.IntN(8000)) * time.Millisecond
+	share := sim.random.Float64() * 0.6
+	kind := sim.random.IntN(7)
+	sim.faultLog += fmt.Sprintf(" %.1f s: %s (%.1f s, %.2f)", sim.end.Sub(sim.now).Seconds(), faultNames[kind], duration.Seconds(), share)
 	switch kind {
-	case 0, 1: // nodes are cut off from all owners
-		for node := range w.cut {
-			if w.random.Float64() < share {
-				w.cut[node] = true
-				w.after(lasts, func() { w.cut[node] = false })
+	case 0, 1: // nodes are partitioned from all owners
+		for node := range sim.partitioned {
+			if sim.random.Float64() < share {
+				sim.partitioned[node] = true
+				sim.after(duration, func() { sim.partitioned[node] = false })
 			}
 		}
 	case 2: // nodes are killed and start again
-		for node := range w.down {
-			if w.random.Float64() < share {
-				w.kill(by, node, time.Second)
+		for node := range sim.down {
+			if sim.random.Float64() < share {
+				sim.kill(limiter, node, time.Second)
 			}
 		}
-	case 3: // the first owner is killed; it is not listed after a while, and again when it is back
-		w.loseOwner(by, 0, lasts)
-	case 4: // all is killed at once
-		for node := range w.down {
-			w.kill(by, node, 1500*time.Millisecond)
+	case 3: // the first owner is killed; it is unlisted after its lease and listed again when it is back
+		sim.loseOwner(limiter, 0, duration)
+	case 4: // all nodes and owners are killed at once
+		for node := range sim.down {
+			sim.kill(limiter, node, 1500*time.Millisecond)
 		}
-		for owner := range w.gone {
-			w.loseOwner(by, owner, 1500*time.Millisecond)
+		for owner := range sim.unresponsive {
+			sim.loseOwner(limiter, owner, 1500*time.Millisecond)
 		}
-	case 5: // the limit falls far below what is sent, and nodes hear of it one after the other
-		w.replaced = append(w.replaced, replacedLimit{limit: w.configured, until: w.now.Add(simAfter)})
-		w.configured = Limit{Rate: max(w.configured.Rate/8, 1), Burst: w.configured.Burst / 8}
-		limit := w.configured
-		for node := range w.limits {
-			w.after(time.Duration(w.random.IntN(1500))*time.Millisecond, func() {
-				if limit.Rate < w.limits[node].Rate {
-					w.limits[node] = limit
+	case 5: // the limit falls far below the demand, and nodes receive it one after the other
+		sim.replaced = append(sim.replaced, replacedLimit{limit: sim.configured, until: sim.now.Add(simSettleTime)})
+		sim.configured = Limit{Rate: max(sim.configured.Rate/8, 1), Burst: sim.configured.Burst / 8}
+		limit := sim.configured
+		for node := range sim.limits {
+			sim.after(time.Duration(sim.random.IntN(1500))*time.Millisecond, func() {
+				if limit.Rate < sim.limits[node].Rate {
+					sim.limits[node] = limit
 				}
 			})
 		}
-	case 6: // calls are lost
-		before := w.loss
-		w.loss = 0.5
-		w.after(lasts, func() { w.loss = before })
+	case 6: // messages are lost
+		before := sim.loss
+		sim.loss = 0.5
+		sim.after(duration, func() { sim.loss = before })
 	}
 }
 
-func (w *world) kill(by way, node int, down time.Duration) {
-	w.down[node] = true
-	w.after(down, func() {
-		w.down[node] = false
-		by.restartNode(node)
+func (sim *simulation) kill(limiter strategy, node int, down time.Duration) {
+	sim.down[node] = true
+	sim.after(down, func() {
+		sim.down[node] = false
+		limiter.restartNode(node)
 	})
 }
 
-func (w *world) loseOwner(by way, owner int, away time.Duration) {
+func (sim *simulation) loseOwner(limiter strategy, owner int, away time.Duration) {
 	const lease = 2 * time.Second
-	w.gone[owner] = true
-	w.after(lease, func() { w.unlisted[owner] = w.gone[owner] })
-	w.after(away, func() {
-		w.gone[owner], w.unlisted[owner] = false, false
-		by.restartOwner(owner)
+	sim.unresponsive[owner] = true
+	sim.after(lease, func() { sim.unlisted[owner] = sim.unresponsive[owner] })
+	sim.after(away, func() {
+		sim.unresponsive[owner], sim.unlisted[owner] = false, false
+		limiter.restartOwner(owner)
 	})
 }
 
-// plays is the number of drawn plays: more by hand.
-func plays(t *testing.T, usual int) (from, count uint64) {
+// simulatedRuns returns the range of seeds. MALLOWLATCH_QUOTA_PLAYS sets another number of runs.
+func simulatedRuns(t *testing.T, usual int) (from, count uint64) {
 	from, count = 1, uint64(usual)
 	if text := os.Getenv("MALLOWLATCH_QUOTA_PLAYS"); text != "" {
 		drawn, err := strconv.ParseUint(text, 10, 64)
@@ -306,19 +312,19 @@
 	return from, count
 }
 
-// TestLimitHoldsUnderFaults draws fleets, demands and faults: no window may ever pass its bound.
+// TestLimitHoldsUnderFaults draws random fleets, demands and faults: no window may ever exceed its bound.
 func TestLimitHoldsUnderFaults(t *testing.T) {
-	from, count := plays(t, 15)
+	from, count := simulatedRuns(t, 15)
 	for seed := from; seed < from+count; seed++ {
-		p := drawPlan(rand.New(rand.NewPCG(seed, 2)), true)
-		w := play(p, seed, creditsWay)
-		assert.Assert(t, w.broken == "", "seed %d, %+v: %s", seed, p, w.broken)
+		p := drawScenario(rand.New(rand.NewPCG(seed, 2)), true)
+		sim := simulate(p, seed, creditsStrategy)
+		assert.Assert(t, sim.broken == "", "seed %d, %+v: %s", seed, p, sim.broken)
 	}
 }
 
-// TestWhatIsWithinTheLimitIsServed draws fleets without faults, and with the owner lost once.
+// TestWhatIsWithinTheLimitIsServed draws random fleets without faults, and with the owner lost once.
 func TestWhatIsWithinTheLimitIsServed(t *testing.T) {
-	from, count := plays(t, 6)
+	from, count := simulatedRuns(t, 6)
 	for _, c := range []struct {
 		name  string
 		lost  bool
@@ -326,44 +332,48 @@
 	}{{"calm", false, 0.98}, {"owner lost", true, 0.95}} {
 		within, served := 0, 0
 		for seed := from; seed < from+count; seed++ {
-			p := drawPlan(rand.New(rand.NewPCG(seed, 2)), false)
+			p := drawScenario(rand.New(rand.NewPCG(seed, 2)), false)
 			p.owners = max(p.owners, 2)
-			w := play(p, seed, func(w *world) way {
-				by := newCredits(w)
+			sim := simulate(p, seed, func(sim *simulation) strategy {
+				limiter := newCredits(sim)
 				if c.lost {
-					w.after(10*time.Second, func() { w.loseOwner(by, 0, 8*time.Second) })
+					sim.after(10*time.Second, func() { sim.loseOwner(limiter, 0, 8*time.Second) })
 				}
-				return by
+				return limiter
 			})
-			assert.Assert(t, w.broken == "", "seed %d, %+v: %s", seed, p, w.broken)
-			within, served = within+w.within, served+w.served()
+			assert.Assert(t, sim.broken == "", "seed %d, %+v: %s", seed, p, sim.broken)
+			within, served = within+sim.within, served+sim.served()
 		}
 		share := float64(served) / float64(within)
 		t.Logf("%s: %.4f of %d requests within the limit", c.name, share, within)
-		assert.Assert(t, share >= c.least, "%s: %.4f of what is within the limit was served", c.name, share)
+		assert.Assert(t, share >= c.least, "%s: only %.4f of the requests within the limit were served", c.name, share)
 	}
 }
 
-// TestCompareWays prints what both ways do on the same plays, and checks that the one that stands is the better one.
-func TestCompareWays(t *testing.T) {
-	from, count := plays(t, 4)
+// TestCompareStrategies logs the results of both strategies on the same scenarios, and checks that the one in use is the better
+// one.
+func TestCompareStrategies(t *testing.T) {
+	from, count := simulatedRuns(t, 4)
 	for _, faults := range []bool{false, true} {
 		share := map[string]float64{}
-		for name, made := range map[string]func(*world) way{"credits": creditsWay, "shares": sharesWay} {
+		for name, newStrategy := range map[string]func(*simulation) strategy{"credits": creditsStrategy, "shares": sharesStrategy} {
 			broken, within, served := 0, 0, 0
 			least := 1.0
 			for seed := from; seed < from+count; seed++ {
-				w := play(drawPlan(rand.New(rand.NewPCG(seed, 2)), faults), seed, made)
-				if w.broken != "" {
+				sim := simulate(drawScenario(rand.New(rand.NewPCG(seed, 2)), faults), seed, newStrategy)
+				if sim.broken != "" {
 					broken++
 					continue
 				}
-				within, served = within+w.within, served+w.served()
-				if w.within > 20 {
-					least = min(least, float64(w.served())/float64(w.within))
+				within, served = within+sim.within, served+sim.served()
+				if sim.within > 20 {
+					least = min(least, float64(sim.served())/float64(sim.within))
 				}
 			}
-			t.Logf("faults %v, %s: %d of %d plays passed the bound; %.4f of what was within the limit served, least %.4f", faults, name, broken, count, float64(served)/float64(max(within, 1)), least)
+			t.Logf(
+				"faults %v, %s: %d of %d runs exceeded the bound; %.4f of the requests within the limit served, least %.4f in a run",
+				faults, name, broken, count, float64(served)/float64(max(within, 1)), least,
+			)
 			share[name] = float64(served) / float64(max(within, 1))
 		}
 		assert.Assert(t, share["credits"] > share["shares"])
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -14,16 +14,16 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// The size to design for: what a node of many has to do with limits, and what it may say for that.
+// The design size: the load that one of many nodes has, and the bytes per second that it may exchange with the owners for that.
 const (
 	designNodes, designOwners, designTenants = 330, 45, 2200
-	designRequests                           = 2500.0
-	designBytes                              = 3000
+	designRequestsPerSecond                  = 2500.0
+	designBytesPerSecond                     = 3000
 )
 
-// TestWhatANodeSaysAtTheSizeToDesignFor has one node of many serve its part of the peak, of tenants of very different sizes, and adds up
-// the contents of its messages to the owners and of their answers.
-func TestWhatANodeSaysAtTheSizeToDesignFor(t *testing.T) {
+// TestReportTrafficAtDesignSize has one of many nodes serve its part of the peak, of tenants of very different sizes, and adds up
+// the bytes of its reports to the owners and of their answers.
+func TestReportTrafficAtDesignSize(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
 	meter := NewMeter("front-region-a-zone-1-117", 1, simWindow, now.Add(-time.Hour))
@@ -36,27 +36,27 @@
 	}
 	limit := Limit{Rate: 100, Burst: 100}
 	limitOf := func(ident.Tenant) (Limit, bool) { return limit, true }
-	const lasts, step = 30 * time.Second, 10 * time.Millisecond
-	said, messages, refused := 0, 0, 0
-	tell := func() {
+	const duration, step = 30 * time.Second, 10 * time.Millisecond
+	bytesSent, messages, refused := 0, 0, 0
+	report := func() {
 		for name, spending := range meter.Due(owner, now) {
 			answer := ledgers[name].Settle(spending, limitOf, now)
 			for _, message := range []any{spending, answer} {
 				encoded, err := json.Marshal(message)
 				assert.NilError(t, err)
-				said += len(encoded)
+				bytesSent += len(encoded)
 			}
 			meter.Settle(spending, answer, now)
 			messages++
 		}
 	}
-	for end := now.Add(lasts); now.Before(end); now = now.Add(step) {
-		if random.Float64() < designRequests/designNodes*step.Seconds() {
+	for end := now.Add(duration); now.Before(end); now = now.Add(step) {
+		if random.Float64() < designRequestsPerSecond/designNodes*step.Seconds() {
 			// The largest tenants have most of the requests.
 			tenant := ident.Tenant(fmt.Sprintf("tenant-%d", int(math.Exp(random.Float64()*math.Log(designTenants)))))
 			if meter.Take(tenant, limit, now).Decision == Ask {
 				meter.Wait(tenant, limit)
-				tell()
+				report()
 				if meter.Take(tenant, limit, now).Decision != Admit {
 					refused++
 				}
@@ -64,21 +64,21 @@
 			}
 		}
 		if now.UnixMilli()%100 == 0 {
-			tell()
+			report()
 		}
 	}
-	t.Logf("%.0f bytes and %.1f messages a second", float64(said)/lasts.Seconds(), float64(messages)/lasts.Seconds())
+	t.Logf("%.0f bytes and %.1f messages a second", float64(bytesSent)/duration.Seconds(), float64(messages)/duration.Seconds())
 	assert.Equal(t, refused, 0)
-	assert.Assert(t, float64(said)/lasts.Seconds() <= designBytes)
+	assert.Assert(t, float64(bytesSent)/duration.Seconds() <= designBytesPerSecond)
 }
 
-// TestMemoryOfAccountsAtTheSizeToDesignFor fills the accounts of all owners together: each node has told of as many tenants as it serves in
-// a window.
-func TestMemoryOfAccountsAtTheSizeToDesignFor(t *testing.T) {
+// TestLedgerMemoryAtDesignSize fills one ledger with the entries of all owners: each node has reported as many tenants as it
+// serves in a window.
+func TestLedgerMemoryAtDesignSize(t *testing.T) {
 	now := time.Unix(1000, 0)
 	before := heapInUse()
 	ledger := NewLedger(simWindow, now.Add(-time.Hour))
-	each := int(designRequests / designNodes * simWindow.Seconds())
+	each := int(designRequestsPerSecond / designNodes * simWindow.Seconds())
 	for node := range designNodes {
 		spending := &Spending{Node: ident.Node(fmt.Sprint(node)), Incarnation: 1}
 		for tenant := range each {
--- a/internal/quota/takeover_test.go
+++ b/internal/quota/takeover_test.go
@@ -9,42 +9,42 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// TestSharesOfCutOffNodesOutliveTheirOwner has three of nine nodes cut off with their shares of a limit, of which three times as much is
-// sent, and then the owner lost: neither the one that takes over nor the first one, when it is back with an empty memory, hears of them.
-// The account of all nodes together must leave them what they use. It let 731 requests through where 730 may be, as a drawn play found,
-// because both gave the whole limit to the nodes that they heard.
-func TestSharesOfCutOffNodesOutliveTheirOwner(t *testing.T) {
-	const cutOff = 3
-	for _, back := range []time.Duration{2700 * time.Millisecond, 5 * time.Second, time.Minute} {
-		p := plan{nodes: 9, owners: 2, limit: Limit{Rate: 75, Burst: 271}, demand: 3, spread: 9}
+// TestSharesOfPartitionedNodesOutliveTheirOwner partitions three of nine nodes that have shares of a limit, while the load is
+// three times the limit, and then loses the owner. Neither the next owner nor the first one, back with an empty ledger, receives
+// reports from the three nodes, and each must reserve what they use. A simulated run admitted 731 requests where 730 are allowed,
+// because both owners granted the whole limit to the nodes that reported.
+func TestSharesOfPartitionedNodesOutliveTheirOwner(t *testing.T) {
+	const partitionedNodes = 3
+	for _, ownerBackAfter := range []time.Duration{2700 * time.Millisecond, 5 * time.Second, time.Minute} {
+		p := scenario{nodes: 9, owners: 2, limit: Limit{Rate: 75, Burst: 271}, demand: 3, spread: 9}
 		for seed := uint64(1); seed <= 10; seed++ {
-			w := play(p, seed, func(w *world) way {
-				by := newCredits(w)
-				w.after(10*time.Second, func() {
-					for node := range cutOff {
-						w.cut[node] = true
+			sim := simulate(p, seed, func(sim *simulation) strategy {
+				limiter := newCredits(sim)
+				sim.after(10*time.Second, func() {
+					for node := range partitionedNodes {
+						sim.partitioned[node] = true
 					}
 				})
-				w.after(10*time.Second+100*time.Millisecond, func() { w.loseOwner(by, 0, back) })
-				return by
+				sim.after(10*time.Second+100*time.Millisecond, func() { sim.loseOwner(limiter, 0, ownerBackAfter) })
+				return limiter
 			})
-			assert.Check(t, w.broken == "", "owner back after %v, seed %d: %s", back, seed, w.broken)
-			assert.Check(t, w.served() > 0)
+			assert.Check(t, sim.broken == "", "owner back after %v, seed %d: %s", ownerBackAfter, seed, sim.broken)
+			assert.Check(t, sim.served() > 0)
 		}
 	}
 }
 
-// TestShareThatWasGivenUpIsNotLeftOut has one of two nodes let nothing more through while the owner is lost, so that it gives up its
-// share of half of the limit. The next owner hears that from it and leaves nothing out: all that is within the limit is let through at the
-// other node. It took the node for cut off, and half of the limit was out of use for a minute.
-func TestShareThatWasGivenUpIsNotLeftOut(t *testing.T) {
-	const tenant, many = ident.Tenant("a"), 30
-	busy, idle := newTellerRig(t), newTellerRig(t)
+// TestReleasedShareIsNotReserved has one of two nodes admit nothing more while the owner is lost, so that it releases its share of
+// half the limit. The node reports the release to the next owner, which then reserves nothing: the other node can use the whole
+// limit. Without this, the owner took the node for partitioned, and half of the limit was unused for a minute.
+func TestReleasedShareIsNotReserved(t *testing.T) {
+	const tenant, waitingRequests = ident.Tenant("a"), 30
+	busy, idle := newReportRig(t), newReportRig(t)
 	idle.meter, idle.ledger = NewMeter("idle", 1, simWindow, idle.now.Add(-time.Hour)), busy.ledger
-	both := []*tellerRig{busy, idle}
-	pass := func(lasting time.Duration) {
+	both := []*reportRig{busy, idle}
+	advance := func(duration time.Duration) {
 		for _, r := range both {
-			r.pass(lasting)
+			r.advance(duration)
 		}
 	}
 	for _, r := range both {
@@ -53,9 +53,9 @@
 			r.request(tenant)
 		}
 	}
-	// Both are told of their shares and of the other one's, and then the owner is lost until nothing of the one is in the window.
+	// Both nodes receive their shares and each other's. Then the owner is lost until the idle node's window is empty.
 	for range 2 {
-		pass(1100 * time.Millisecond)
+		advance(1100 * time.Millisecond)
 		for _, r := range both {
 			r.request(tenant)
 		}
@@ -71,12 +71,12 @@
 	for _, r := range both {
 		r.owner, r.ledger = "second", second
 	}
-	pass(time.Second)
-	for range many {
+	advance(time.Second)
+	for range waitingRequests {
 		busy.meter.Wait(tenant, busy.limit)
 	}
-	busy.tell()
-	for range many {
+	busy.report()
+	for range waitingRequests {
 		assert.Equal(t, busy.meter.Take(tenant, busy.limit, busy.now).Decision, Admit)
 	}
 }
--- a/internal/quota/unknown_test.go
+++ b/internal/quota/unconfigured_test.go
@@ -9,8 +9,9 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// TestOwnerWithoutTheConfigurationKeepsToTheLimit has the owner be a worker that has just started, as after a loss of all machines, and knows no
-// tenant yet; nodes that do send many times the limit. What gets through in a window is what any window may have.
+// TestOwnerWithoutTheConfigurationKeepsToTheLimit has the owner be a worker that has just started, as after a simultaneous restart
+// of all machines, and has no configuration of any tenant yet, while nodes that have it send many times the limit. The requests
+// admitted in a window must stay within the usual bound.
 func TestOwnerWithoutTheConfigurationKeepsToTheLimit(t *testing.T) {
 	limit := Limit{Rate: 10, Burst: 10}
 	now := time.Unix(1000, 0)
@@ -19,7 +20,7 @@
 	for _, node := range []ident.Node{"a", "b", "c"} {
 		meters = append(meters, NewMeter(node, 1, simWindow, now))
 	}
-	through := 0
+	admitted := 0
 	for end := now.Add(simWindow); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		for _, meter := range meters {
 			if meter.Take("hot", limit, now).Decision == Ask {
@@ -31,10 +32,11 @@
 				meter.Leave("hot")
 			}
 			if meter.Take("hot", limit, now).Decision == Admit {
-				through++
+				admitted++
 			}
 		}
 	}
-	assert.Assert(t, float64(through) <= limit.window(simWindow)*(1+simOverage)+simSlack, "%d in a window", through)
-	assert.Assert(t, float64(through) >= limit.window(simWindow)/2, "%d in a window: what is within the limit is served", through)
+	assert.Assert(t, float64(admitted) <= limit.allowance(simWindow)*(1+simOverage)+simSlack, "%d requests in a window", admitted)
+	assert.Assert(t, float64(admitted) >= limit.allowance(simWindow)/2,
+		"only %d requests in a window: requests within the limit were refused", admitted)
 }
