--- a/internal/ownership/choose.go
+++ b/internal/ownership/choose.go
@@ -1,7 +1,7 @@
-// Package ownership decides which node owns which runner, and claims runners on the engines themselves: the engine
-// keeps the highest epoch it has granted and refuses lower ones, so it is the register and no other service is needed.
-// Rendezvous hashing over the members makes the nodes agree on the choice nearly always; the epoch makes it safe when
-// they don't.
+// Package ownership decides which node owns which runner, and claims runners on their engines. An engine stores the highest epoch
+// it has granted and refuses lower ones, so the engine itself is the register of ownership and no other service is needed. The
+// choice by rendezvous hashing over the members makes the nodes nearly always agree; the epoch makes ownership safe when they do
+// not.
 package ownership
 
 import (
@@ -14,22 +14,21 @@
 	"mallowlatch.example/mallowlatch/internal/rendezvous"
 )
 
-// Distance returns how far one zone is from another, in any unit; it is asked for different zones only.
+// Distance returns the distance from one zone to another, in any unit; it is called for different zones only.
 type Distance func(from, to ident.Zone) float64
 
-// Choice is the node that ought to own a runner.
+// Choice is the node that should own a runner.
 type Choice struct {
 	Node ident.Node
-	// Foreign says that the node is of another zone than the runner.
+	// Foreign is set if the node is in another zone than the runner.
 	Foreign bool
-	// Doubtful says that the runner's zone has members that are suspect only, so that they may well be at work, or none that
-	// are known at all, as when this node has just started. Were such runners asked for and claimed at once, each node of a
-	// starting fleet would claim them all.
-	Doubtful bool
+	// Uncertain is set if the runner's zone may have live members after all: some are only suspect, or none is known at all, as
+	// when this node has just started. If such runners were claimed at once, each node of a starting fleet would claim them all.
+	Uncertain bool
 }
 
-// Choose returns the owner of a runner among the members: the highest rendezvous weight of the live members of its
-// zone, else of the nearest zone that has any. It returns false if nobody is alive.
+// Choose returns the owner of a runner among the members: the live member of the runner's zone with the highest rendezvous weight
+// or, if there is none, that of the nearest zone with live members. It returns false if no member is alive.
 func Choose(runner ident.Runner, zone ident.Zone, members []membership.Member, distance Distance) (Choice, bool) {
 	if best, found := rendezvous.First(string(runner), live(zone, members)); found {
 		return Choice{Node: best}, true
@@ -39,7 +38,7 @@
 		return Choice{}, false
 	}
 	best, _ := rendezvous.First(string(runner), live(nearest, members))
-	return Choice{Node: best, Foreign: true, Doubtful: anyMayLive(zone, members)}, true
+	return Choice{Node: best, Foreign: true, Uncertain: mayHaveLive(zone, members)}, true
 }
 
 // live yields the live members of a zone.
@@ -56,13 +55,13 @@
 	}
 }
 
-// zoneMembers are the live members of a zone, in the order of the members, and a hash over their names.
+// zoneMembers holds the live members of a zone, in the order of the member list, and a hash over their names.
 type zoneMembers struct {
 	live        []ident.Node
 	fingerprint uint64
 }
 
-// zonesOf sorts the live members by zone.
+// zonesOf groups the live members by zone.
 func zonesOf(members []membership.Member) map[ident.Zone]zoneMembers {
 	zones := map[ident.Zone]zoneMembers{}
 	for _, member := range members {
@@ -106,8 +105,8 @@
 	return nearest, nearest != ""
 }
 
-// anyMayLive says whether a zone without live members may have some: one is suspect, or none is known to be dead either.
-func anyMayLive(zone ident.Zone, members []membership.Member) bool {
+// mayHaveLive reports whether a zone without live members may have some after all: a member is suspect, or no member is known.
+func mayHaveLive(zone ident.Zone, members []membership.Member) bool {
 	known := false
 	for _, member := range members {
 		if member.Zone != zone {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -18,26 +18,26 @@
 	"mallowlatch.example/mallowlatch/internal/ownership"
 )
 
-// register is the part of an engine that matters here: it grants ownership by epoch.
-type register struct {
+// fakeEngine simulates the part of an engine that grants ownership by epoch.
+type fakeEngine struct {
 	engine.Engine
 	mutex sync.Mutex
 	epoch uint64
 	owner ident.Node
-	// loseAnswer applies the next claim but breaks the connection.
+	// loseAnswer makes the next order take effect while its answer is lost.
 	loseAnswer bool
 	grants     int
-	// starts counts the restarts.
+	// starts is the number of restarts.
 	starts int
 }
 
-func (r *register) Load(context.Context) (engine.LoadReport, error) {
+func (r *fakeEngine) Load(context.Context) (engine.LoadReport, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return engine.LoadReport{OwnerEpoch: r.epoch, Owner: r.owner, Incarnation: r.incarnation()}, nil
 }
 
-func (r *register) Order(_ context.Context, order engine.Order) (engine.OrderReply, error) {
+func (r *fakeEngine) Order(_ context.Context, order engine.Order) (engine.OrderReply, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if order.Epoch < r.epoch || (order.Epoch == r.epoch && order.Node != r.owner) {
@@ -52,10 +52,10 @@
 	return engine.OrderReply{Epoch: r.epoch, Owner: r.owner}, nil
 }
 
-// site is some nodes with views of their own before some engines, in a time of its own.
+// site is a set of nodes, each with its own view of the members, and a set of engines, with a common simulated clock.
 type site struct {
 	now     time.Time
-	engines map[ident.Runner]*register
+	engines map[ident.Runner]*fakeEngine
 	runners []ownership.Runner
 	nodes   map[ident.Node]*siteNode
 	names   []ident.Node
@@ -68,7 +68,7 @@
 }
 
 func newSite(nodes, runners int) *site {
-	s := &site{now: time.Unix(1000, 0), engines: map[ident.Runner]*register{}, nodes: map[ident.Node]*siteNode{}}
+	s := &site{now: time.Unix(1000, 0), engines: map[ident.Runner]*fakeEngine{}, nodes: map[ident.Node]*siteNode{}}
 	var members []membership.Member
 	for index := range nodes {
 		name := ident.Node(fmt.Sprintf("n%d", index))
@@ -77,7 +77,7 @@
 	}
 	for index := range runners {
 		runner := ident.Runner(fmt.Sprintf("r%d", index))
-		s.engines[runner] = &register{}
+		s.engines[runner] = &fakeEngine{}
 		s.runners = append(s.runners, ownership.Runner{ID: runner, Zone: "z"})
 	}
 	for _, name := range s.names {
@@ -104,13 +104,13 @@
 				continue
 			}
 			for _, runner := range node.service.Plan() {
-				node.service.Ask(context.Background(), runner)
+				node.service.QueryAndClaim(context.Background(), runner)
 			}
 		}
 	}
 }
 
-func (s *site) see(node ident.Node, state membership.State) {
+func (s *site) setState(node ident.Node, state membership.State) {
 	for _, viewer := range s.nodes {
 		for index := range viewer.view {
 			if viewer.view[index].Node == node {
@@ -120,7 +120,7 @@
 	}
 }
 
-// holders returns the nodes that hold a runner at the engine's own epoch.
+// holders returns the nodes that hold a runner at the engine's present epoch.
 func (s *site) holders(runner ident.Runner) []ident.Node {
 	var holders []ident.Node
 	for _, name := range s.names {
@@ -145,14 +145,15 @@
 	assert.Equal(t, len(load), 4)
 }
 
-// A paused owner's runner is claimed by another; when it wakes, its orders are refused and it stops at once.
+// TestPausedFormerOwnerIsRefused has another node claim the runner of a paused owner: when the owner resumes, its orders are
+// refused and its claim ends at once.
 func TestPausedFormerOwnerIsRefused(t *testing.T) {
 	s := newSite(3, 1)
 	s.run(5)
 	former := s.holders("r0")[0]
 	old := s.nodes[former].service.Owned()[0]
 	s.nodes[former].paused = true
-	s.see(former, membership.Dead)
+	s.setState(former, membership.Dead)
 	s.run(5)
 	assert.Assert(t, s.holders("r0")[0] != former)
 	late := engine.Order{Kind: engine.OrderOwn, Epoch: old.Epoch, Node: former}
@@ -162,13 +163,14 @@
 	assert.Equal(t, len(s.nodes[former].service.Owned()), 0)
 }
 
-// A former owner that wakes and isn't told stops by itself: its claim goes stale, and asking shows the new owner.
+// TestFormerOwnerStopsByItself resumes a former owner that is not notified of the loss: its claim has become stale, and a query
+// shows the new owner.
 func TestFormerOwnerStopsByItself(t *testing.T) {
 	s := newSite(3, 1)
 	s.run(5)
 	former := s.holders("r0")[0]
 	s.nodes[former].paused = true
-	s.see(former, membership.Dead)
+	s.setState(former, membership.Dead)
 	s.run(12)
 	assert.Equal(t, len(s.nodes[former].service.Owned()), 0)
 	s.nodes[former].paused = false
@@ -180,38 +182,39 @@
 	s := newSite(4, 20)
 	s.run(5)
 	var grants int
-	for _, register := range s.engines {
-		grants += register.grants
+	for _, fakeEngine := range s.engines {
+		grants += fakeEngine.grants
 	}
 	for range 20 {
-		s.see("n1", membership.Suspect)
+		s.setState("n1", membership.Suspect)
 		s.run(3)
-		s.see("n1", membership.Alive)
+		s.setState("n1", membership.Alive)
 		s.run(4)
 	}
-	for _, register := range s.engines {
-		grants -= register.grants
+	for _, fakeEngine := range s.engines {
+		grants -= fakeEngine.grants
 	}
 	assert.Equal(t, grants, 0)
 }
 
-// A node that joins and goes again and again takes no runner from a live owner before it has stayed for a while.
+// TestFlappingNewcomerTakesNothing checks that a node that repeatedly joins and dies takes no runner from a live owner before it
+// has stayed for LiveOwnerDelay.
 func TestFlappingNewcomerTakesNothing(t *testing.T) {
 	s := newSite(3, 20)
 	s.nodes["n2"].paused = true
-	s.see("n2", membership.Dead)
+	s.setState("n2", membership.Dead)
 	s.run(5)
 	s.nodes["n2"].paused = false
 	for range 10 {
-		s.see("n2", membership.Alive)
+		s.setState("n2", membership.Alive)
 		s.run(6)
-		s.see("n2", membership.Dead)
+		s.setState("n2", membership.Dead)
 		s.run(2)
 	}
-	for _, register := range s.engines {
-		assert.Equal(t, register.grants, 1)
+	for _, fakeEngine := range s.engines {
+		assert.Equal(t, fakeEngine.grants, 1)
 	}
-	s.see("n2", membership.Alive)
+	s.setState("n2", membership.Alive)
 	s.run(15)
 	assert.Assert(t, len(s.nodes["n2"].service.Owned()) > 0)
 }
@@ -220,7 +223,7 @@
 	s := newSite(3, 6)
 	s.run(5)
 	assert.NilError(t, s.nodes["n1"].service.Release(context.Background()))
-	s.see("n1", membership.Leaving)
+	s.setState("n1", membership.Leaving)
 	s.run(3)
 	for runner := range s.engines {
 		holders := s.holders(runner)
@@ -236,8 +239,9 @@
 	assert.Equal(t, len(s.holders("r0")), 1)
 }
 
-// Two sides that hold each other for dead must not take the runner from one another for ever.
-func TestTwoSidesDoNotThrash(t *testing.T) {
+// TestPartitionedSidesDoNotThrash checks that the two sides of a partition, each of which sees the other as dead, do not take the
+// runner from each other indefinitely.
+func TestPartitionedSidesDoNotThrash(t *testing.T) {
 	s := newSite(2, 1)
 	for _, name := range s.names {
 		for index := range s.nodes[name].view {
@@ -250,18 +254,18 @@
 	assert.Assert(t, s.engines["r0"].grants < 24, "%d claims", s.engines["r0"].grants)
 }
 
-func TestForeignZoneWaitsForDoubtfulMembers(t *testing.T) {
+func TestForeignChoiceIsUncertainWithSuspectMembers(t *testing.T) {
 	members := []membership.Member{
 		{Node: "a", Zone: "z", State: membership.Suspect}, {Node: "b", Zone: "y"}, {Node: "c", Zone: "x"},
 	}
 	distance := func(_, to ident.Zone) float64 { return map[ident.Zone]float64{"x": 5, "y": 2}[to] }
 	choice, found := ownership.Choose("r0", "z", members, distance)
 	assert.Assert(t, found)
-	assert.Equal(t, choice, ownership.Choice{Node: "b", Foreign: true, Doubtful: true})
+	assert.Equal(t, choice, ownership.Choice{Node: "b", Foreign: true, Uncertain: true})
 }
 
-// Whatever the nodes see, whoever is paused and whichever answers get lost, an engine never has two owners, and once the
-// views agree each runner has one.
+// TestOneOwnerUnderAnyViews checks that, under any views, pauses and lost answers, an engine never has two owners, and that each
+// runner has one once the views agree.
 func TestOneOwnerUnderAnyViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(rapid.IntRange(1, 4).Draw(t, "nodes"), 3)
@@ -277,7 +281,7 @@
 			}
 		}
 		for _, name := range s.names {
-			s.see(name, membership.Alive)
+			s.setState(name, membership.Alive)
 			s.nodes[name].paused = false
 		}
 		s.run(700)
--- a/internal/ownership/planner.go
+++ b/internal/ownership/planner.go
@@ -9,43 +9,43 @@
 	"mallowlatch.example/mallowlatch/internal/rendezvous"
 )
 
-// Config holds the planner's times.
+// Config holds the planner's delays.
 type Config struct {
-	// Settle is how long a choice must stand before a runner without a live owner is claimed.
-	Settle time.Duration
-	// Doubt is how long it must stand if the present owner is only suspect.
-	Doubt time.Duration
-	// HandOver is how long it must stand if the present owner is alive, so that a flapping member moves nothing.
-	HandOver time.Duration
-	// Foreign is how long it must stand for a claim from another zone whose members are suspect rather than dead.
-	Foreign time.Duration
-	// LossBackoff is the wait after a claim was lost to another node; it doubles with each loss up to MaxLossBackoff,
-	// so that two sides which don't see each other don't take a runner from one another for ever.
+	// DeadOwnerDelay is how long a choice must stand before a runner without a live owner is claimed.
+	DeadOwnerDelay time.Duration
+	// SuspectOwnerDelay is how long it must stand if the present owner is suspect or unknown.
+	SuspectOwnerDelay time.Duration
+	// LiveOwnerDelay is how long it must stand if the present owner is alive, so that a flapping member moves no runner.
+	LiveOwnerDelay time.Duration
+	// ForeignDelay is how long it must stand for a claim from another zone if the choice is uncertain.
+	ForeignDelay time.Duration
+	// LossBackoff is the wait after a claim was lost to another node. It doubles with each loss up to MaxLossBackoff, so that the
+	// two sides of a partition do not take a runner from each other indefinitely.
 	LossBackoff, MaxLossBackoff time.Duration
-	// Retry is the wait after a claim that failed.
-	Retry time.Duration
-	// Stale is the age of the last word from an engine from which its claim isn't relied on.
-	Stale time.Duration
-	// Verify is the age from which the engine is asked for a word.
-	Verify time.Duration
+	// RetryDelay is the wait after a failed call to an engine.
+	RetryDelay time.Duration
+	// MaxReportAge is the age of an engine's last report above which a claim on the engine is not relied on.
+	MaxReportAge time.Duration
+	// VerifyAfter is the age of that report from which the engine is queried again.
+	VerifyAfter time.Duration
 }
 
-// DefaultConfig returns the settings used in service.
+// DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
 	return Config{
-		Settle:         time.Second,
-		Doubt:          5 * time.Second,
-		HandOver:       10 * time.Second,
-		Foreign:        30 * time.Second,
-		LossBackoff:    2 * time.Second,
-		MaxLossBackoff: 10 * time.Minute,
-		Retry:          time.Second,
-		Stale:          10 * time.Second,
-		Verify:         3 * time.Second,
+		DeadOwnerDelay:    time.Second,
+		SuspectOwnerDelay: 5 * time.Second,
+		LiveOwnerDelay:    10 * time.Second,
+		ForeignDelay:      30 * time.Second,
+		LossBackoff:       2 * time.Second,
+		MaxLossBackoff:    10 * time.Minute,
+		RetryDelay:        time.Second,
+		MaxReportAge:      10 * time.Second,
+		VerifyAfter:       3 * time.Second,
 	}
 }
 
-// Runner is a runner that somebody ought to own.
+// Runner is a runner that should have an owner.
 type Runner struct {
 	ID   ident.Runner
 	Zone ident.Zone
@@ -57,66 +57,67 @@
 	Epoch  uint64
 }
 
-// Planner is the pure part of ownership on one node: what it holds, what it has heard, and whom to claim now. It isn't
-// safe for concurrent use.
+// Planner is the part of ownership on one node that makes no calls: it stores claims and the engines' reports, and decides which
+// runners to claim. It is not safe for concurrent use.
 type Planner struct {
 	config Config
 	self   ident.Node
 	states map[ident.Runner]*runnerState
-	// highest is the highest epoch known of each runner, over all incarnations of its engine. It outlives the runner's
-	// state, which goes while the runner isn't listed.
+	// highest is the highest epoch known of each runner, over all incarnations of its engine. It outlives the runner's state,
+	// which is removed while the runner is not listed.
 	highest map[ident.Runner]uint64
 }
 
-// Word is what an engine says of its owner.
-type Word struct {
+// OwnerReport is an engine's report of its owner.
+type OwnerReport struct {
 	Epoch uint64
 	Owner ident.Node
-	// Incarnation tells one start of the engine from another; it is empty if the engine does not say.
+	// Incarnation distinguishes the starts of the engine's process; it is empty if the engine does not report it.
 	Incarnation string
-	// Asked is when the question was sent, by this node's monotonic clock.
-	Asked time.Time
+	// RequestedAt is when the query was sent, by this node's monotonic clock.
+	RequestedAt time.Time
 }
 
 type runnerState struct {
 	choice Choice
 	chosen bool
-	// chosenAmong is the fingerprint of the live members of the runner's zone that the choice was made among.
+	// chosenAmong is the fingerprint of the live members of the runner's zone among which the choice was made.
 	chosenAmong uint64
 	// since is when the choice last changed.
 	since time.Time
 	// epoch is that of the claim this node holds; zero means none.
 	epoch uint64
-	// seenEpoch, seenOwner and seenAt are the engine's last word; seenAt is zero before the first.
+	// seenEpoch, seenOwner and seenAt are from the engine's last report; seenAt is zero before the first.
 	seenEpoch uint64
 	seenOwner ident.Node
 	seenAt    time.Time
-	// incarnation is the engine's start that seenEpoch and epoch belong to.
+	// incarnation is that of the engine process to which seenEpoch and epoch belong.
 	incarnation string
-	asking      bool
-	notBefore   time.Time
+	querying    bool
+	retryAt     time.Time
 	losses      int
 	heldSince   time.Time
 }
 
-// NewPlanner returns the planner of a node that holds nothing.
+// NewPlanner returns the planner of a node that holds no claims.
 func NewPlanner(config Config, self ident.Node) *Planner {
 	return &Planner{config: config, self: self, states: map[ident.Runner]*runnerState{}, highest: map[ident.Runner]uint64{}}
 }
 
-// Plan takes in the runners and members of now and returns the runners whose engine should be asked for its word, after
-// which Claim says whether to claim. Each stays out of later plans until Observe, Failed or Claimed.
+// Plan applies the current runners and members and returns the runners whose engines should be queried; after the report, Claim
+// decides whether to claim. A returned runner is left out of later plans until Observe, Failed, Fenced or Claimed is called for
+// it.
 func (p *Planner) Plan(now time.Time, runners []Runner, members []membership.Member, distance Distance) []ident.Runner {
 	listed := make(map[ident.Runner]bool, len(runners))
-	var ask []ident.Runner
+	var due []ident.Runner
 	zones := zonesOf(members)
 	for _, runner := range runners {
 		listed[runner.ID] = true
 		state := p.state(runner.ID)
 		p.choose(state, runner, zones[runner.Zone], members, distance, now)
-		if p.mustAsk(state, now, members) {
-			state.asking = true
-			ask = append(ask, runner.ID)
+		if p.mustQuery(state, now, members) {
+			state.querying = true
+			due = append(due, runner.ID)
 		}
 	}
 	for id := range p.states {
@@ -124,7 +125,7 @@
 			delete(p.states, id)
 		}
 	}
-	return ask
+	return due
 }
 
 func (p *Planner) state(runner ident.Runner) *runnerState {
@@ -136,13 +137,15 @@
 	return state
 }
 
-// choiceStands says whether choosing again would come to the same: within a zone the choice depends on its live members alone.
-// To choose among all members for all runners took most of the time of a plan, which is made twice a second.
+// choiceStands reports whether choosing again would give the same result: within a zone the choice depends on its live members
+// alone. Choosing among all members for all runners took most of the time of a plan, which is made twice a second.
 func (s *runnerState) choiceStands(among zoneMembers) bool {
 	return s.chosen && !s.choice.Foreign && s.chosenAmong == among.fingerprint
 }
 
-func (p *Planner) choose(state *runnerState, runner Runner, among zoneMembers, members []membership.Member, distance Distance, now time.Time) {
+func (p *Planner) choose(
+	state *runnerState, runner Runner, among zoneMembers, members []membership.Member, distance Distance, now time.Time,
+) {
 	if state.choiceStands(among) {
 		return
 	}
@@ -157,32 +160,32 @@
 	state.chosenAmong = among.fingerprint
 }
 
-// mustAsk says whether the engine's word is needed: to verify a claim that is held, or to make one that is due.
-func (p *Planner) mustAsk(state *runnerState, now time.Time, members []membership.Member) bool {
-	if state.asking || now.Before(state.notBefore) {
+// mustQuery reports whether the engine's report is needed, to verify a claim that is held or to make one that is due.
+func (p *Planner) mustQuery(state *runnerState, now time.Time, members []membership.Member) bool {
+	if state.querying || now.Before(state.retryAt) {
 		return false
 	}
 	if state.epoch != 0 {
-		return now.Sub(state.seenAt) >= p.config.Verify
+		return now.Sub(state.seenAt) >= p.config.VerifyAfter
 	}
 	if !state.chosen || state.choice.Node != p.self {
 		return false
 	}
-	first := state.seenAt.IsZero() && !state.choice.Doubtful
+	first := state.seenAt.IsZero() && !state.choice.Uncertain
 	return first || p.due(state, now, members)
 }
 
-// due says whether the choice of this node has stood for long enough, given who owns the runner.
+// due reports whether the choice of this node has stood for long enough, given who owns the runner.
 func (p *Planner) due(state *runnerState, now time.Time, members []membership.Member) bool {
-	return now.Sub(state.since) >= p.patience(state, members)
+	return now.Sub(state.since) >= p.claimDelay(state, members)
 }
 
-func (p *Planner) patience(state *runnerState, members []membership.Member) time.Duration {
-	if state.choice.Doubtful {
-		return p.config.Foreign
+func (p *Planner) claimDelay(state *runnerState, members []membership.Member) time.Duration {
+	if state.choice.Uncertain {
+		return p.config.ForeignDelay
 	}
 	if state.seenOwner == p.self || state.seenOwner == "" {
-		return p.config.Settle
+		return p.config.DeadOwnerDelay
 	}
 	for _, member := range members {
 		if member.Node != state.seenOwner {
@@ -190,20 +193,20 @@
 		}
 		switch member.State {
 		case membership.Alive:
-			return p.config.HandOver
+			return p.config.LiveOwnerDelay
 		case membership.Suspect:
-			return p.config.Doubt
+			return p.config.SuspectOwnerDelay
 		default:
-			return p.config.Settle
+			return p.config.DeadOwnerDelay
 		}
 	}
-	return p.config.Doubt
+	return p.config.SuspectOwnerDelay
 }
 
-// Claim says whether to claim a runner, by the newest word of its engine, and under which epoch.
+// Claim reports whether to claim a runner, by the last report of its engine, and under which epoch.
 func (p *Planner) Claim(runner ident.Runner, now time.Time, members []membership.Member) (uint64, bool) {
 	state, known := p.states[runner]
-	if !known || state.epoch != 0 || state.seenAt.IsZero() || now.Before(state.notBefore) {
+	if !known || state.epoch != 0 || state.seenAt.IsZero() || now.Before(state.retryAt) {
 		return 0, false
 	}
 	if !state.chosen || state.choice.Node != p.self || !p.due(state, now, members) {
@@ -212,9 +215,9 @@
 	return p.nextEpoch(runner, state, now), true
 }
 
-// nextEpoch returns the epoch of a new claim. An engine that holds none may have been started anew and have forgotten its
-// fence, and this node may never have heard of the epochs before: so the first claim is the wall clock in milliseconds,
-// which is above what began at an earlier clock and went up by one with each claim since.
+// nextEpoch returns the epoch of a new claim. An engine without an epoch may have restarted and lost its fence, and this node may
+// not know the earlier epochs. Therefore the first claim uses the wall clock in milliseconds, which is above any epoch that
+// started from an earlier clock and increased by one with each claim since.
 func (p *Planner) nextEpoch(runner ident.Runner, state *runnerState, now time.Time) uint64 {
 	next := p.highest[runner] + 1
 	if state.seenEpoch == 0 {
@@ -223,23 +226,23 @@
 	return next
 }
 
-// Observe takes in an engine's word on its owner. A claim with a lower epoch than the engine's ends at once.
-func (p *Planner) Observe(runner ident.Runner, word Word, now time.Time) {
+// Observe applies an engine's report of its owner. A claim with a lower epoch than the engine's ends at once.
+func (p *Planner) Observe(runner ident.Runner, report OwnerReport, now time.Time) {
 	state, known := p.states[runner]
 	if !known {
 		return
 	}
-	state.asking = false
-	p.raise(runner, word.Epoch)
-	if word.Incarnation != state.incarnation && !state.restart(word) {
+	state.querying = false
+	p.raise(runner, report.Epoch)
+	if report.Incarnation != state.incarnation && !state.restart(report) {
 		return
 	}
-	// Words may come out of order; within an incarnation the epoch only grows, so a lower one is an old word.
-	if word.Epoch < state.seenEpoch {
+	// Reports may arrive out of order. Within an incarnation the epoch only grows, so a lower one is outdated.
+	if report.Epoch < state.seenEpoch {
 		return
 	}
-	state.seenEpoch, state.seenOwner, state.seenAt = word.Epoch, word.Owner, now
-	if state.epoch != 0 && (word.Epoch > state.epoch || word.Owner != p.self) {
+	state.seenEpoch, state.seenOwner, state.seenAt = report.Epoch, report.Owner, now
+	if state.epoch != 0 && (report.Epoch > state.epoch || report.Owner != p.self) {
 		p.lose(state, now)
 	}
 	if state.epoch != 0 && now.Sub(state.heldSince) >= p.config.MaxLossBackoff {
@@ -247,41 +250,41 @@
 	}
 }
 
-// restart takes in that the engine is another process, which knows nothing of former epochs, and reports whether the word
-// counts. The claim ends, but it is not lost to another node, so nothing is waited for.
+// restart handles a report of a new engine process, which does not know former epochs, and reports whether the report is valid.
+// The claim ends, but it was not lost to another node, so there is no backoff.
 //
-// Invariant: a word of a former incarnation never brings back its state. Only a question sent after the newest word was
-// taken in is sure to be answered by the same process or a later one; any other is left to the next question.
-func (s *runnerState) restart(word Word) bool {
-	if !s.seenAt.IsZero() && !word.Asked.After(s.seenAt) {
+// Invariant: a report of a former incarnation never restores its state. Only a query sent after the last report was applied is
+// sure to be answered by the same process or a later one; any other report is ignored until the next query.
+func (s *runnerState) restart(report OwnerReport) bool {
+	if !s.seenAt.IsZero() && !report.RequestedAt.After(s.seenAt) {
 		return false
 	}
-	s.incarnation = word.Incarnation
+	s.incarnation = report.Incarnation
 	s.epoch, s.seenEpoch, s.seenOwner = 0, 0, ""
 	return true
 }
 
-// raise keeps the highest epoch known of a runner.
+// raise updates the highest epoch known of a runner.
 //
-// Invariant: Claim never returns an epoch that is not above it. A restarted engine has forgotten its fence, so this is what
-// keeps a paused former owner's epoch below the new one.
+// Invariant: Claim never returns an epoch that is not above it. A restarted engine has lost its fence, so this is what keeps a
+// paused former owner's epoch below the new one.
 func (p *Planner) raise(runner ident.Runner, epoch uint64) {
 	p.highest[runner] = max(p.highest[runner], epoch)
 }
 
-// Claimed takes in the consent of the engine's given incarnation to a claim.
+// Claimed records that the given incarnation of the engine granted a claim.
 func (p *Planner) Claimed(runner ident.Runner, epoch uint64, incarnation string, now time.Time) {
 	p.raise(runner, epoch)
 	state, known := p.states[runner]
 	if !known {
 		return
 	}
-	state.asking = false
-	// The engine may have been started anew while this answer was on its way: it doesn't know of the claim then.
+	state.querying = false
+	// The engine may have restarted while this answer was in transit; the new process does not know of the claim.
 	if incarnation != state.incarnation {
 		return
 	}
-	// A newer claim may have been seen meanwhile, too.
+	// A newer claim may have been observed meanwhile.
 	if epoch < state.seenEpoch {
 		p.lose(state, now)
 		return
@@ -290,52 +293,51 @@
 	state.heldSince = now
 }
 
-// Fenced ends a claim that the engine refused as stale. An epoch other than the held one is an old word.
+// Fenced ends a claim that the engine refused as stale. A refusal of another epoch than the held one is outdated.
 func (p *Planner) Fenced(runner ident.Runner, epoch uint64, now time.Time) {
 	state, known := p.states[runner]
 	if !known || (state.epoch != 0 && state.epoch != epoch) {
 		return
 	}
-	state.asking = false
+	state.querying = false
 	p.lose(state, now)
 }
 
-// Failed notes that the engine could not be asked.
+// Failed records that a call to the engine failed.
 func (p *Planner) Failed(runner ident.Runner, now time.Time) {
 	state, known := p.states[runner]
 	if !known {
 		return
 	}
-	state.asking = false
-	state.notBefore = now.Add(p.config.Retry)
+	state.querying = false
+	state.retryAt = now.Add(p.config.RetryDelay)
 }
 
 func (p *Planner) lose(state *runnerState, now time.Time) {
 	state.epoch = 0
 	delay := min(p.config.LossBackoff<<min(state.losses, 20), p.config.MaxLossBackoff)
 	state.losses++
-	state.notBefore = now.Add(delay)
+	state.retryAt = now.Add(delay)
 }
 
-// Owned returns the runners this node holds and has had word from lately.
+// Owned returns the runners on which this node holds a claim that a recent report confirms.
 func (p *Planner) Owned(now time.Time) []Owned {
 	var owned []Owned
 	for runner, state := range p.states {
-		if state.epoch != 0 && now.Sub(state.seenAt) <= p.config.Stale {
+		if state.epoch != 0 && now.Sub(state.seenAt) <= p.config.MaxReportAge {
 			owned = append(owned, Owned{Runner: runner, Epoch: state.epoch})
 		}
 	}
 	return owned
 }
 
-// Owner returns the node that owns a runner as far as is known here: by the engine's word if that is fresh, else by
-// choice.
+// Owner returns the owner of a runner in this node's view: by the engine's report if that is recent, otherwise by choice.
 func (p *Planner) Owner(runner ident.Runner, now time.Time) (ident.Node, bool) {
 	state, known := p.states[runner]
 	if !known {
 		return "", false
 	}
-	if state.seenOwner != "" && now.Sub(state.seenAt) <= p.config.Stale {
+	if state.seenOwner != "" && now.Sub(state.seenAt) <= p.config.MaxReportAge {
 		return state.seenOwner, true
 	}
 	return state.choice.Node, state.chosen
--- a/internal/ownership/restart_test.go
+++ b/internal/ownership/restart_test.go
@@ -15,8 +15,8 @@
 	"mallowlatch.example/mallowlatch/internal/ownership"
 )
 
-// restart makes the register another process, which knows nothing of the claims before.
-func (r *register) restart() {
+// restart simulates a new engine process, which does not know earlier claims.
+func (r *fakeEngine) restart() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.starts++
@@ -33,29 +33,29 @@
 	assert.Assert(t, s.engines["r0"].epoch > before)
 }
 
-// The engine restarts while its owner is paused, and a node that never asked it before claims it: what the former owner
-// sends late, batch work or a claim, is below the fence of the new process.
+// TestFormerOwnerIsRefusedByARestartedEngine restarts the engine while its owner is paused, and a node that never queried it
+// before claims it: what the former owner sends late, batch work or a claim, must be below the fence of the new process.
 func TestFormerOwnerIsRefusedByARestartedEngine(t *testing.T) {
 	s := newSite(3, 1)
 	s.run(5)
 	former := s.holders("r0")[0]
 	old := s.nodes[former].service.Owned()[0]
 	s.nodes[former].paused = true
-	s.see(former, membership.Dead)
+	s.setState(former, membership.Dead)
 	s.engines["r0"].restart()
 	s.run(5)
 	assert.Equal(t, len(s.holders("r0")), 1)
-	assert.Assert(t, old.Epoch < s.engines["r0"].epoch, "batch calls at %d pass the fence %d", old.Epoch, s.engines["r0"].epoch)
+	assert.Assert(t, old.Epoch < s.engines["r0"].epoch, "batch calls at epoch %d pass the fence %d", old.Epoch, s.engines["r0"].epoch)
 	late := engine.Order{Kind: engine.OrderOwn, Epoch: old.Epoch, Node: former}
 	_, err := s.engines["r0"].Order(context.Background(), late)
 	assert.Assert(t, errors.Is(err, engine.ErrFenced))
 }
 
-// claimant is a planner that has claimed its only runner.
-func claimant(t *testing.T, at time.Time) *ownership.Planner {
+// newClaimant returns a planner that has claimed its only runner.
+func newClaimant(t *testing.T, at time.Time) *ownership.Planner {
 	planner := ownership.NewPlanner(ownership.DefaultConfig(), "n")
 	plan(planner, at)
-	planner.Observe("r", ownership.Word{Incarnation: "a", Asked: at}, at)
+	planner.Observe("r", ownership.OwnerReport{Incarnation: "a", RequestedAt: at}, at)
 	epoch, due := claimAt(planner, at.Add(2*time.Second))
 	assert.Assert(t, due)
 	planner.Claimed("r", epoch, "a", at.Add(2*time.Second))
@@ -63,56 +63,59 @@
 	return planner
 }
 
-var alone = []membership.Member{{Node: "n", Zone: "z"}}
+var onlyMember = []membership.Member{{Node: "n", Zone: "z"}}
 
 func plan(planner *ownership.Planner, now time.Time) {
-	planner.Plan(now, []ownership.Runner{{ID: "r", Zone: "z"}}, alone, nil)
+	planner.Plan(now, []ownership.Runner{{ID: "r", Zone: "z"}}, onlyMember, nil)
 }
 
 func claimAt(planner *ownership.Planner, now time.Time) (uint64, bool) {
-	return planner.Claim("r", now, alone)
+	return planner.Claim("r", now, onlyMember)
 }
 
-// Words and consents of the former process that come late change nothing.
-func TestLateWordOfAFormerIncarnationChangesNothing(t *testing.T) {
+// TestLateReportOfAFormerIncarnationChangesNothing delivers reports and grants of the former process late.
+func TestLateReportOfAFormerIncarnationChangesNothing(t *testing.T) {
 	start := time.Unix(1000, 0)
-	planner := claimant(t, start)
+	planner := newClaimant(t, start)
 	held := planner.Owned(start.Add(2 * time.Second))[0].Epoch
-	asked := start.Add(3 * time.Second)
-	now := asked.Add(time.Second)
-	planner.Observe("r", ownership.Word{Incarnation: "b", Asked: asked}, now)
-	assert.Equal(t, len(planner.Owned(now)), 0, "the claim outlives the process it was made on")
-	planner.Observe("r", ownership.Word{Epoch: held, Owner: "n", Incarnation: "a", Asked: asked}, now)
+	requestedAt := start.Add(3 * time.Second)
+	now := requestedAt.Add(time.Second)
+	planner.Observe("r", ownership.OwnerReport{Incarnation: "b", RequestedAt: requestedAt}, now)
+	assert.Equal(t, len(planner.Owned(now)), 0, "the claim outlived the engine process that granted it")
+	planner.Observe("r", ownership.OwnerReport{Epoch: held, Owner: "n", Incarnation: "a", RequestedAt: requestedAt}, now)
 	planner.Claimed("r", held+1, "a", now)
-	assert.Equal(t, len(planner.Owned(now)), 0, "a late word brought the claim back")
+	assert.Equal(t, len(planner.Owned(now)), 0, "a late report restored the claim")
 	epoch, due := claimAt(planner, now)
-	assert.Assert(t, due, "a late word kept the new process from being claimed")
+	assert.Assert(t, due, "a late report kept the new process from being claimed")
 	assert.Assert(t, epoch > held+1, "the claim %d is not above %d", epoch, held+1)
 }
 
-// A question that was under way when the newest word came may have been answered by either process.
-func TestIncarnationChangesOnlyByALaterQuestion(t *testing.T) {
+// TestIncarnationChangesOnlyByALaterQuery checks that a report is ignored if its query was in flight when the last report arrived:
+// either process may have answered it.
+func TestIncarnationChangesOnlyByALaterQuery(t *testing.T) {
 	start := time.Unix(1000, 0)
-	planner := claimant(t, start)
-	planner.Observe("r", ownership.Word{Incarnation: "0", Asked: start.Add(time.Second)}, start.Add(3*time.Second))
+	planner := newClaimant(t, start)
+	planner.Observe("r", ownership.OwnerReport{Incarnation: "0", RequestedAt: start.Add(time.Second)}, start.Add(3*time.Second))
 	assert.Equal(t, len(planner.Owned(start.Add(3*time.Second))), 1)
 }
 
-// A runner that is off the list for a while is claimed above the epochs known before, whatever the clock says.
+// TestHighestEpochOutlivesTheListing checks that a runner that was unlisted for a while is claimed above the epochs known before,
+// even if the clock was set back.
 func TestHighestEpochOutlivesTheListing(t *testing.T) {
 	start := time.Unix(1000, 0)
-	planner := claimant(t, start)
+	planner := newClaimant(t, start)
 	held := planner.Owned(start.Add(2 * time.Second))[0].Epoch
-	planner.Plan(start, nil, alone, nil)
+	planner.Plan(start, nil, onlyMember, nil)
 	back := start.Add(-time.Hour)
 	plan(planner, back)
-	planner.Observe("r", ownership.Word{Incarnation: "b", Asked: back}, back)
+	planner.Observe("r", ownership.OwnerReport{Incarnation: "b", RequestedAt: back}, back)
 	epoch, due := claimAt(planner, back.Add(2*time.Second))
 	assert.Assert(t, due)
 	assert.Assert(t, epoch > held)
 }
 
-// Whatever restarts, is paused or loses answers: epochs granted over all incarnations of an engine never repeat.
+// TestEpochsGrowOverIncarnations checks that, with any restarts, pauses and lost answers, the epochs granted over all incarnations
+// of an engine never repeat.
 func TestEpochsGrowOverIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(rapid.IntRange(1, 4).Draw(t, "nodes"), 1)
@@ -122,7 +125,7 @@
 			name := rapid.SampledFrom(s.names).Draw(t, "node")
 			paused := rapid.Bool().Draw(t, "paused")
 			s.nodes[name].paused = paused
-			s.see(name, map[bool]membership.State{true: membership.Dead, false: membership.Alive}[paused])
+			s.setState(name, map[bool]membership.State{true: membership.Dead, false: membership.Alive}[paused])
 			tested.loseAnswer = rapid.Bool().Draw(t, "lost answer")
 			if rapid.Bool().Draw(t, "restart") {
 				highest = max(highest, tested.epoch)
@@ -132,7 +135,7 @@
 			assert.Assert(t, tested.epoch == 0 || tested.epoch > highest, "%d after %d", tested.epoch, highest)
 		}
 		for _, name := range s.names {
-			s.see(name, membership.Alive)
+			s.setState(name, membership.Alive)
 			s.nodes[name].paused = false
 		}
 		s.run(700)
@@ -140,4 +143,4 @@
 	})
 }
 
-func (r *register) incarnation() string { return fmt.Sprint("start ", r.starts) }
+func (r *fakeEngine) incarnation() string { return fmt.Sprint("start ", r.starts) }
--- a/internal/ownership/service.go
+++ b/internal/ownership/service.go
@@ -27,14 +27,14 @@
 	callTimeout = 2 * time.Second
 )
 
-// Options sets up a service.
+// Options configures a Service.
 type Options struct {
 	// Config defaults to DefaultConfig.
 	Config Config
 	Self   ident.Node
-	// Members returns the members of now, ordered by node.
+	// Members returns the current members, ordered by node.
 	Members func() []membership.Member
-	// Runners returns the runners that ought to have an owner: those of the machine list that aren't leaving.
+	// Runners returns the runners that should have an owner: those of the machine list that are not leaving.
 	Runners func() []Runner
 	// Engine returns the adapter of a runner.
 	Engine func(runner ident.Runner) (engine.Engine, bool)
@@ -57,7 +57,7 @@
 	held     map[ident.Runner]bool
 }
 
-// NewService returns a service that holds nothing.
+// NewService returns a service that holds no claims.
 func NewService(options Options) *Service {
 	if options.Config == (Config{}) {
 		options.Config = DefaultConfig()
@@ -71,7 +71,7 @@
 	return &Service{options: options, planner: NewPlanner(options.Config, options.Self), held: map[ident.Runner]bool{}}
 }
 
-// Start begins to claim.
+// Start starts the loop that claims runners.
 func (s *Service) Start() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -86,7 +86,7 @@
 	for {
 		for _, runner := range s.Plan() {
 			s.tomb.Go(func() error {
-				s.Ask(ctx, runner)
+				s.QueryAndClaim(ctx, runner)
 				return nil
 			})
 		}
@@ -98,51 +98,51 @@
 	}
 }
 
-// Plan returns the runners whose engines are to be asked now. The loop of Start calls it; tests call it themselves.
+// Plan returns the runners whose engines should be queried now. The loop of Start calls it; tests call it directly.
 func (s *Service) Plan() []ident.Runner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.released {
 		return nil
 	}
-	ask := s.planner.Plan(s.options.Now(), s.options.Runners(), s.options.Members(), s.options.Distance)
+	due := s.planner.Plan(s.options.Now(), s.options.Runners(), s.options.Members(), s.options.Distance)
 	s.logChanges()
-	return ask
+	return due
 }
 
-// Ask asks an engine who owns it, and claims it if that is due.
-func (s *Service) Ask(ctx context.Context, runner ident.Runner) {
+// QueryAndClaim queries an engine for its owner, and claims the runner if a claim is due.
+func (s *Service) QueryAndClaim(ctx context.Context, runner ident.Runner) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := s.ask(ctx, runner); err != nil {
+	if err := s.queryAndClaim(ctx, runner); err != nil {
 		event.RunnerClaimFailed.Log(s.options.Logger).Err(err).Str("runner", string(runner)).Send()
 	}
 }
 
-func (s *Service) ask(ctx context.Context, runner ident.Runner) error {
+func (s *Service) queryAndClaim(ctx context.Context, runner ident.Runner) error {
 	adapter, known := s.options.Engine(runner)
 	if !known {
 		s.failed(runner)
 		return nil
 	}
-	asked := s.options.Now()
+	requestedAt := s.options.Now()
 	report, err := adapter.Load(ctx)
 	if err != nil {
 		s.failed(runner)
-		return fmt.Errorf("ask %s for its owner: %w", runner, err)
+		return fmt.Errorf("query %s for its owner: %w", runner, err)
 	}
-	epoch, due := s.observeAndClaim(runner, wordOf(report, asked))
+	epoch, due := s.observeAndClaim(runner, reportOf(report, requestedAt))
 	if !due {
 		return nil
 	}
-	return s.claim(ctx, runner, adapter, claimOf{epoch: epoch, incarnation: report.Incarnation})
+	return s.claim(ctx, runner, adapter, pendingClaim{epoch: epoch, incarnation: report.Incarnation})
 }
 
-func (s *Service) observeAndClaim(runner ident.Runner, word Word) (uint64, bool) {
+func (s *Service) observeAndClaim(runner ident.Runner, report OwnerReport) (uint64, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.options.Now()
-	s.planner.Observe(runner, word, now)
+	s.planner.Observe(runner, report, now)
 	s.logChanges()
 	if s.released {
 		return 0, false
@@ -150,15 +150,15 @@
 	return s.planner.Claim(runner, now, s.options.Members())
 }
 
-// claimOf is a claim to make: its epoch, and the start of the engine whose word led to it.
-type claimOf struct {
+// pendingClaim is a claim to make: its epoch, and the incarnation of the engine whose report led to it.
+type pendingClaim struct {
 	epoch       uint64
 	incarnation string
 }
 
-// claim orders the engine to take this node for its owner. A lost answer does no harm: the next word of the engine
-// shows the claim, and this node claims anew above it.
-func (s *Service) claim(ctx context.Context, runner ident.Runner, adapter engine.Engine, wanted claimOf) error {
+// claim orders the engine to accept this node as its owner. A lost answer does no harm: the engine's next report shows the claim,
+// and this node claims again above it.
+func (s *Service) claim(ctx context.Context, runner ident.Runner, adapter engine.Engine, wanted pendingClaim) error {
 	epoch := wanted.epoch
 	reply, err := adapter.Order(ctx, engine.Order{Kind: engine.OrderOwn, Epoch: epoch, Node: s.options.Self})
 	if err == nil && (reply.Epoch != epoch || reply.Owner != s.options.Self) {
@@ -188,20 +188,20 @@
 	s.planner.Failed(runner, s.options.Now())
 }
 
-// Observe takes in a load report that was read for another purpose, which spares asking the engine again. asked is when it
-// was asked for.
-func (s *Service) Observe(runner ident.Runner, report engine.LoadReport, asked time.Time) {
+// Observe applies a load report that was read for another purpose, which saves a query to the engine. requestedAt is when the
+// report was requested.
+func (s *Service) Observe(runner ident.Runner, report engine.LoadReport, requestedAt time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.planner.Observe(runner, wordOf(report, asked), s.options.Now())
+	s.planner.Observe(runner, reportOf(report, requestedAt), s.options.Now())
 	s.logChanges()
 }
 
-func wordOf(report engine.LoadReport, asked time.Time) Word {
-	return Word{Epoch: report.OwnerEpoch, Owner: report.Owner, Incarnation: report.Incarnation, Asked: asked}
+func reportOf(report engine.LoadReport, requestedAt time.Time) OwnerReport {
+	return OwnerReport{Epoch: report.OwnerEpoch, Owner: report.Owner, Incarnation: report.Incarnation, RequestedAt: requestedAt}
 }
 
-// Fenced tells that an engine refused work or an order under the epoch: the claim ends at once.
+// Fenced records that an engine refused work or an order under the epoch: the claim ends at once.
 func (s *Service) Fenced(runner ident.Runner, epoch uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -209,7 +209,7 @@
 	s.logChanges()
 }
 
-// Owned returns the runners this node may send batch work to, ordered by name.
+// Owned returns the runners to which this node may send batch work, ordered by name.
 func (s *Service) Owned() []Owned {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -221,15 +221,15 @@
 	return owned
 }
 
-// Owner returns the node that owns a runner, as a hint: only the engine knows for sure.
+// Owner returns the node that owns a runner, as a hint: only the engine has the authoritative answer.
 func (s *Service) Owner(runner ident.Runner) (ident.Node, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.planner.Owner(runner, s.options.Now())
 }
 
-// Release ends claiming for a planned stop: Owned is empty from now on, and once this node shows as leaving the others
-// claim its runners.
+// Release stops claiming for a planned stop: Owned returns nothing from now on, and the other nodes claim this node's runners once
+// it appears as leaving.
 func (s *Service) Release(context.Context) error {
 	s.mutex.Lock()
 	s.released = true
