--- a/internal/jobworker/assign.go
+++ b/internal/jobworker/assign.go
@@ -15,37 +15,38 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// ErrNotAssignable means that this node does not run the job that was claimed for it: it is about to stop, or its lease is
-// another one now.
-const ErrNotAssignable = failure.Kind("job worker: the job is not run here")
+// ErrNotAssignable means that this node does not run the job that was claimed for it: the node is stopping, or now has
+// another lease.
+const ErrNotAssignable = failure.Kind("job worker: this node does not run the job")
 
-// batch tells of this node's batch work. A node that takes no jobs tells of no lease. The caller holds the mutex.
-func (w *Worker) batch(now time.Time) demand.Batch {
-	told := demand.Batch{Node: w.Node, RunMs: w.duration.Milliseconds()}
-	if w.draining || w.memory.isFull(now) || !now.Before(w.leaseUntil.Add(-leaseMargin)) {
-		return told
+// batchReport returns this node's batch load as it is reported to other nodes. A node that takes no jobs reports no lease.
+// The caller must hold the mutex.
+func (w *Worker) batchReport(now time.Time) demand.Batch {
+	report := demand.Batch{Node: w.Node, RunMs: w.duration.Milliseconds()}
+	if w.draining || w.memory.full(now) || !now.Before(w.leaseUntil.Add(-leaseMargin)) {
+		return report
 	}
-	told.Waiting, told.Places = w.found.waiting, w.found.places
-	if told.Places > 0 {
-		told.Lease = int64(w.lease)
+	report.Waiting, report.Places = w.found.waiting, w.found.slots
+	if report.Places > 0 {
+		report.Lease = int64(w.lease)
 	}
-	return told
+	return report
 }
 
-// batchLoad is what a round of giving out items found. It is told with each answer to a report of online work, of which
-// there are hundreds a second, and counted once a round.
+// batchLoad is the batch work found by one dispatch round. It is counted once a round, because it is sent with each answer
+// to a report of online work, of which there are hundreds a second.
 type batchLoad struct {
-	// waiting are the items that no runner has, places those that the owned runners could run.
-	waiting, places int
+	// waiting counts the items that no runner has, slots those that the owned runners could run.
+	waiting, slots int
 }
 
-// batchPlaces returns how many items the owned runners of all batch routes could run now. The caller holds the mutex.
-func (w *Worker) batchPlaces(now time.Time) int {
-	places := 0
+// batchSlots returns how many items the owned runners of all batch routes could run now. The caller must hold the mutex.
+func (w *Worker) batchSlots(now time.Time) int {
+	slots := 0
 	for _, service := range w.batchServices() {
-		places += w.placesOf(service, now)
+		slots += w.serviceSlots(service, now)
 	}
-	return places
+	return slots
 }
 
 // batchServices returns the services that batch routes go to.
@@ -66,8 +67,8 @@
 	return services
 }
 
-// Assign has this node run a job that was accepted with its claim. It returns ErrNotAssignable where it does not, so that
-// the claim is to be given up.
+// Assign makes this node run a job that was accepted with its claim. It returns ErrNotAssignable if the node does not run
+// the job; the claim must then be released.
 func (w *Worker) Assign(assigned jobrecord.Assigned, lease kv.LeaseID) error {
 	id := assigned.Open.ID
 	w.mutex.Lock()
@@ -75,89 +76,89 @@
 	if w.draining || w.lease == 0 || w.lease != lease || !w.tomb.Alive() {
 		return ErrNotAssignable
 	}
-	known := w.open[id]
-	if known == nil {
-		known = &openJob{entry: assigned.Open, unclaimed: w.Now()}
-		w.open[id] = known
+	state := w.open[id]
+	if state == nil {
+		state = &openJob{entry: assigned.Open, unclaimed: w.Now()}
+		w.open[id] = state
 	}
-	if known.claiming || w.jobs[id] != nil {
+	if state.claiming || w.jobs[id] != nil {
 		return nil
 	}
-	held, err := w.reserve(assigned.Open, w.Now())
+	reservation, err := w.reserve(assigned.Open, w.Now())
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotAssignable, err)
 	}
-	known.claimed, known.claiming = true, true
+	state.claimed, state.claiming = true, true
 	w.tomb.Go(func() error {
-		w.runAssigned(assigned, known, held)
+		w.startAssigned(assigned, state, reservation)
 		return nil
 	})
 	return nil
 }
 
-// runAssigned reads the job and begins it. Where it cannot be read it is claimed again like any other.
-func (w *Worker) runAssigned(assigned jobrecord.Assigned, known *openJob, held *heldbytes.Held) {
-	ctx, cancel := w.call()
+// startAssigned reads an assigned job and starts it. A job that cannot be read is claimed again like any other.
+func (w *Worker) startAssigned(assigned jobrecord.Assigned, state *openJob, reservation *heldbytes.Held) {
+	ctx, cancel := w.callContext()
 	defer cancel()
-	err := w.begin(ctx, beginning{entry: assigned.Open, claim: assigned.Claim, fresh: true, held: held})
+	err := w.startJob(ctx, claimedJob{entry: assigned.Open, claim: assigned.Claim, isNew: true, reservation: reservation})
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known.claiming = false
+	state.claiming = false
 	if err == nil {
 		return
 	}
-	known.claimed, known.own = false, true
+	state.claimed, state.ownClaim = false, true
 	if errors.Is(err, jobrecord.ErrNoSuchJob) {
-		// Ended before it was begun.
+		// The job ended before it was started.
 		return
 	}
 	event.JobStoreFailed.Log(w.Logger).Str("doing", "reading an assigned job").Str("job", string(assigned.Open.ID)).Err(err).Send()
 }
 
-// beginning is a claimed job that is about to be run.
-type beginning struct {
+// claimedJob is a job that this node has claimed and is about to run.
+type claimedJob struct {
 	entry jobrecord.Open
 	claim jobrecord.Claim
-	// fresh says that the job was never claimed before, so that it has no results.
-	fresh bool
-	// held is the room for it.
-	held *heldbytes.Held
+	// isNew is set for a job that was never claimed before and therefore has no results.
+	isNew bool
+	// reservation is the memory reserved for the job.
+	reservation *heldbytes.Held
 }
 
-// begin reads a claimed job and runs it. What is held for it is released where it does not run.
-func (w *Worker) begin(ctx context.Context, begun beginning) error {
-	entry, fresh := begun.entry, begun.fresh
-	loaded, results, err := w.load(ctx, entry, fresh)
+// startJob reads a claimed job and runs it. If the job does not run, its memory reservation is released.
+func (w *Worker) startJob(ctx context.Context, pending claimedJob) error {
+	entry, isNew := pending.entry, pending.isNew
+	loaded, results, err := w.loadJob(ctx, entry, isNew)
 	if err != nil {
-		begun.held.Release()
+		pending.reservation.Release()
 		return err
 	}
-	job := newJobRun(begun.claim, loaded)
-	job.entry, job.held = entry, begun.held
-	job.measure(entry.Bytes)
+	job := newJobRun(pending.claim, loaded)
+	job.entry, job.reservation = entry, pending.reservation
+	job.setSizes(entry.Bytes)
 	job.progressed = w.Now()
-	job.list(results)
+	job.applyRecorded(results)
 	resumed := 0
-	if w.Now().Sub(job.submitted) > youngJob {
-		resumed = job.resume(w.recall(entry.ID))
+	if w.Now().Sub(job.submitted) > minMirroredAge {
+		resumed = job.resume(w.fetchMirrored(entry.ID))
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.open[entry.ID]
-	if known == nil {
-		begun.held.Release()
+	state := w.open[entry.ID]
+	if state == nil {
+		pending.reservation.Release()
 		return nil
 	}
-	known.claimed = true
+	state.claimed = true
 	w.jobs[entry.ID] = job
 	event.JobClaimed.Log(w.Logger).Str("job", string(entry.ID)).Int("items", len(loaded.Header.Items)).Int("listed", len(results)).
-		Int("resumed", resumed).Bool("assigned", fresh).Send()
+		Int("resumed", resumed).Bool("assigned", isNew).Send()
 	w.startWriter(job)
 	return nil
 }
 
-func (w *Worker) load(ctx context.Context, entry jobrecord.Open, fresh bool) (*jobrecord.Job, []work.Result, error) {
-	if fresh {
+func (w *Worker) loadJob(ctx context.Context, entry jobrecord.Open, isNew bool) (*jobrecord.Job, []work.Result, error) {
+	if isNew {
 		loaded, err := w.Records.LoadFresh(ctx, entry.ID)
 		return loaded, nil, err
 	}
--- a/internal/jobworker/assign_test.go
+++ b/internal/jobworker/assign_test.go
@@ -16,16 +16,16 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// leaseOf waits until a worker tells of its lease and of places.
+// leaseOf waits until a worker reports its lease and slots.
 func leaseOf(t *testing.T, worker *jobworker.Worker) kv.LeaseID {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		told := worker.Demand(&demand.Report{Node: "front", Sequence: time.Now().UnixNano()}).Batch
-		if told.Lease != 0 && told.Places > 0 {
-			return kv.LeaseID(told.Lease)
+		batch := worker.Demand(&demand.Report{Node: "front", Sequence: time.Now().UnixNano()}).Batch
+		if batch.Lease != 0 && batch.Places > 0 {
+			return kv.LeaseID(batch.Lease)
 		}
 	}
-	t.Fatal("the worker never told of a lease")
+	t.Fatal("the worker reported no lease")
 	return 0
 }
 
@@ -35,7 +35,7 @@
 	}}
 }
 
-// TestAssignedJobIsRunAtOnce gives a worker a job that it does not follow yet. No other worker is there to run it, and
+// TestAssignedJobIsRunAtOnce assigns a job that the worker does not follow yet. No other worker is there to run it, and
 // nobody claims it a second time.
 func TestAssignedJobIsRunAtOnce(t *testing.T) {
 	g := newGroup(t)
@@ -47,15 +47,16 @@
 		assigned, err := g.records.AcceptFor(context.Background(), assignedSubmission(id), nil, jobrecord.Assignee{Node: "n0", Lease: lease})
 		assert.NilError(t, err)
 		assert.NilError(t, worker.Assign(*assigned, lease))
-		assert.NilError(t, worker.Assign(*assigned, lease), "telling it again is harmless")
+		assert.NilError(t, worker.Assign(*assigned, lease), "a repeated assignment is harmless")
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		g.waitWhole(id, 1)
 	}
 }
 
-// TestAssignedJobThatNobodyToldOfIsRun loses the telling: the worker finds a claim of its own.
-func TestAssignedJobThatNobodyToldOfIsRun(t *testing.T) {
+// TestAssignedJobIsRunWithoutNotification has the call of Assign lost: the worker finds a claim of its own and runs the
+// job.
+func TestAssignedJobIsRunWithoutNotification(t *testing.T) {
 	g := newGroup(t)
 	mirrors := &localMirrors{workers: map[string]*jobworker.Worker{}}
 	g.start("n0", kvtest.NewPaged(g.data), &stuckCaller{until: eventsEach}, mirrors, oneRunner("i-1"))
@@ -65,7 +66,8 @@
 	g.waitWhole("a", 1)
 }
 
-// TestJobOfAnotherLeaseIsNotTaken refuses a job that was claimed under a lease that is over, and one while it stops.
+// TestJobOfAnotherLeaseIsNotTaken assigns a job that was claimed under an expired lease, and one while the worker stops;
+// both are refused.
 func TestJobOfAnotherLeaseIsNotTaken(t *testing.T) {
 	g := newGroup(t)
 	mirrors := &localMirrors{workers: map[string]*jobworker.Worker{}}
@@ -79,11 +81,11 @@
 	assert.Equal(t, worker.Demand(&demand.Report{Node: "front"}).Batch.Lease, int64(0))
 }
 
-// TestClaimOfAWorkerWithoutRunnersIsGivenUp has a job accepted with a claim for a worker that is never told, as where the answer
-// of the store was lost, and that owns no runner any more. As long as it renews its lease nobody else can claim the job: it must give the
-// claim up.
+// TestClaimOfAWorkerWithoutRunnersIsGivenUp has a job accepted with a claim for a worker that is never notified, as when
+// the store's answer is lost, and that no longer owns a runner. While it renews its lease nobody else can claim the job,
+// so it must release the claim.
 //
-// Seen in the soak: accepted jobs that lay for half a minute after the last trouble, beside workers that ran others.
+// In the soak test such jobs stayed idle for half a minute after the last fault, beside workers that ran others.
 func TestClaimOfAWorkerWithoutRunnersIsGivenUp(t *testing.T) {
 	g := newGroup(t)
 	mirrors := &localMirrors{workers: map[string]*jobworker.Worker{}}
--- a/internal/jobworker/borrow.go
+++ b/internal/jobworker/borrow.go
@@ -19,39 +19,41 @@
 const (
 	// borrowTimeout bounds one call to an owner.
 	borrowTimeout = 300 * time.Millisecond
-	// askedAtOnce is how many owners of the zone, and of others, are asked in one round: places come free between two steps of
-	// online work, for some three seconds, and with so many a fleet of 45 workers is asked through in 0.8 s. A worker with waiting items
-	// makes sixty calls of some 200 bytes a second to each of the two at most.
-	askedAtOnce = 12
-	// refusedPause is how long an owner without a free place is not asked again: places come free in the time of a run, which
-	// is some seconds for many items at once.
-	refusedPause = 400 * time.Millisecond
-	// deafPause is how long an owner that did not answer is not asked again, as the other calls between nodes have it.
-	deafPause = 1500 * time.Millisecond
-	// borrowMargin of the lifetime of borrowed places is kept for the way of the call and clocks that do not run alike.
-	borrowMargin = 300 * time.Millisecond
+	// maxLendersPerRound is the number of owners in this zone, and of owners in other zones, that are asked in one round.
+	// Slots come free between two steps of online work, for about three seconds; with 12 owners a round, a fleet of 45
+	// workers is asked within 0.8 s. A worker with waiting items makes at most sixty calls of about 200 bytes a second to
+	// each of the two groups.
+	maxLendersPerRound = 12
+	// refusalBackoff is how long an owner without a free slot is not asked again. Slots come free at the pace of runs,
+	// which for many items at once is a few seconds.
+	refusalBackoff = 400 * time.Millisecond
+	// unresponsiveBackoff is how long an owner that did not answer is not asked again. Other calls between nodes use the
+	// same value.
+	unresponsiveBackoff = 1500 * time.Millisecond
+	// loanExpiryMargin is subtracted from the lifetime of borrowed slots, for network latency and clock drift.
+	loanExpiryMargin = 300 * time.Millisecond
 )
 
 // borrowed is what this node may use at a runner of another owner.
 type borrowed struct {
-	places int
-	until  time.Time
-	// recalled is when places were last taken back: an answer to a request sent before says nothing.
-	recalled time.Time
+	slots   int
+	expires time.Time
+	// recalledAt is when slots were last recalled. An answer to a request sent before then is out of date.
+	recalledAt time.Time
 }
 
-// lender is another worker as one that may lend places.
+// lender is the state of calls to another worker that may lend slots.
 type lender struct {
 	sequence int64
-	// calling says that a request is on its way.
+	// calling is set while a request is in flight.
 	calling bool
-	// called is when the last request was sent.
-	called time.Time
-	// notBefore is when the worker may be asked for more places, refused when it last had none or did not answer.
-	notBefore, refused time.Time
+	// calledAt is when the last request was sent.
+	calledAt time.Time
+	// notBefore is when the worker may be asked for more slots, refusedAt when it last had none or did not answer.
+	notBefore, refusedAt time.Time
 }
 
-// borrowLoop asks other workers for places while items wait, and renews what is in use.
+// borrowLoop asks other workers for slots while items wait, and renews the loans in use.
 func (w *Worker) borrowLoop() error {
 	if w.Lenders == nil {
 		return nil
@@ -59,7 +61,7 @@
 	for w.pause(w.Options.BorrowEvery) {
 		now := w.Now()
 		w.mutex.Lock()
-		calls := w.callsDue(now)
+		calls := w.dueBorrowCalls(now)
 		for _, next := range calls {
 			w.tomb.Go(func() error { w.borrow(next); return nil })
 		}
@@ -76,49 +78,50 @@
 	request *lending.Request
 }
 
-// callsDue returns the calls to be made now: one to each owner whose places are to be renewed or given back, and one to
-// each of a few that may have free ones. The caller holds the mutex.
-func (w *Worker) callsDue(now time.Time) []borrowCall {
-	held, wants := w.heldElsewhere(), map[ident.Node][]lending.Want{}
+// dueBorrowCalls returns the calls to make now: one to each owner whose slots are to be renewed or returned, and one to
+// each of a few owners that may have free slots. The caller must hold the mutex.
+func (w *Worker) dueBorrowCalls(now time.Time) []borrowCall {
+	held, wants := w.borrowedSlotsInUse(), map[ident.Node][]lending.Want{}
 	for _, service := range w.servicesInUse() {
-		w.spread(service, wants, now)
+		w.addWants(service, wants, now)
 	}
 	var calls []borrowCall
 	for node, worker := range w.workers {
-		known := w.lender(node)
-		due := len(held[node]) > 0 && now.Sub(known.called) >= lending.RenewEvery
-		if node == w.Node || known.calling || (!due && len(wants[node]) == 0) {
+		state := w.lender(node)
+		due := len(held[node]) > 0 && now.Sub(state.calledAt) >= lending.RenewEvery
+		if node == w.Node || state.calling || (!due && len(wants[node]) == 0) {
 			continue
 		}
-		calls = append(calls, w.newCall(node, worker.Address, held[node], wants[node], now))
+		calls = append(calls, w.newBorrowCall(node, worker.Address, held[node], wants[node], now))
 	}
 	return calls
 }
 
-// newCall notes that an owner is called. Until it answers nothing new is started at its runners. The caller holds the
-// mutex.
-func (w *Worker) newCall(node ident.Node, address string, held []lending.Count, wants []lending.Want, now time.Time) borrowCall {
-	known := w.lender(node)
-	known.sequence = max(known.sequence+1, clock.Date().UnixNano())
-	known.calling, known.called = true, now
-	w.giveBackUnused(node)
+// newBorrowCall records that an owner is being called. Until the owner answers, nothing new is started at its runners. The
+// caller must hold the mutex.
+func (w *Worker) newBorrowCall(node ident.Node, address string, held []lending.Count, wants []lending.Want, now time.Time) borrowCall {
+	state := w.lender(node)
+	state.sequence = max(state.sequence+1, clock.Date().UnixNano())
+	state.calling, state.calledAt = true, now
+	w.returnUnusedSlots(node)
 	return borrowCall{node: node, address: address, sent: now, request: &lending.Request{
-		Node: w.Node, Address: w.Address, Sequence: known.sequence, Held: held, Wants: wants,
+		Node: w.Node, Address: w.Address, Sequence: state.sequence, Held: held, Wants: wants,
 	}}
 }
 
-// giveBackUnused leaves this node the places of an owner where its items run. The caller holds the mutex.
-func (w *Worker) giveBackUnused(owner ident.Node) {
+// returnUnusedSlots reduces the loans of an owner to the slots in which items of this node run. The caller must hold the
+// mutex.
+func (w *Worker) returnUnusedSlots(owner ident.Node) {
 	for id, loan := range w.borrowed {
 		runner, known := w.Runners.Runner(id)
 		if known && w.ownerOf(runner) == owner {
-			loan.places = min(loan.places, w.Runners.Own(id, runnertable.Batch))
+			loan.slots = min(loan.slots, w.Runners.Own(id, runnertable.Batch))
 		}
 	}
 }
 
-// heldElsewhere counts the items that run at runners of other owners, by owner. The caller holds the mutex.
-func (w *Worker) heldElsewhere() map[ident.Node][]lending.Count {
+// borrowedSlotsInUse counts the items that run at runners of other owners, by owner. The caller must hold the mutex.
+func (w *Worker) borrowedSlotsInUse() map[ident.Node][]lending.Count {
 	held := map[ident.Node][]lending.Count{}
 	for _, runner := range w.Runners.All() {
 		running := w.Runners.Own(runner.ID, runnertable.Batch)
@@ -129,51 +132,53 @@
 	return held
 }
 
-// spread divides the places that the waiting items of a service could use among the owners to be asked: those of this
-// zone for all that wait, those of other zones, where bytes have their price, only for items that would be late here. The
-// caller holds the mutex.
-func (w *Worker) spread(service string, wants map[ident.Node][]lending.Want, now time.Time) {
-	waiting := w.waitingFor(service, now)
-	free := w.freePlaces(service, now)
-	near, far := w.lendersToAsk(now)
-	divide(service, len(waiting)-free, near, wants)
-	if !w.zoneRefuses(now) {
-		// What the zone lends is not asked for elsewhere too.
+// addWants divides the slots that the waiting items of a service could use among the owners to ask. Owners in this zone
+// are asked for all waiting items; owners in other zones, where traffic costs money, only for items that would be late
+// here. The caller must hold the mutex.
+func (w *Worker) addWants(service string, wants map[ident.Node][]lending.Want, now time.Time) {
+	waiting := w.waitingItemsOf(service, now)
+	free := w.freeSlots(service, now)
+	sameZone, otherZones := w.candidateLenders(now)
+	divideSlots(service, len(waiting)-free, sameZone, wants)
+	if !w.zoneRefused(now) {
+		// Slots that this zone can lend are not also requested from other zones.
 		return
 	}
-	late := lateHere(relied(w.prospects(waiting, now), now), w.placesAtHand(service, now), w.duration, now)
-	divide(service, min(late, len(waiting)-free), far, wants)
+	late := countLate(shortenDeadlines(w.byUrgency(waiting, now), now), w.usableSlots(service, now), w.duration, now)
+	divideSlots(service, min(late, len(waiting)-free), otherZones, wants)
 }
 
-// zoneRefusedFor is how long a zone whose workers all had no place counts as full. It is asked again meanwhile, every refusedPause:
-// were other zones asked only in between, their places would be found half as fast, and places come free for some seconds only.
-const zoneRefusedFor = time.Second
+// zoneRefusalPeriod is how long a zone counts as full after each of its workers had no free slot. The zone is still asked
+// every refusalBackoff in this period. If other zones were asked only between these calls, their slots would be found half
+// as fast, and slots are free for a few seconds only.
+const zoneRefusalPeriod = time.Second
 
-// zoneRefuses says whether all other workers of this zone refused a moment ago. The caller holds the mutex.
-func (w *Worker) zoneRefuses(now time.Time) bool {
+// zoneRefused reports whether all other workers in this zone refused within zoneRefusalPeriod. The caller must hold the
+// mutex.
+func (w *Worker) zoneRefused(now time.Time) bool {
 	for node, worker := range w.workers {
-		if node != w.Node && worker.Zone == w.Zone && now.Sub(w.lender(node).refused) > zoneRefusedFor {
+		if node != w.Node && worker.Zone == w.Zone && now.Sub(w.lender(node).refusedAt) > zoneRefusalPeriod {
 			return false
 		}
 	}
 	return true
 }
 
-// divide shares a number of places out among owners.
-func divide(service string, places int, owners []ident.Node, wants map[ident.Node][]lending.Want) {
+// divideSlots divides a number of slots among owners.
+func divideSlots(service string, slots int, owners []ident.Node, wants map[ident.Node][]lending.Want) {
 	for index, owner := range owners {
-		left := len(owners) - index
-		part := (places + left - 1) / left
+		remaining := len(owners) - index
+		part := (slots + remaining - 1) / remaining
 		if part <= 0 {
 			return
 		}
 		wants[owner] = append(wants[owner], lending.Want{Service: service, Places: part})
-		places -= part
+		slots -= part
 	}
 }
 
-// waitingFor returns the items of a service that wait for a runner. The caller holds the mutex.
-func (w *Worker) waitingFor(service string, now time.Time) []*itemRun {
+// waitingItemsOf returns the items of a service that wait for a runner. The caller must hold the mutex.
+func (w *Worker) waitingItemsOf(service string, now time.Time) []*itemRun {
 	var waiting []*itemRun
 	for _, item := range w.waiting(now) {
 		route, _ := w.Routes.Match(item.job.header.Host, item.item.Path)
@@ -184,151 +189,151 @@
 	return waiting
 }
 
-// reliedShare of the time left is what items are planned for at the places at hand: online work comes in steps and takes places
-// that are free now, so that a run is cut and goes on later. The less is relied on, the more runs go to other zones.
-const reliedShare = 0.5
+// plannedTimeFraction is the fraction of the time left for which items are planned on the usable slots. Online work comes
+// in bursts and takes slots that are free now, so that runs are preempted and resumed later. A smaller fraction sends more
+// runs to other zones.
+const plannedTimeFraction = 0.5
 
-// relied returns the items with the times until which they may wait for the places at hand.
-func relied(ordered []prospect, now time.Time) []prospect {
+// shortenDeadlines returns the items with latestStart set to the time until which they may wait for the usable slots.
+func shortenDeadlines(ordered []urgency, now time.Time) []urgency {
 	for position := range ordered {
-		left := ordered[position].latest.Sub(now)
+		left := ordered[position].latestStart.Sub(now)
 		if left > 0 {
-			ordered[position].latest = now.Add(time.Duration(reliedShare * float64(left)))
+			ordered[position].latestStart = now.Add(time.Duration(plannedTimeFraction * float64(left)))
 		}
 	}
 	return ordered
 }
 
-// lateHere counts the items, in their order, that cannot be begun in time if they wait for the places at hand, which come
-// free one after the other in the time of a run. What goes elsewhere does not keep the others waiting.
-func lateHere(ordered []prospect, places int, run time.Duration, now time.Time) int {
-	if places <= 0 {
+// countLate counts the items, in their order, that cannot be started in time if they wait for the usable slots, which come
+// free one after the other within the duration of a run. Items that go elsewhere do not delay the others.
+func countLate(ordered []urgency, slots int, run time.Duration, now time.Time) int {
+	if slots <= 0 {
 		return len(ordered)
 	}
-	late, stay := 0, 0
+	late, onTime := 0, 0
 	for _, next := range ordered {
-		begun := now.Add(run * time.Duration(stay+1) / time.Duration(places))
-		if begun.After(next.latest) {
+		started := now.Add(run * time.Duration(onTime+1) / time.Duration(slots))
+		if started.After(next.latestStart) {
 			late++
 			continue
 		}
-		stay++
+		onTime++
 	}
 	return late
 }
 
-// placesAtHand returns how many items of a service this node can have running: at its own runners, and at places that it
-// borrowed. The caller holds the mutex.
-func (w *Worker) placesAtHand(service string, now time.Time) int {
-	places := w.placesOf(service, now)
+// usableSlots returns how many items of a service this node can run at the same time: at its own runners and in borrowed
+// slots. The caller must hold the mutex.
+func (w *Worker) usableSlots(service string, now time.Time) int {
+	slots := w.serviceSlots(service, now)
 	for _, runner := range w.Runners.Of(service) {
 		if !w.owns(runner) {
-			places += w.borrowedAt(runner.ID, now)
+			slots += w.borrowedSlots(runner.ID, now)
 		}
 	}
-	return places
+	return slots
 }
 
-// freePlaces returns how many items of a service could start now, at own and at borrowed places. The caller holds the
-// mutex.
-func (w *Worker) freePlaces(service string, now time.Time) int {
-	free := w.spare(w.owned(service), now)
+// freeSlots returns how many items of a service could start now in own and borrowed slots. The caller must hold the mutex.
+func (w *Worker) freeSlots(service string, now time.Time) int {
+	free := w.spareSlots(w.owned(service), now)
 	for _, runner := range w.Runners.Of(service) {
-		if !w.owns(runner) && w.Runners.FailureRate(runner.ID, now) <= failingRate {
-			free += w.borrowedRoom(runner.ID, now)
+		if !w.owns(runner) && w.Runners.FailureRate(runner.ID, now) <= maxFailureRate {
+			free += w.freeBorrowedSlots(runner.ID, now)
 		}
 	}
 	return free
 }
 
-// borrowedAt returns the places that this node may use at a runner of another owner. The caller holds the mutex.
-func (w *Worker) borrowedAt(id ident.Incarnation, now time.Time) int {
+// borrowedSlots returns the slots that this node may use at a runner of another owner. The caller must hold the mutex.
+func (w *Worker) borrowedSlots(id ident.Incarnation, now time.Time) int {
 	loan := w.borrowed[id]
-	if loan == nil || !now.Before(loan.until) {
+	if loan == nil || !now.Before(loan.expires) {
 		return 0
 	}
-	return loan.places
+	return loan.slots
 }
 
-// borrowedRoom returns how many items more may start there. The caller holds the mutex.
-func (w *Worker) borrowedRoom(id ident.Incarnation, now time.Time) int {
-	return max(w.borrowedAt(id, now)-w.Runners.Own(id, runnertable.Batch), 0)
+// freeBorrowedSlots returns how many more items may start in borrowed slots of a runner. The caller must hold the mutex.
+func (w *Worker) freeBorrowedSlots(id ident.Incarnation, now time.Time) int {
+	return max(w.borrowedSlots(id, now)-w.Runners.Own(id, runnertable.Batch), 0)
 }
 
-// lendersToAsk returns a few workers of this zone and of others that may have free places, each worker in an order of its
-// own, so that they do not all ask the same. The caller holds the mutex.
-func (w *Worker) lendersToAsk(now time.Time) (near, far []ident.Node) {
+// candidateLenders returns a few workers in this zone and in other zones that may have free slots. Each worker uses a
+// different order, so that they do not all ask the same owners. The caller must hold the mutex.
+func (w *Worker) candidateLenders(now time.Time) (sameZone, otherZones []ident.Node) {
 	for node, worker := range w.workers {
-		known := w.lender(node)
-		if node == w.Node || known.calling || now.Before(known.notBefore) {
+		state := w.lender(node)
+		if node == w.Node || state.calling || now.Before(state.notBefore) {
 			continue
 		}
 		if worker.Zone == w.Zone {
-			near = append(near, node)
+			sameZone = append(sameZone, node)
 		} else {
-			far = append(far, node)
+			otherZones = append(otherZones, node)
 		}
 	}
-	return w.few(near), w.few(far)
+	return w.firstLenders(sameZone), w.firstLenders(otherZones)
 }
 
-func (w *Worker) few(nodes []ident.Node) []ident.Node {
+func (w *Worker) firstLenders(nodes []ident.Node) []ident.Node {
 	slices.SortFunc(nodes, func(first, second ident.Node) int {
 		return cmp.Compare(lenderRank(w.Node, first), lenderRank(w.Node, second))
 	})
-	return nodes[:min(len(nodes), askedAtOnce)]
+	return nodes[:min(len(nodes), maxLendersPerRound)]
 }
 
 func lenderRank(borrower, lender ident.Node) uint64 {
 	return xxhash.Sum64String(string(borrower) + "/" + string(lender))
 }
 
-// lender returns what is known of a worker as a lender. The caller holds the mutex.
+// lender returns the state of a worker as a lender, creating it if necessary. The caller must hold the mutex.
 func (w *Worker) lender(node ident.Node) *lender {
-	known := w.lenders[node]
-	if known == nil {
+	state := w.lenders[node]
+	if state == nil {
 		if w.lenders == nil {
 			w.lenders = map[ident.Node]*lender{}
 		}
-		known = &lender{}
-		w.lenders[node] = known
+		state = &lender{}
+		w.lenders[node] = state
 	}
-	return known
+	return state
 }
 
-// forgetLenders drops what is known of workers that are gone. The caller holds the mutex.
-func (w *Worker) forgetLenders(workers map[ident.Node]jobrecord.Worker) {
-	for node, known := range w.lenders {
-		if _, stays := workers[node]; !stays && !known.calling {
+// removeLenders deletes the state of workers that are no longer registered. The caller must hold the mutex.
+func (w *Worker) removeLenders(workers map[ident.Node]jobrecord.Worker) {
+	for node, state := range w.lenders {
+		if _, stays := workers[node]; !stays && !state.calling {
 			delete(w.lenders, node)
 		}
 	}
 }
 
 // borrow makes one call.
-func (w *Worker) borrow(next borrowCall) {
+func (w *Worker) borrow(call borrowCall) {
 	ctx, cancel := context.WithTimeout(w.ctx, borrowTimeout)
 	defer cancel()
-	reply, err := w.Lenders.Borrow(ctx, next.address, next.request)
+	reply, err := w.Lenders.Borrow(ctx, call.address, call.request)
 	if err != nil {
-		event.LendingFailed.Log(w.Logger).Str("doing", "borrowing places").Str("worker", next.address).Err(err).Send()
+		event.LendingFailed.Log(w.Logger).Str("doing", "borrowing slots").Str("worker", call.address).Err(err).Send()
 	}
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.lender(next.node)
-	known.calling = false
+	state := w.lender(call.node)
+	state.calling = false
 	if err != nil {
-		known.notBefore, known.refused = now.Add(deafPause), now
+		state.notBefore, state.refusedAt = now.Add(unresponsiveBackoff), now
 		return
 	}
-	if len(next.request.Wants) > 0 && places(reply.Places) <= places(next.request.Held) {
-		known.notBefore, known.refused = now.Add(refusedPause), now
+	if len(call.request.Wants) > 0 && totalSlots(reply.Places) <= totalSlots(call.request.Held) {
+		state.notBefore, state.refusedAt = now.Add(refusalBackoff), now
 	}
-	w.takeLoan(next, reply)
+	w.applyLoan(call, reply)
 }
 
-func places(counts []lending.Count) int {
+func totalSlots(counts []lending.Count) int {
 	sum := 0
 	for _, count := range counts {
 		sum += count.Places
@@ -336,8 +341,8 @@
 	return sum
 }
 
-// takeLoan takes over what an owner lends. Items beyond it step aside. The caller holds the mutex.
-func (w *Worker) takeLoan(next borrowCall, reply *lending.Reply) {
+// applyLoan stores what an owner lends. Runs beyond it are preempted. The caller must hold the mutex.
+func (w *Worker) applyLoan(call borrowCall, reply *lending.Reply) {
 	if w.borrowed == nil {
 		w.borrowed = map[ident.Incarnation]*borrowed{}
 	}
@@ -347,21 +352,21 @@
 			loan = &borrowed{}
 			w.borrowed[count.Runner] = loan
 		}
-		loan.until = next.sent.Add(lending.Lifetime - borrowMargin)
-		if loan.recalled.After(next.sent) {
+		loan.expires = call.sent.Add(lending.Lifetime - loanExpiryMargin)
+		if loan.recalledAt.After(call.sent) {
 			continue
 		}
-		loan.places = count.Places
-		w.cut(count.Runner, w.Runners.Own(count.Runner, runnertable.Batch)-count.Places)
+		loan.slots = count.Places
+		w.preempt(count.Runner, w.Runners.Own(count.Runner, runnertable.Batch)-count.Places)
 	}
 	for id, loan := range w.borrowed {
-		if !next.sent.Before(loan.until) {
+		if !call.sent.Before(loan.expires) {
 			delete(w.borrowed, id)
 		}
 	}
 }
 
-// TakenBack gives places back that another worker lent: the items there that are last in order step aside.
+// TakenBack returns slots that another worker lent and now recalls. The runs that are last in order there are preempted.
 func (w *Worker) TakenBack(recall lending.Recall) {
 	now := w.Now()
 	w.mutex.Lock()
@@ -370,7 +375,7 @@
 	if loan == nil {
 		return
 	}
-	loan.recalled = now
-	loan.places = max(loan.places-recall.Places, 0)
-	w.cut(recall.Runner, w.Runners.Own(recall.Runner, runnertable.Batch)-loan.places)
+	loan.recalledAt = now
+	loan.slots = max(loan.slots-recall.Places, 0)
+	w.preempt(recall.Runner, w.Runners.Own(recall.Runner, runnertable.Batch)-loan.slots)
 }
--- a/internal/jobworker/borrow_test.go
+++ b/internal/jobworker/borrow_test.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// lendingGroup is a group of workers that lend places to each other, before runners that all of them know.
+// lendingGroup is a group of workers that lend slots to each other, at runners that all of them know.
 type lendingGroup struct {
 	*group
 	peers   *localMirrors
@@ -45,7 +45,7 @@
 	return &lendingGroup{group: newGroup(t), peers: &localMirrors{workers: map[string]*jobworker.Worker{}}, runners: runners}
 }
 
-// add starts a worker whose items wait at their runners until its caller is let go.
+// add starts a worker whose items block at their runners until its caller is unblocked.
 func (g *lendingGroup) add(node ident.Node) {
 	store := kvtest.NewPaged(g.data)
 	table := runnertable.New("z")
@@ -69,7 +69,7 @@
 	})
 }
 
-// end ends a worker without a word.
+// end stops a worker without a drain.
 func (g *lendingGroup) end(node ident.Node) {
 	g.peers.mutex.Lock()
 	delete(g.peers.workers, string(node))
@@ -78,8 +78,8 @@
 	_ = g.tombs[node].Wait()
 }
 
-// waitEverywhere waits until a worker has items at every runner, and says whether it did.
-func (g *lendingGroup) waitEverywhere(node ident.Node) bool {
+// waitRunningEverywhere waits until a worker has items at every runner, and reports whether it did.
+func (g *lendingGroup) waitRunningEverywhere(node ident.Node) bool {
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		used := 0
 		for _, runner := range g.runners {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// settled waits until the workers have seen each other.
-func (g *lendingGroup) settled(workers int) {
+// waitSettled waits until the workers have seen each other.
+func (g *lendingGroup) waitSettled(workers int) {
 	g.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		seen := 0
@@ -110,7 +110,7 @@
 			return
 		}
 	}
-	g.t.Fatal("the workers never saw each other")
+	g.t.Fatal("the workers did not see each other")
 }
 
 func (g *lendingGroup) holder(id string) ident.Node {
@@ -126,7 +126,7 @@
 	return ""
 }
 
-func (g *lendingGroup) letGo() {
+func (g *lendingGroup) unblock() {
 	for _, caller := range g.callers {
 		caller.hold(false)
 	}
@@ -134,44 +134,44 @@
 
 var lendingRunners = []work.Runner{oneRunner("i-1"), oneRunner("i-2"), oneRunner("i-3"), oneRunner("i-4"), oneRunner("i-5"), oneRunner("i-6")}
 
-// TestJobIsWholeThoughItsLendersEnd ends the owners of the runners at which items of a job run: the runs go on, and so does
-// the job.
-func TestJobIsWholeThoughItsLendersEnd(t *testing.T) {
+// TestJobCompletesWhenLendersStop stops the owners of the runners at which items of a job run: the runs continue and the
+// job completes.
+func TestJobCompletesWhenLendersStop(t *testing.T) {
 	g := newLendingGroup(t, lendingRunners...)
 	for _, node := range []ident.Node{"n0", "n1", "n2"} {
 		g.add(node)
 	}
-	g.settled(3)
+	g.waitSettled(3)
 	g.submit("j", 60)
 	holder := g.holder("j")
-	assert.Assert(t, g.waitEverywhere(holder), "the job never ran at every runner")
+	assert.Assert(t, g.waitRunningEverywhere(holder), "the job did not run at every runner")
 	for _, node := range []ident.Node{"n0", "n1", "n2"} {
 		if node != holder {
 			g.end(node)
 		}
 	}
-	g.letGo()
+	g.unblock()
 	g.waitWhole("j", 60)
 }
 
-// TestJobIsWholeThoughItsBorrowerEnds ends the worker that runs a job at every runner: another one takes it over, and is
-// lent the places of the one that is gone.
-func TestJobIsWholeThoughItsBorrowerEnds(t *testing.T) {
+// TestJobCompletesWhenBorrowerStops stops the worker that runs a job at every runner: another one takes the job over and
+// is lent the slots of the stopped worker.
+func TestJobCompletesWhenBorrowerStops(t *testing.T) {
 	g := newLendingGroup(t, lendingRunners...)
 	for _, node := range []ident.Node{"n0", "n1", "n2"} {
 		g.add(node)
 	}
-	g.settled(3)
+	g.waitSettled(3)
 	g.submit("j", 60)
 	holder := g.holder("j")
-	assert.Assert(t, g.waitEverywhere(holder), "the job never ran at every runner")
+	assert.Assert(t, g.waitRunningEverywhere(holder), "the job did not run at every runner")
 	g.end(holder)
 	var next ident.Node
 	for end := time.Now().Add(30 * time.Second); (next == "" || next == holder) && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		next = g.holder("j")
 	}
 	assert.Assert(t, next != holder)
-	assert.Assert(t, g.waitEverywhere(next), "the places of the borrower that ended were lost")
-	g.letGo()
+	assert.Assert(t, g.waitRunningEverywhere(next), "the slots of the stopped borrower were lost")
+	g.unblock()
 	g.waitWhole("j", 60)
 }
--- a/internal/jobworker/heap_test.go
+++ b/internal/jobworker/burst_test.go
@@ -24,8 +24,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// fleet is a site in simulated time without a network: workers in several zones before runners, whose places online work takes in
-// steps. All decisions are those of the real workers.
+// fleet is a site in simulated time without a network: workers in several zones, and runners whose slots online work takes
+// in bursts. All decisions are those of the real workers.
 type fleet struct {
 	t       *testing.T
 	records *jobrecord.Records
@@ -33,18 +33,19 @@
 	runners []work.Runner
 	began   time.Time
 
-	// jobs are those that were accepted.
+	// jobs are the accepted jobs.
 	jobs []ident.Job
 
 	mutex sync.Mutex
-	// running counts the items at each runner, elsewhere those that a worker began in another zone.
-	running map[ident.Incarnation]int
-	begun   int
-	far     int
+	// running counts the items at each runner, runs the started runs, otherZoneRuns those that a worker started in another
+	// zone.
+	running       map[ident.Incarnation]int
+	runs          int
+	otherZoneRuns int
 }
 
-// The load of a peak as users have it: online work in steps of two seconds in five that take all places, an item of a job in a
-// run of five seconds that can be cut and goes on, jobs due after twenty.
+// The load is that of a user's peak: online work takes all slots for two of every five seconds, an item runs for five
+// seconds and can be preempted and resumed, jobs are due after twenty.
 const (
 	stepEvery   = 5 * time.Second
 	stepLasts   = 2 * time.Second
@@ -57,16 +58,16 @@
 	runnerSlots = 5
 )
 
-// inStep says whether online work takes all places now.
-func (f *fleet) inStep() bool { return time.Since(f.began)%stepEvery < stepLasts }
+// onlinePeak reports whether online work takes all slots now.
+func (f *fleet) onlinePeak() bool { return time.Since(f.began)%stepEvery < stepLasts }
 
-// zoneCaller is the runners as a worker of a zone calls them.
+// zoneCaller calls the runners for a worker of a zone.
 type zoneCaller struct {
 	fleet *fleet
 	zone  ident.Zone
 }
 
-// slowBody gives an item's events one after the other.
+// slowBody produces an item's events at fixed intervals.
 type slowBody struct {
 	ctx   context.Context
 	item  ident.Request
@@ -102,9 +103,9 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.running[id]++
-	f.begun++
+	f.runs++
 	if attempt.Runner.Zone != c.zone {
-		f.far++
+		f.otherZoneRuns++
 	}
 	body := &slowBody{ctx: ctx, item: attempt.Request.ID, next: attempt.ResumeAfter + 1, ended: func() {
 		f.mutex.Lock()
@@ -119,7 +120,7 @@
 	c.fleet.mutex.Lock()
 	defer c.fleet.mutex.Unlock()
 	load := work.Load{Running: c.fleet.running[runner.ID], Slots: runner.Slots}
-	if c.fleet.inStep() {
+	if c.fleet.onlinePeak() {
 		load.Running += runner.Slots
 	}
 	return load, nil
@@ -163,7 +164,7 @@
 			worker.Start(supervisor)
 		}
 	}
-	supervisor.Go(func() error { f.tellOnline(supervisor); return nil })
+	supervisor.Go(func() error { f.reportOnline(supervisor); return nil })
 	t.Cleanup(func() {
 		supervisor.Kill(nil)
 		_ = supervisor.Wait()
@@ -173,14 +174,14 @@
 
 func zoneNamed(number int) ident.Zone { return ident.Zone(fmt.Sprint("z", number)) }
 
-// tellOnline tells the workers of the online work, as one node that sends it all.
-func (f *fleet) tellOnline(supervisor *tomb.Tomb) {
+// reportOnline reports the online work to the workers, as one node that sends it all.
+func (f *fleet) reportOnline(supervisor *tomb.Tomb) {
 	report := &demand.Report{Node: "front", Incarnation: 1}
 	for supervisor.Alive() {
 		report.Sequence++
 		report.Counts = nil
 		for _, runner := range f.runners {
-			if f.inStep() {
+			if f.onlinePeak() {
 				report.Counts = append(report.Counts, demand.Count{Runner: runner.ID, Online: runner.Slots})
 			}
 		}
@@ -204,7 +205,7 @@
 	}
 }
 
-// finished counts the results of all jobs.
+// finished returns the number of results of all jobs.
 func (f *fleet) finished() int {
 	f.t.Helper()
 	count := 0
@@ -216,13 +217,13 @@
 	return count
 }
 
-// TestHeapInOneZoneFindsThePlacesOfAll is the load of a peak: a heap of jobs comes in one zone, with more items than its runners can
-// have done in time beside online work, while the fleet has place-seconds for more than twice as many. Zones that refuse are asked
-// again and again, and owners of other zones in between: each may have free places for three seconds only.
+// TestBurstInOneZoneUsesSlotsOfAllZones submits a burst of jobs in one zone, with more items than its runners can finish
+// in time beside online work, while the fleet has slot-seconds for more than twice as many. Zones that refuse are asked
+// repeatedly, and owners of other zones in between: each may have free slots for three seconds only.
 //
-// Grounds for the figure: 360 items of five seconds need 1,800 place-seconds; online work leaves 360 places for 12 of the 20
-// seconds, 4,320, and the zone by itself 1,080. Nine tenths in time leave a tenth for runs that are cut near the end.
-func TestHeapInOneZoneFindsThePlacesOfAll(t *testing.T) {
+// The bound: 360 items of five seconds need 1,800 slot-seconds; online work leaves 360 slots for 12 of the 20 seconds,
+// 4,320, of which the zone has 1,080. Nine tenths in time leave a tenth for runs that are preempted near the end.
+func TestBurstInOneZoneUsesSlotsOfAllZones(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		time.Sleep(3 * time.Second)
@@ -231,7 +232,7 @@
 		time.Sleep(jobsDue)
 		done := f.finished()
 		f.mutex.Lock()
-		t.Logf("%d of %d in time, %d runs, %d of them in another zone", done, jobs*items, f.begun, f.far)
+		t.Logf("%d of %d in time, %d runs, %d of them in other zones", done, jobs*items, f.runs, f.otherZoneRuns)
 		f.mutex.Unlock()
 		assert.Assert(t, done >= jobs*items*9/10, "%d of %d in time", done, jobs*items)
 	})
--- a/internal/jobworker/claim.go
+++ b/internal/jobworker/claim.go
@@ -15,37 +15,37 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// takeOver compares the live state with what this node runs. A job that is open no more was finished or ended: nothing
-// more of it is run.
-func (w *Worker) takeOver() {
+// reconcile applies the live state of the open jobs to what this node runs. A job that is no longer open has finished or
+// ended, and nothing more of it is run.
+func (w *Worker) reconcile() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
-	w.follow(w.live.Workers)
+	w.setWorkers(w.live.Workers)
 	_, listed := w.live.Workers[w.Node]
-	w.unlisted = !listed && w.live.Revision >= w.registered
-	w.followRoom(now)
+	w.registrationGone = !listed && w.live.Revision >= w.registered
+	w.updateAccount(now)
 	for id, entry := range w.live.Open {
-		known := w.open[id]
-		if known == nil {
-			known = &openJob{unclaimed: now}
-			w.open[id] = known
+		state := w.open[id]
+		if state == nil {
+			state = &openJob{unclaimed: now}
+			w.open[id] = state
 		}
-		known.entry = entry
+		state.entry = entry
 		claimed := w.claimedElsewhere(id)
-		if known.claimed && !claimed {
-			known.unclaimed = now
-			if w.outage.justEnded(w.Options.HolderGrace, w.Options.OutageAfter, now) {
-				// Its holder renews its lease as soon as the store answers, and has what it made since.
-				known.notBefore = now.Add(w.Options.HolderGrace)
+		if state.claimed && !claimed {
+			state.unclaimed = now
+			if w.outage.recent(w.Options.HolderGrace, w.Options.OutageAfter, now) {
+				// The holder renews its lease as soon as the store answers, and has the results made in the meantime.
+				state.notBefore = now.Add(w.Options.HolderGrace)
 			}
 		}
-		known.claimed = claimed
-		known.own = w.live.Claimed[id] == w.Node && !claimed
+		state.claimed = claimed
+		state.ownClaim = w.live.Claimed[id] == w.Node && !claimed
 	}
-	for id, known := range w.open {
-		if _, isOpen := w.live.Open[id]; isOpen || known.entry.Revision > w.live.Revision {
-			// One that was assigned may be newer than what is followed.
+	for id, state := range w.open {
+		if _, isOpen := w.live.Open[id]; isOpen || state.entry.Revision > w.live.Revision {
+			// An assigned job may be newer than the live state.
 			continue
 		}
 		delete(w.open, id)
@@ -55,20 +55,20 @@
 			event.JobLeft.Log(w.Logger).Str("job", string(id)).Str("why", "finished or ended").Send()
 		}
 	}
-	w.claimDue(now)
+	w.claimDueJobs(now)
 }
 
-// claimedElsewhere says whether a claim keeps this node from a job. A claim of its own of which it does not run the job
-// comes from a call whose answer was lost, or from before a restart: it is claimed again, because nobody else can. The
-// caller holds the mutex.
+// claimedElsewhere reports whether a claim keeps this node from a job. If the claim is this node's own but the job does
+// not run here, the claim comes from a call whose answer was lost or from before a restart. The job is then claimed again,
+// because no other node can. The caller must hold the mutex.
 func (w *Worker) claimedElsewhere(id ident.Job) bool {
 	holder, claimed := w.live.Claimed[id]
 	return claimed && (holder != w.Node || w.jobs[id] != nil)
 }
 
-// claimDue claims the unclaimed jobs whose delay is over. While the renewals of the lease fail it claims none: a claim would fail as well,
-// or hang on a lease that is about to lapse. The caller holds the mutex.
-func (w *Worker) claimDue(now time.Time) {
+// claimDueJobs claims the unclaimed jobs whose delay is over. While renewals of the lease fail it claims none: a claim
+// would fail as well, or depend on a lease that is about to expire. The caller must hold the mutex.
+func (w *Worker) claimDueJobs(now time.Time) {
 	if !w.outage.failingSince.IsZero() {
 		return
 	}
@@ -76,14 +76,14 @@
 	if len(candidates) == 0 {
 		return
 	}
-	waiting, places := len(w.waiting(now)), w.places(now)
-	noRoom := map[ident.Tenant]bool{}
+	waiting, ownedSlots := len(w.waiting(now)), w.ownedSlots(now)
+	overBudget := map[ident.Tenant]bool{}
 	for _, candidate := range candidates {
-		if noRoom[candidate.entry.Tenant] {
+		if overBudget[candidate.entry.Tenant] {
 			continue
 		}
-		delay := claimDelay(waiting, places, w.duration, w.claimTurn(candidate), w.crowded(w.Options.ClaimStep))
-		if candidate.own {
+		delay := claimDelay(waiting, ownedSlots, w.duration, w.claimPosition(candidate), w.scaledByWorkers(w.Options.ClaimStep))
+		if candidate.ownClaim {
 			delay = ownClaimDelay
 		}
 		if now.Sub(candidate.unclaimed) < delay {
@@ -91,17 +91,17 @@
 		}
 		err := w.startClaim(candidate)
 		if err == nil {
-			waiting += expectedItems
+			waiting += assumedItems
 			continue
 		}
-		noRoom[candidate.entry.Tenant] = true
-		if !errors.Is(err, heldbytes.ErrShare) && now.Sub(candidate.unclaimed) > delay+overtakenFor {
+		overBudget[candidate.entry.Tenant] = true
+		if !errors.Is(err, heldbytes.ErrShare) && now.Sub(candidate.unclaimed) > delay+overtakingPeriod {
 			return
 		}
 	}
 }
 
-// candidates returns the jobs that this node may claim now, the oldest first. The caller holds the mutex.
+// candidates returns the jobs that this node may claim now, oldest first. The caller must hold the mutex.
 func (w *Worker) candidates(now time.Time) []*openJob {
 	if w.lease == 0 || w.draining {
 		return nil
@@ -112,13 +112,13 @@
 		if candidate.claimed || candidate.claiming || w.jobs[candidate.entry.ID] != nil || now.Before(candidate.notBefore) {
 			continue
 		}
-		// A claim of this node's own keeps all others from the job: it is taken up also where the job can't be run here, and
-		// released with what rests.
+		// A claim of this node keeps all other nodes from the job. It is taken up even if the job cannot run here; the job
+		// is then released with the idle ones.
 		route := candidate.entry.Route
-		if _, known := canRun[route]; !known && !candidate.own {
+		if _, known := canRun[route]; !known && !candidate.ownClaim {
 			canRun[route] = w.canRun(route)
 		}
-		if candidate.own || canRun[route] {
+		if candidate.ownClaim || canRun[route] {
 			candidates = append(candidates, candidate)
 		}
 	}
@@ -128,30 +128,30 @@
 	return candidates
 }
 
-// ownClaimDelay is how long a claim of this node that it does not serve is left alone: whoever accepted the job with the
-// claim is about to tell of it.
+// ownClaimDelay is how long a claim of this node without a running job is left alone, because the node that accepted the
+// job with the claim is about to assign it.
 const ownClaimDelay = 250 * time.Millisecond
 
-// claimTurn is this node's position among the workers for a job. The caller holds the mutex.
-func (w *Worker) claimTurn(candidate *openJob) int {
-	return claimTurn(w.Node, w.workers, candidate.entry.ID, candidate.entry.Zone)
+// claimPosition returns this node's position in a job's order of workers. The caller must hold the mutex.
+func (w *Worker) claimPosition(candidate *openJob) int {
+	return claimPosition(w.Node, w.workers, candidate.entry.ID, candidate.entry.Zone)
 }
 
-// expectedItems is what a job that is being claimed is thought to add before it is read.
-const expectedItems = 10
+// assumedItems is the number of items that a job being claimed is assumed to add before it is read.
+const assumedItems = 10
 
-// startClaim claims a candidate in the background. The error wraps heldbytes.ErrOver where there is no room for the job. The caller
-// holds the mutex.
+// startClaim claims a candidate in the background. The error wraps heldbytes.ErrOver if there is no memory for the job.
+// The caller must hold the mutex.
 func (w *Worker) startClaim(candidate *openJob) error {
-	held, noRoom := w.reserve(candidate.entry, w.Now())
-	if noRoom != nil && !candidate.own {
-		return noRoom
+	reservation, overBudget := w.reserve(candidate.entry, w.Now())
+	if overBudget != nil && !candidate.ownClaim {
+		return overBudget
 	}
 	candidate.claiming = true
-	// The claim goes on without the mutex, while what is followed replaces the entry: it gets a copy.
+	// The claim continues without the mutex while live updates replace the entry, so it gets a copy.
 	entry, lease := candidate.entry, w.lease
 	w.tomb.Go(func() error {
-		if err := w.claimOrGiveBack(entry, lease, held, noRoom); err != nil {
+		if err := w.claimOrRelease(entry, lease, reservation, overBudget); err != nil {
 			w.logStore("claiming job "+string(entry.ID), err)
 		}
 		w.mutex.Lock()
@@ -160,20 +160,20 @@
 		w.mutex.Unlock()
 		return nil
 	})
-	return noRoom
+	return overBudget
 }
 
-// claimOrGiveBack takes a job over, or gives up the claim that this node has of it where there is no room.
-func (w *Worker) claimOrGiveBack(entry jobrecord.Open, lease kv.LeaseID, held *heldbytes.Held, noRoom error) error {
-	if noRoom != nil {
-		return w.giveBack(entry, lease)
+// claimOrRelease takes a job over, or releases this node's claim of it if there is no memory for the job.
+func (w *Worker) claimOrRelease(entry jobrecord.Open, lease kv.LeaseID, reservation *heldbytes.Held, overBudget error) error {
+	if overBudget != nil {
+		return w.releaseUnserved(entry, lease)
 	}
-	return w.claim(entry, lease, held)
+	return w.claim(entry, lease, reservation)
 }
 
-// giveBack gives up a claim of this node that it has no room to serve, so that another one may take the job.
-func (w *Worker) giveBack(entry jobrecord.Open, lease kv.LeaseID) error {
-	ctx, cancel := w.call()
+// releaseUnserved releases a claim of this node that it has no memory to serve, so that another node may take the job.
+func (w *Worker) releaseUnserved(entry jobrecord.Open, lease kv.LeaseID) error {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	claim, err := w.Records.Claim(ctx, entry, w.Node, lease)
 	if errors.Is(err, jobrecord.ErrClaimLost) {
@@ -182,13 +182,13 @@
 	if err != nil {
 		return err
 	}
-	event.JobLeft.Log(w.Logger).Str("job", string(entry.ID)).Str("why", "there is no room for it").Send()
+	event.JobLeft.Log(w.Logger).Str("job", string(entry.ID)).Str("why", "not enough memory for the job").Send()
 	w.release(claim)
 	return nil
 }
 
-// canRun says whether this node owns a runner for the route's items. Without any it must not hold their job. A route
-// that is gone needs no runner: its items are given up. The caller holds the mutex.
+// canRun reports whether this node owns a runner for the route's items. A node without one must not hold their job. A
+// route that no longer exists needs no runner, because its items are given up. The caller must hold the mutex.
 func (w *Worker) canRun(name string) bool {
 	catalog := w.Routes.Catalog()
 	if catalog == nil {
@@ -196,15 +196,15 @@
 	}
 	for index := range catalog.Routes {
 		route := &catalog.Routes[index]
-		if route.Name == name && !w.ownsFor(route) {
+		if route.Name == name && !w.ownsRunnersFor(route) {
 			return false
 		}
 	}
 	return true
 }
 
-// ownsFor says whether this node owns a runner of each part of a route. The caller holds the mutex.
-func (w *Worker) ownsFor(route *work.Route) bool {
+// ownsRunnersFor reports whether this node owns a runner of each part of a route. The caller must hold the mutex.
+func (w *Worker) ownsRunnersFor(route *work.Route) bool {
 	for _, part := range route.Split {
 		if len(w.owned(part.Service)) == 0 {
 			return false
@@ -213,26 +213,27 @@
 	return true
 }
 
-// claim takes a job over from the beginning or from where another node stopped. What is held for it is released where that fails.
-func (w *Worker) claim(entry jobrecord.Open, lease kv.LeaseID, held *heldbytes.Held) error {
-	ctx, cancel := w.call()
+// claim takes a job over from the beginning or from where another node stopped. The memory reservation is released on
+// failure.
+func (w *Worker) claim(entry jobrecord.Open, lease kv.LeaseID, reservation *heldbytes.Held) error {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	claim, err := w.Records.Claim(ctx, entry, w.Node, lease)
 	if errors.Is(err, jobrecord.ErrClaimLost) {
-		held.Release()
+		reservation.Release()
 		return nil
 	}
 	if err != nil {
-		held.Release()
+		reservation.Release()
 		return err
 	}
-	if err := w.begin(ctx, beginning{entry: entry, claim: claim, held: held}); err != nil {
-		return fmt.Errorf("loading: %w", err)
+	if err := w.startJob(ctx, claimedJob{entry: entry, claim: claim, reservation: reservation}); err != nil {
+		return fmt.Errorf("loading job: %w", err)
 	}
 	return nil
 }
 
-// reclaim takes a job again whose claim went, or drops it when another node has it.
+// reclaim claims a job again whose claim was lost, or drops it if another node has claimed it.
 func (w *Worker) reclaim(job *jobRun) {
 	w.mutex.Lock()
 	lease := w.lease
@@ -240,26 +241,26 @@
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := w.call()
+	ctx, cancel := w.callContext()
 	defer cancel()
 	claim, err := w.Records.Claim(ctx, job.entry, w.Node, lease)
 	if err == nil {
-		err = w.catchUp(job, claim)
+		err = w.syncResults(job, claim)
 	}
 	switch {
 	case errors.Is(err, jobrecord.ErrClaimLost), errors.Is(err, jobrecord.ErrNoSuchJob):
 		w.mutex.Lock()
 		w.drop(job)
 		w.mutex.Unlock()
-		event.JobLeft.Log(w.Logger).Str("job", string(job.header.ID)).Str("why", "claimed elsewhere").Send()
+		event.JobLeft.Log(w.Logger).Str("job", string(job.header.ID)).Str("why", "claimed by another node").Send()
 	case err != nil:
 		w.logStore("claiming job again", err)
 	}
 }
 
-// catchUp takes over what was listed meanwhile, under the new claim.
-func (w *Worker) catchUp(job *jobRun, claim jobrecord.Claim) error {
-	ctx, cancel := w.call()
+// syncResults loads the results recorded in the meantime, under the new claim.
+func (w *Worker) syncResults(job *jobRun, claim jobrecord.Claim) error {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	results, err := w.Records.AllResults(ctx, job.header.ID)
 	if err != nil {
@@ -268,7 +269,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	job.claim = claim
-	job.list(results)
+	job.applyRecorded(results)
 	return nil
 }
 
--- a/internal/jobworker/claim_bench_test.go
+++ b/internal/jobworker/claim_bench_test.go
@@ -14,8 +14,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// BenchmarkClaimDueWithAHeapOfJobs looks at 40 jobs that wait for their turn, of a route with 72 runners: each round does.
-func BenchmarkClaimDueWithAHeapOfJobs(b *testing.B) {
+// BenchmarkClaimDueJobs checks 40 unclaimed jobs of a route with 72 runners, as every dispatch round does.
+func BenchmarkClaimDueJobs(b *testing.B) {
 	routes := &routetable.Table{}
 	routes.Adopt(&work.Catalog{Version: 1, Routes: []work.Route{{Name: "r", Host: "h", PathPrefix: "/p/", Kind: work.Batch, Split: []work.WeightedService{{Service: "s", Weight: 1}}}}})
 	table := runnertable.New("z")
@@ -25,13 +25,13 @@
 	}
 	table.Replace(runners, time.Now(), true)
 	w := &Worker{Node: "w", Zone: "z", Routes: routes, Runners: table, Options: DefaultOptions, Logger: zerolog.Nop(), Now: time.Now, lease: 1, open: map[ident.Job]*openJob{}}
-	w.follow(map[ident.Node]jobrecord.Worker{"w": {Node: "w", Zone: "z"}})
+	w.setWorkers(map[ident.Node]jobrecord.Worker{"w": {Node: "w", Zone: "z"}})
 	for i := range 40 {
 		id := ident.Job(fmt.Sprint("j", i))
 		w.open[id] = &openJob{entry: jobrecord.Open{ID: id, Route: "r", Zone: "z"}, unclaimed: time.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.claimDue(time.Now())
+		w.claimDueJobs(time.Now())
 	}
 }
--- a/internal/jobworker/claim_test.go
+++ b/internal/jobworker/claim_test.go
@@ -19,29 +19,30 @@
 	"mallowlatch.example/mallowlatch/internal/simulated"
 )
 
-const errHeldStore = failure.Kind("test: the store gave up")
+const errStoreUnavailable = failure.Kind("test: store unavailable")
 
-// heldStore holds each commit until it is let go, and then fails it.
-type heldStore struct {
+// blockingStore blocks each commit until it is released, and then fails it.
+type blockingStore struct {
 	kv.Paged
-	letGo chan struct{}
+	release chan struct{}
 }
 
 // Commit implements kv.Paged.
-func (s *heldStore) Commit(ctx context.Context, _ []kv.Compare, _ []kv.Write) (kv.TransactionResult, error) {
+func (s *blockingStore) Commit(ctx context.Context, _ []kv.Compare, _ []kv.Write) (kv.TransactionResult, error) {
 	select {
-	case <-s.letGo:
+	case <-s.release:
 	case <-ctx.Done():
 	}
-	return kv.TransactionResult{}, errHeldStore
+	return kv.TransactionResult{}, errStoreUnavailable
 }
 
-// TestJobIsClaimedWhileItsEntryIsReadAgain was a data race in each fleet whose workers follow the open jobs: a claim in the
-// background read the job's entry without the mutex, while what is followed replaced it. The race detector saw it in 4 of 48 runs
-// of the heap of jobs; without a lock between the two it sees it here in each. It shows nothing without the detector.
+// TestJobIsClaimedWhileItsEntryIsReadAgain guards against a data race in fleets whose workers follow the open jobs: a
+// claim in the background read the job's entry without the mutex while a live update replaced it. The race detector saw it
+// in 4 of 48 runs of the burst test; without a lock between the two it sees it here in every run. Without the detector the
+// test proves nothing.
 func TestJobIsClaimedWhileItsEntryIsReadAgain(t *testing.T) {
 	supervisor := new(tomb.Tomb)
-	store := &heldStore{letGo: make(chan struct{})}
+	store := &blockingStore{release: make(chan struct{})}
 	entry := jobrecord.Open{ID: "job", Route: "r", Zone: "z", Revision: 7}
 	w := &Worker{
 		Node: "w", Zone: "z", Store: store, Routes: &routetable.Table{}, Options: DefaultOptions, Logger: zerolog.Nop(), Now: time.Now,
@@ -55,9 +56,9 @@
 
 	// Long enough for the claim to be at the store; nothing else orders it before what follows.
 	time.Sleep(50 * time.Millisecond)
-	w.takeOver()
+	w.reconcile()
 
-	close(store.letGo)
+	close(store.release)
 	supervisor.Kill(nil)
 	assert.NilError(t, supervisor.Wait())
 }
@@ -74,11 +75,10 @@
 	return kv.TransactionResult{}, kv.ErrRateLimited
 }
 
-// TestWorkerThatTheStoreRefusesClaimsNothing
-//
-// The load is three jobs that nobody runs at a worker that the store turns away for seven seconds, while another worker tells it of them.
-// The aim is that only the renewals of the lease try whether the store is back; a claim is made in the first round after that.
-func TestWorkerThatTheStoreRefusesClaimsNothing(t *testing.T) {
+// TestWorkerClaimsNothingWhileTheStoreFails has a worker with three unclaimed jobs whose store fails all calls for seven
+// seconds, while another worker sends it the live state. Only the renewals of the lease may try whether the store is back;
+// a claim is made in the first round after that.
+func TestWorkerClaimsNothingWhileTheStoreFails(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		supervisor := new(tomb.Tomb)
 		supervisor.Go(func() error { <-supervisor.Dying(); return nil })
@@ -89,21 +89,21 @@
 			tomb:    supervisor, ctx: supervisor.Context(context.Background()), lease: 1, open: map[ident.Job]*openJob{},
 		}
 		for _, id := range []ident.Job{"a", "b", "c"} {
-			// A claim of its own that it does not serve: nobody else can claim the job.
-			w.open[id] = &openJob{entry: jobrecord.Open{ID: id, Route: "r"}, own: true, unclaimed: time.Now()}
+			// The claim is this node's although it does not run the job: nobody else can claim it.
+			w.open[id] = &openJob{entry: jobrecord.Open{ID: id, Route: "r"}, ownClaim: true, unclaimed: time.Now()}
 		}
 		round := func() {
 			w.mutex.Lock()
-			w.claimDue(w.Now())
+			w.claimDueJobs(w.Now())
 			w.mutex.Unlock()
 			time.Sleep(w.Options.DispatchEvery)
 		}
-		w.noteOutage(true)
+		w.recordRenewal(true)
 		for began := time.Now(); time.Since(began) < 7*time.Second; {
 			round()
 		}
-		assert.Equal(t, store.refused.Load(), int64(0), "claims while the store refuses the renewals")
-		w.noteOutage(false)
+		assert.Equal(t, store.refused.Load(), int64(0), "claims while the store refuses renewals")
+		w.recordRenewal(false)
 		round()
 		synctest.Wait()
 		assert.Equal(t, store.refused.Load(), int64(len(w.open)))
--- a/internal/jobworker/demand.go
+++ b/internal/jobworker/demand.go
@@ -9,8 +9,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Demand takes over what a node tells of its online work. Items step aside where they and it do not fit. It
-// answers what this node knows of the work at the runners it owns.
+// Demand stores a node's report of its online work and preempts batch items that no longer fit beside it. It returns what
+// this node knows of the work at the runners it owns.
 func (w *Worker) Demand(report *demand.Report) *demand.Answer {
 	now := w.Now()
 	answered := w.demand.Heard(report.Node)
@@ -18,116 +18,116 @@
 	w.Runners.HearCounts(report.Counts, now)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.loss.heard(report, now)
+	w.orphanRuns.observeAge(report, now)
 	if answered.IsZero() {
-		w.loss.heardFirst(report, now)
+		w.orphanRuns.subtractKnown(report, now)
 	}
 	for _, id := range changed {
-		w.noteExcess(id, now)
+		w.checkExcess(id, now)
 	}
 	for _, count := range report.Counts {
 		if count.Suspect {
 			w.suspect(count.Runner, now)
 		}
 	}
-	w.loss.note(report, now)
-	answer := w.shares(report.Node, answered, now)
-	w.rationPlaces(answer.Shares, report.Node, now)
-	answer.Shares = append(answer.Shares, w.foreign(report, now)...)
-	answer.Batch = w.batch(now)
-	answer.Bounds = w.boundsFor(report, now)
+	w.orphanRuns.recordWaiting(report, now)
+	answer := w.demandShares(report.Node, answered, now)
+	w.rationSlots(answer.Shares, report.Node, now)
+	answer.Shares = append(answer.Shares, w.unownedShares(report, now)...)
+	answer.Batch = w.batchReport(now)
+	answer.Bounds = w.tenantBounds(report, now)
 	if w.Ends != nil {
 		answer.Ends = w.Ends.Book.Since(report.EndsRead, now, true)
 	}
 	return answer
 }
 
-// patienceShare of the objective of the online work is how long its requests may wait for a place that comes free by itself
-// before items step aside. Most places come free sooner, and each run that is cut has its prompt read again, which holds up
-// all others at its runner; the rest of the objective is for reading the prompt and for the way.
-const patienceShare = 0.15
+// preemptDelayFraction is the fraction of the online objective for which requests may wait for a slot to come free before
+// items are preempted. Most slots come free sooner, and the prompt of each preempted run is read again, which delays all
+// other work at the runner. The rest of the objective is for reading the prompt and for network latency.
+const preemptDelayFraction = 0.15
 
-// shortage is a lack of places at a runner that its online work may overcome by itself. The worker's mutex guards it.
+// shortage is a lack of slots at a runner that may resolve without preemption. The worker's mutex guards it.
 type shortage struct {
-	// least is the smallest excess of work since the shortage began.
-	least int
-	// awaited says that the shortage is looked at again when its patience is over.
-	awaited bool
+	// minExcess is the smallest excess of work since the shortage began.
+	minExcess int
+	// pending is set while the shortage waits for its preemption delay.
+	pending bool
 }
 
-// noteExcess takes note of the work at a runner: where it does not fit, items step aside unless it fits in a moment. The
-// caller holds the mutex.
-func (w *Worker) noteExcess(id ident.Incarnation, now time.Time) {
+// checkExcess checks the work at a runner. If it does not fit, items are preempted after a delay unless it fits by then.
+// The caller must hold the mutex.
+func (w *Worker) checkExcess(id ident.Incarnation, now time.Time) {
 	runner, known := w.Runners.Runner(id)
 	if !known {
 		return
 	}
 	short := &w.gaugeOf(id).short
 	excess := w.excessAt(runner, now)
-	if short.awaited {
-		short.least = min(short.least, excess)
+	if short.pending {
+		short.minExcess = min(short.minExcess, excess)
 		return
 	}
 	if excess > 0 {
-		w.awaitShortage(id, excess, w.patienceAt(runner))
+		w.startShortage(id, excess, w.preemptDelay(runner))
 	}
 }
 
-// excessAt is how many items at a runner do not fit beside its online work. The caller holds the mutex.
+// excessAt returns how many items at a runner do not fit beside its online work. The caller must hold the mutex.
 func (w *Worker) excessAt(runner work.Runner, now time.Time) int {
-	return batchroom.Excess(runner.Slots, w.batchAt(runner.ID, now), w.demand.Online(runner.ID, "", now))
+	return batchroom.Excess(runner.Slots, w.batchRunsAt(runner.ID, now), w.demand.Online(runner.ID, "", now))
 }
 
-// patienceAt is how long online work at a runner may wait for a place, or zero where no route says.
-func (w *Worker) patienceAt(runner work.Runner) time.Duration {
-	return time.Duration(patienceShare * float64(w.shortestObjective(runner.Service)))
+// preemptDelay returns how long online work at a runner may wait for a slot, or zero if no route defines it.
+func (w *Worker) preemptDelay(runner work.Runner) time.Duration {
+	return time.Duration(preemptDelayFraction * float64(w.shortestObjective(runner.Service)))
 }
 
-// awaitShortage begins a shortage, which ends when its patience is over. The caller holds the mutex.
-func (w *Worker) awaitShortage(id ident.Incarnation, excess int, patience time.Duration) {
+// startShortage starts a shortage, which ends after a delay. The caller must hold the mutex.
+func (w *Worker) startShortage(id ident.Incarnation, excess int, delay time.Duration) {
 	if !w.tomb.Alive() {
 		return
 	}
-	w.gaugeOf(id).short = shortage{least: excess, awaited: true}
+	w.gaugeOf(id).short = shortage{minExcess: excess, pending: true}
 	w.tomb.Go(func() error {
-		if w.pause(patience) {
+		if w.pause(delay) {
 			w.endShortage(id)
 		}
 		return nil
 	})
 }
 
-// endShortage ends as many runs at a runner as did not fit since the shortage began, and looks for a new one.
+// endShortage preempts as many runs at a runner as did not fit throughout the shortage, and checks for a new one.
 func (w *Worker) endShortage(id ident.Incarnation) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
-	w.noteExcess(id, now)
+	w.checkExcess(id, now)
 	short := &w.gaugeOf(id).short
-	w.yield(id, short.least)
+	w.reclaimSlots(id, short.minExcess)
 	*short = shortage{}
-	w.lookAgain(id, now)
+	w.recheckShortage(id, now)
 }
 
-// lookAgain begins a new shortage where more work does not fit than the runs that are about to end make room for: nobody tells of
-// work that stays as it is. The caller holds the mutex.
-func (w *Worker) lookAgain(id ident.Incarnation, now time.Time) {
+// recheckShortage starts a new shortage if more work does not fit than the ending runs make space for. Nodes send no
+// report of work that does not change. The caller must hold the mutex.
+func (w *Worker) recheckShortage(id ident.Incarnation, now time.Time) {
 	runner, known := w.Runners.Runner(id)
 	if !known {
 		return
 	}
-	excess, patience := w.excessAt(runner, now), w.patienceAt(runner)
-	if excess > w.ending(id) && patience > 0 {
-		w.awaitShortage(id, excess, patience)
+	excess, delay := w.excessAt(runner, now), w.preemptDelay(runner)
+	if excess > w.preemptingRuns(id) && delay > 0 {
+		w.startShortage(id, excess, delay)
 	}
 }
 
-// ending counts the runs at a runner that were cut and have not ended yet. The caller holds the mutex.
-func (w *Worker) ending(id ident.Incarnation) int {
+// preemptingRuns counts the runs at a runner that were preempted and have not ended yet. The caller must hold the mutex.
+func (w *Worker) preemptingRuns(id ident.Incarnation) int {
 	count := 0
 	for _, job := range w.jobs {
 		for _, item := range job.items {
-			if item.running && item.cut && item.runner == id {
+			if item.running && item.preempt && item.runner == id {
 				count++
 			}
 		}
@@ -135,7 +135,7 @@
 	return count
 }
 
-// shortestObjective is the shortest objective of the online routes that go to a service, or zero where there is none.
+// shortestObjective returns the shortest objective of the online routes that go to a service, or zero if there is none.
 func (w *Worker) shortestObjective(service string) time.Duration {
 	catalog := w.Routes.Catalog()
 	if catalog == nil {
@@ -154,13 +154,13 @@
 	return shortest
 }
 
-// ownedMemory is how long the list of the owned runners is used: reports of online work come some hundred times a second,
-// and runners come and go every few seconds.
-const ownedMemory = 100 * time.Millisecond
+// ownedCacheTTL is how long the list of owned runners is cached. Reports of online work arrive several hundred times a
+// second, and runners come and go every few seconds.
+const ownedCacheTTL = 100 * time.Millisecond
 
-// allOwned returns the runners of all services that this node owns. The caller holds the mutex.
+// allOwned returns the runners of all services that this node owns. The caller must hold the mutex.
 func (w *Worker) allOwned(now time.Time) []work.Runner {
-	if age := now.Sub(w.ownedAt); age >= 0 && age < ownedMemory {
+	if age := now.Sub(w.ownedAt); age >= 0 && age < ownedCacheTTL {
 		return w.ownedRunners
 	}
 	w.ownedAt, w.ownedRunners = now, nil
@@ -172,23 +172,23 @@
 	return w.ownedRunners
 }
 
-// shares lists the work at the runners that this node owns, without that of the node which asks, and the words of their pace since
-// that was answered before. The caller holds the mutex.
-func (w *Worker) shares(asking ident.Node, answered, now time.Time) *demand.Answer {
+// demandShares lists the work at the runners that this node owns, without the work of the asking node, and the changes of
+// their pace since that node was last answered. The caller must hold the mutex.
+func (w *Worker) demandShares(node ident.Node, answered, now time.Time) *demand.Answer {
 	answer := &demand.Answer{}
 	for _, runner := range w.allOwned(now) {
-		if w.loss.unread(runner.ID, now) {
+		if w.orphanRuns.unknown(runner.ID, now) {
 			continue
 		}
 		share := demand.Share{
 			Runner:  runner.ID,
-			Others:  w.demand.Online(runner.ID, asking, now),
-			Batch:   w.batchAt(runner.ID, now),
-			Silent:  w.silent(runner.ID),
-			Orphans: w.loss.at(runner.ID, now),
+			Others:  w.demand.Online(runner.ID, node, now),
+			Batch:   w.batchRunsAt(runner.ID, now),
+			Silent:  w.unresponsive(runner.ID),
+			Orphans: w.orphanRuns.runsAt(runner.ID, now),
 		}
 		w.Runners.PaceNews(&share, answered, now)
-		w.fillTokens(&share, asking, now)
+		w.addTokens(&share, node, now)
 		answer.Shares = append(answer.Shares, share)
 	}
 	return answer
--- a/internal/jobworker/demand_bench_test.go
+++ b/internal/jobworker/demand_bench_test.go
@@ -15,7 +15,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// BenchmarkDemand takes reports of online work as a worker of a large site does: 250 nodes, 153 runners, 45 workers.
+// BenchmarkDemand processes reports of online work as a worker of a large site does: 250 nodes, 153 runners, 45 workers.
 func BenchmarkDemand(b *testing.B) {
 	now := time.Now()
 	runners := runnertable.New("a")
@@ -31,7 +31,7 @@
 	}
 	w := &Worker{
 		Node: "w-1", Zone: "a", Runners: runners, Routes: &routetable.Table{}, Now: time.Now, tomb: new(tomb.Tomb),
-		workers: workers, gauges: map[ident.Incarnation]*gauged{}, jobs: map[ident.Job]*jobRun{},
+		workers: workers, gauges: map[ident.Incarnation]*runnerGauge{}, jobs: map[ident.Job]*jobRun{},
 	}
 	w.tomb.Go(func() error { <-w.tomb.Dying(); return nil })
 	defer func() {
--- a/internal/jobworker/demand_test.go
+++ b/internal/jobworker/demand_test.go
@@ -18,7 +18,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// demandWorker is a worker of zone a with a runner of four places that is full of items, and what became of their runs.
+// demandWorker returns a worker of zone a with a runner of four slots that is full of items, and which of their runs were
+// cancelled.
 func demandWorker(t *testing.T) (*Worker, []bool) {
 	t.Helper()
 	now := time.Now()
@@ -34,9 +35,9 @@
 	w := &Worker{
 		Node: "w-1", Zone: "a", Runners: runners, Routes: routes, Now: time.Now, tomb: new(tomb.Tomb),
 		workers:  map[ident.Node]jobrecord.Worker{"w-1": {Node: "w-1", Zone: "a"}, "w-2": {Node: "w-2", Zone: "b"}},
-		duration: expectedDuration, gauges: map[ident.Incarnation]*gauged{}, jobs: map[ident.Job]*jobRun{},
+		duration: initialRunTime, gauges: map[ident.Incarnation]*runnerGauge{}, jobs: map[ident.Job]*jobRun{},
 	}
-	// Without a goroutine of its own the tomb would take no further one after the first ended.
+	// Without a permanent goroutine the tomb would accept no further one after the first ended.
 	w.tomb.Go(func() error { <-w.tomb.Dying(); return nil })
 	t.Cleanup(func() {
 		w.tomb.Kill(nil)
@@ -53,90 +54,90 @@
 	return w, ended
 }
 
-func tell(node ident.Node, sequence int64, online int) *demand.Report {
+func demandReport(node ident.Node, sequence int64, online int) *demand.Report {
 	return &demand.Report{Node: node, Sequence: sequence, Counts: []demand.Count{{Runner: "r", Online: online}}}
 }
 
-// shortageEnds waits until the worker has acted on a shortage.
-func shortageEnds(t *testing.T, w *Worker) {
+// waitShortageEnd waits until the worker has acted on a shortage.
+func waitShortageEnd(t *testing.T, w *Worker) {
 	t.Helper()
 	for range 2000 {
 		w.mutex.Lock()
-		awaited := w.gaugeOf("r").short.awaited
+		pending := w.gaugeOf("r").short.pending
 		w.mutex.Unlock()
-		if !awaited {
+		if !pending {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("the shortage never ended")
+	t.Fatal("the shortage did not end")
 }
 
-// patienceOfRig is how long requests wait for a place at the runner of demandWorker, and a moment more.
-const patienceOfRig = time.Duration(patienceShare*float64(2*time.Second)) + time.Millisecond
+// testPreemptDelay is slightly longer than requests wait for a slot at the runner of demandWorker.
+const testPreemptDelay = time.Duration(preemptDelayFraction*float64(2*time.Second)) + time.Millisecond
 
-// cutRuns returns which runs were cut by the end of a patience.
-func cutRuns(w *Worker, ended []bool) []bool {
-	time.Sleep(patienceOfRig)
+// preemptedRuns returns which runs were preempted by the end of a preemption delay.
+func preemptedRuns(w *Worker, ended []bool) []bool {
+	time.Sleep(testPreemptDelay)
 	synctest.Wait()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(ended)
 }
 
-// TestItemsStepAsideForRequestsThatDoNotFit has two fronts tell of online work at a full runner: as many runs end as did
-// not fit all the while, the last in order first, and no report of the runner is needed for it. Nothing more is told: what came during
-// the first patience has waited all through the second.
-func TestItemsStepAsideForRequestsThatDoNotFit(t *testing.T) {
+// TestItemsArePreemptedForRequestsThatDoNotFit has two fronts report online work at a full runner: as many runs are
+// preempted as did not fit throughout the delay, last in order first, without a report of the runner. No further report
+// arrives: the request that came during the first delay has waited throughout the second.
+func TestItemsArePreemptedForRequestsThatDoNotFit(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		w, ended := demandWorker(t)
-		answer := w.Demand(tell("front", 1, 2))
+		answer := w.Demand(demandReport("front", 1, 2))
 		assert.DeepEqual(t, answer.Shares, []demand.Share{{Runner: "r", Others: 0, Batch: 4}})
-		answer = w.Demand(tell("second", 1, 1))
+		answer = w.Demand(demandReport("second", 1, 1))
 		assert.DeepEqual(t, answer.Shares, []demand.Share{{Runner: "r", Others: 2, Batch: 4}})
-		assert.DeepEqual(t, cutRuns(w, ended), []bool{false, false, true, true})
-		assert.DeepEqual(t, cutRuns(w, ended), []bool{false, true, true, true})
+		assert.DeepEqual(t, preemptedRuns(w, ended), []bool{false, false, true, true})
+		assert.DeepEqual(t, preemptedRuns(w, ended), []bool{false, true, true, true})
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		assert.Assert(t, !w.gaugeOf("r").short.awaited, "nobody looks on once runs make room for all")
-		assert.Equal(t, w.room(work.Runner{ID: "r", Slots: 4}, time.Now()), 0, "no place is given out beside what is told")
+		assert.Assert(t, !w.gaugeOf("r").short.pending, "no recheck once the ending runs make space for all")
+		assert.Equal(t, w.free(work.Runner{ID: "r", Slots: 4}, time.Now()), 0, "no slot is free beside the reported work")
 	})
 }
 
-// TestNoRunIsCutForAPlaceThatComesFree has the request that did not fit find a place before its patience is over, twice: the second time
-// in the patience that began when the first was over.
-func TestNoRunIsCutForAPlaceThatComesFree(t *testing.T) {
+// TestNoRunIsPreemptedWhenASlotComesFree has the request that did not fit find a slot before its delay is over, twice: the
+// second time in the delay that started at the end of the first.
+func TestNoRunIsPreemptedWhenASlotComesFree(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		w, ended := demandWorker(t)
 		none := []bool{false, false, false, false}
-		w.Demand(tell("front", 1, 1))
-		w.Demand(tell("front", 2, 0))
-		w.Demand(tell("front", 3, 1))
-		assert.DeepEqual(t, cutRuns(w, ended), none)
-		w.Demand(tell("front", 4, 0))
-		assert.DeepEqual(t, cutRuns(w, ended), none)
-		assert.DeepEqual(t, cutRuns(w, ended), none)
+		w.Demand(demandReport("front", 1, 1))
+		w.Demand(demandReport("front", 2, 0))
+		w.Demand(demandReport("front", 3, 1))
+		assert.DeepEqual(t, preemptedRuns(w, ended), none)
+		w.Demand(demandReport("front", 4, 0))
+		assert.DeepEqual(t, preemptedRuns(w, ended), none)
+		assert.DeepEqual(t, preemptedRuns(w, ended), none)
 	})
 }
 
-// TestRequestThatDidNotFindAPlaceInTimeIsNotForgotten has one request end and another one come within a patience, and nothing more be told:
-// the one that stays has its place when it has waited for a patience of its own. One that never found a place was left at a runner full
-// of items until something changed there.
-func TestRequestThatDidNotFindAPlaceInTimeIsNotForgotten(t *testing.T) {
+// TestWaitingRequestGetsASlotAfterItsOwnDelay has one request end and another one arrive within a delay, with no further
+// report: the remaining one gets its slot after a full delay. Without the recheck, a request that never found a slot was
+// left at a runner full of items until something changed there.
+func TestWaitingRequestGetsASlotAfterItsOwnDelay(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		w, ended := demandWorker(t)
-		w.Demand(tell("front", 1, 1))
-		w.Demand(tell("front", 2, 0))
-		w.Demand(tell("front", 3, 1))
-		assert.DeepEqual(t, cutRuns(w, ended), []bool{false, false, false, false})
-		assert.DeepEqual(t, cutRuns(w, ended), []bool{false, false, false, true})
-		// One place is enough for one request.
-		assert.DeepEqual(t, cutRuns(w, ended), []bool{false, false, false, true})
+		w.Demand(demandReport("front", 1, 1))
+		w.Demand(demandReport("front", 2, 0))
+		w.Demand(demandReport("front", 3, 1))
+		assert.DeepEqual(t, preemptedRuns(w, ended), []bool{false, false, false, false})
+		assert.DeepEqual(t, preemptedRuns(w, ended), []bool{false, false, false, true})
+		// One slot is enough for one request.
+		assert.DeepEqual(t, preemptedRuns(w, ended), []bool{false, false, false, true})
 	})
 }
 
-// TestPatienceIsThatOfTheMostUrgentOnlineRoute leaves out batch routes and other services.
-func TestPatienceIsThatOfTheMostUrgentOnlineRoute(t *testing.T) {
+// TestShortestObjectiveIgnoresBatchAndOtherServices checks the objective from which the preemption delay is derived.
+func TestShortestObjectiveIgnoresBatchAndOtherServices(t *testing.T) {
 	w, _ := demandWorker(t)
 	assert.Equal(t, w.shortestObjective("s"), 2*time.Second)
 	assert.Equal(t, w.shortestObjective("unknown"), time.Duration(0))
--- a/internal/jobworker/dispatch.go
+++ b/internal/jobworker/dispatch.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// reportDelay is how old a runner's report is when it is made: work started since is not in it.
+	// reportDelay is the age of a runner's report when it is made; work started since is not in it.
 	reportDelay = 100 * time.Millisecond
-	// routeMissing is how long an item's route must be gone before the item is given up.
-	routeMissing = 5 * time.Second
+	// routeMissingGrace is how long an item's route must be missing before the item is given up.
+	routeMissingGrace = 5 * time.Second
 )
 
-// dispatchLoop gives out items round by round.
+// dispatchLoop runs the dispatch rounds.
 func (w *Worker) dispatchLoop() error {
 	for w.pause(w.Options.DispatchEvery) {
 		now := w.Now()
 		w.mutex.Lock()
 		waiting := w.waiting(now)
-		w.found = batchLoad{waiting: len(waiting), places: w.batchPlaces(now)}
-		w.endStalled(now)
-		w.countMemory(now)
-		w.claimDue(now)
-		w.followOrphans(now)
+		w.found = batchLoad{waiting: len(waiting), slots: w.batchSlots(now)}
+		w.cancelStalled(now)
+		w.accountMemory(now)
+		w.claimDueJobs(now)
+		w.updateOrphans(now)
 		w.logTurns(now)
-		most := w.mayBegin()
+		limit := w.maxStarts()
 		w.mutex.Unlock()
-		w.askReports(now)
-		w.give(waiting, most, now)
-		w.releaseResting(now)
+		w.pollReports(now)
+		w.dispatch(waiting, limit, now)
+		w.releaseIdleJobs(now)
 		w.logLoad(now)
 	}
 	return nil
 }
 
-// waiting returns the items to be given out, in their order. The caller holds the mutex.
+// waiting returns the items to dispatch, in order. The caller must hold the mutex.
 func (w *Worker) waiting(now time.Time) []*itemRun {
 	var waiting []*itemRun
 	if w.draining {
@@ -53,15 +53,15 @@
 			}
 		}
 	}
-	ordered := w.inTurn(w.prospects(waiting, now), now)
-	for position, prospect := range ordered {
-		waiting[position] = prospect.item
+	ordered := w.inFairOrder(w.byUrgency(waiting, now), now)
+	for position, next := range ordered {
+		waiting[position] = next.item
 	}
 	return waiting
 }
 
-// endStalled ends runs that show no event any more; another runner goes on with them. The caller holds the mutex.
-func (w *Worker) endStalled(now time.Time) {
+// cancelStalled cancels runs that produce no more events; another runner resumes them. The caller must hold the mutex.
+func (w *Worker) cancelStalled(now time.Time) {
 	for _, job := range w.jobs {
 		for _, item := range job.items {
 			if item.running && now.Sub(item.progressed) > w.Options.StallAfter {
@@ -71,34 +71,34 @@
 	}
 }
 
-// give starts the items that a runner has room for, at most a number of them.
-func (w *Worker) give(waiting []*itemRun, most int, now time.Time) {
+// dispatch starts the items that a runner has a free slot for, at most limit of them.
+func (w *Worker) dispatch(waiting []*itemRun, limit int, now time.Time) {
 	full := map[string]bool{}
 	for _, item := range waiting {
-		if most <= 0 {
+		if limit <= 0 {
 			return
 		}
 		route := w.routeOf(item, now)
-		if route == nil || w.holdsBack(item, now) {
+		if route == nil || w.withholds(item, now) {
 			continue
 		}
 		service := route.Split[item.index%len(route.Split)].Service
 		if full[service] {
 			continue
 		}
-		id, found := w.roomiest(service, item, now)
+		id, found := w.pickRunner(service, item, now)
 		if !found {
 			full[service] = len(item.avoid) == 0
 			continue
 		}
 		if w.start(item, service, route, id, now) {
-			most--
+			limit--
 		}
 	}
 }
 
-// routeOf returns the route of an item in the configuration in force, or nil while it has none. An item whose route is
-// gone for good is given up.
+// routeOf returns the route of an item in the configuration in force, or nil if it has none. An item whose route is
+// permanently gone is given up.
 func (w *Worker) routeOf(item *itemRun, now time.Time) *work.Route {
 	route, known := w.Routes.Match(item.job.header.Host, item.item.Path)
 	if !known {
@@ -109,7 +109,7 @@
 	if route != nil && route.Kind == work.Batch {
 		item.routeGone = time.Time{}
 		if route.Retention > 0 && now.After(item.job.submitted.Add(route.Retention)) {
-			w.giveUp(item, "its retention is over")
+			w.giveUp(item, "retention has expired")
 			return nil
 		}
 		return route
@@ -117,74 +117,74 @@
 	if item.routeGone.IsZero() {
 		item.routeGone = now
 	}
-	if now.Sub(item.routeGone) > routeMissing {
-		w.giveUp(item, "its route is gone")
+	if now.Sub(item.routeGone) > routeMissingGrace {
+		w.giveUp(item, "route no longer exists")
 	}
 	return nil
 }
 
-// failingRate is the share of failures from which on a runner gets no batch items while it fails: it would answer fast
-// and so take one item after another.
-const failingRate = 0.4
+// maxFailureRate is the share of failures above which a runner gets no batch items. A failing runner answers fast and
+// would otherwise take one item after another.
+const maxFailureRate = 0.4
 
-// roomiest returns the runner of a service with the most room for batch items, among those this node owns that neither
-// fail nor failed the item before. Where all it owns did, the item goes to any that does not fail now.
-func (w *Worker) roomiest(service string, item *itemRun, now time.Time) (ident.Incarnation, bool) {
+// pickRunner returns the runner of a service with the most free slots for batch items, among those this node owns that
+// neither fail nor failed the item before. If all of them failed the item, it goes to any that does not fail now.
+func (w *Worker) pickRunner(service string, item *itemRun, now time.Time) (ident.Incarnation, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	owned := w.owned(service)
-	best, found := w.roomiestOf(owned, item.avoid, now)
+	best, found := w.pickFrom(owned, item.avoid, now)
 	if !found {
-		best, found = w.roomiestBorrowed(service, item.avoid, now)
+		best, found = w.pickBorrowedRunner(service, item.avoid, now)
 	}
 	if !found && len(item.avoid) > 0 && len(item.avoid) >= len(owned) {
-		return w.roomiestOf(owned, nil, now)
+		return w.pickFrom(owned, nil, now)
 	}
 	return best, found
 }
 
-// roomiestBorrowed returns the runner with the most borrowed places that are free, one of this zone where there is any.
-// The caller holds the mutex.
-func (w *Worker) roomiestBorrowed(service string, avoid map[ident.Incarnation]bool, now time.Time) (ident.Incarnation, bool) {
+// pickBorrowedRunner returns the runner with the most free borrowed slots, preferring runners in this zone. The caller
+// must hold the mutex.
+func (w *Worker) pickBorrowedRunner(service string, avoid map[ident.Incarnation]bool, now time.Time) (ident.Incarnation, bool) {
 	var best work.Runner
-	bestRoom := 0.0
+	bestFree := 0.0
 	for _, runner := range w.Runners.Of(service) {
-		if w.owns(runner) || avoid[runner.ID] || w.Runners.FailureRate(runner.ID, now) > failingRate {
+		if w.owns(runner) || avoid[runner.ID] || w.Runners.FailureRate(runner.ID, now) > maxFailureRate {
 			continue
 		}
-		room := w.paced(w.borrowedRoom(runner.ID, now), runner.ID, now)
-		isNear, bestIsNear := runner.Zone == w.Zone, best.Zone == w.Zone
-		if room > 0 && (bestRoom == 0 || (isNear && !bestIsNear) || (isNear == bestIsNear && room > bestRoom)) {
-			best, bestRoom = runner, room
+		free := w.pacedSlots(w.freeBorrowedSlots(runner.ID, now), runner.ID, now)
+		isSameZone, bestIsSameZone := runner.Zone == w.Zone, best.Zone == w.Zone
+		if free > 0 && (bestFree == 0 || (isSameZone && !bestIsSameZone) || (isSameZone == bestIsSameZone && free > bestFree)) {
+			best, bestFree = runner, free
 		}
 	}
-	return best.ID, bestRoom > 0
+	return best.ID, bestFree > 0
 }
 
-// roomiestOf returns the runner with the most room for batch items among some. The caller holds the mutex.
-func (w *Worker) roomiestOf(runners []work.Runner, avoid map[ident.Incarnation]bool, now time.Time) (ident.Incarnation, bool) {
+// pickFrom returns the given runner with the most free slots for batch items. The caller must hold the mutex.
+func (w *Worker) pickFrom(runners []work.Runner, avoid map[ident.Incarnation]bool, now time.Time) (ident.Incarnation, bool) {
 	var best ident.Incarnation
-	bestRoom := 0.0
-	if w.spare(runners, now) == 0 {
+	bestFree := 0.0
+	if w.spareSlots(runners, now) == 0 {
 		return best, false
 	}
 	for _, runner := range runners {
-		if avoid[runner.ID] || w.silent(runner.ID) || w.Runners.FailureRate(runner.ID, now) > failingRate {
+		if avoid[runner.ID] || w.unresponsive(runner.ID) || w.Runners.FailureRate(runner.ID, now) > maxFailureRate {
 			continue
 		}
-		if room := w.paced(w.room(runner, now), runner.ID, now); room > bestRoom {
-			best, bestRoom = runner.ID, room
+		if free := w.pacedSlots(w.free(runner, now), runner.ID, now); free > bestFree {
+			best, bestFree = runner.ID, free
 		}
 	}
-	return best, bestRoom > 0
+	return best, bestFree > 0
 }
 
-// paced is the room at a runner, less by its pace: items are begun at runners of the usual pace first.
-func (w *Worker) paced(room int, id ident.Incarnation, now time.Time) float64 {
-	return float64(room) / float64(w.Runners.Pace(id, now))
+// pacedSlots returns free slots divided by the runner's pace, so that items start first at runners of the usual pace.
+func (w *Worker) pacedSlots(slots int, id ident.Incarnation, now time.Time) float64 {
+	return float64(slots) / float64(w.Runners.Pace(id, now))
 }
 
-// owned returns the runners of a service that this node gives batch items to. The caller holds the mutex.
+// owned returns the runners of a service to which this node assigns batch items. The caller must hold the mutex.
 func (w *Worker) owned(service string) []work.Runner {
 	var owned []work.Runner
 	for _, runner := range w.Runners.Of(service) {
@@ -195,97 +195,98 @@
 	return owned
 }
 
-// places returns how many items the owned runners could run now, beside their online work. The caller holds the mutex.
-func (w *Worker) places(now time.Time) int {
-	places := 0
+// ownedSlots returns how many items the owned runners could run now beside their online work. The caller must hold the
+// mutex.
+func (w *Worker) ownedSlots(now time.Time) int {
+	ownedSlots := 0
 	for _, service := range w.servicesInUse() {
-		places += w.placesOf(service, now)
+		ownedSlots += w.serviceSlots(service, now)
 	}
-	return places
+	return ownedSlots
 }
 
-// placesOf returns how many items the owned runners of a service could run now. The caller holds the mutex.
-func (w *Worker) placesOf(service string, now time.Time) int {
+// serviceSlots returns how many items the owned runners of a service could run now. The caller must hold the mutex.
+func (w *Worker) serviceSlots(service string, now time.Time) int {
 	owned := w.owned(service)
-	places := w.spare(owned, now)
+	slots := w.spareSlots(owned, now)
 	for _, runner := range owned {
-		places += w.Runners.Own(runner.ID, runnertable.Batch)
+		slots += w.Runners.Own(runner.ID, runnertable.Batch)
 	}
-	return places
+	return slots
 }
 
-// spare returns how many items more the owned runners of a service may take together, beside the places that are kept free
-// for online work. The caller holds the mutex.
-func (w *Worker) spare(owned []work.Runner, now time.Time) int {
-	slots, room := 0, 0
+// spareSlots returns how many more items the owned runners of a service may take together, beside the slots kept free for
+// online work. The caller must hold the mutex.
+func (w *Worker) spareSlots(owned []work.Runner, now time.Time) int {
+	slots, free := 0, 0
 	for _, runner := range owned {
-		if w.silent(runner.ID) {
+		if w.unresponsive(runner.ID) {
 			continue
 		}
-		room += w.room(runner, now)
+		free += w.free(runner, now)
 		if !w.gaugeOf(runner.ID).gauge.Blind(now) {
-			// One of which nothing is known keeps all places but one free anyway.
+			// A runner without a known load already keeps all slots but one free.
 			slots += runner.Slots
 		}
 	}
 	if w.demand.Any(now) {
-		room -= batchroom.Kept(slots)
+		free -= batchroom.Kept(slots)
 	}
-	return max(room, 0)
+	return max(free, 0)
 }
 
-// room returns how many items more a runner by itself could take. The caller holds the mutex.
-func (w *Worker) room(runner work.Runner, now time.Time) int {
-	told := batchroom.Told{
-		Online: w.demand.Online(runner.ID, "", now), Any: w.demand.Any(now), Orphans: w.loss.at(runner.ID, now),
+// free returns how many more items a single runner could take. The caller must hold the mutex.
+func (w *Worker) free(runner work.Runner, now time.Time) int {
+	reported := batchroom.Told{
+		Online: w.demand.Online(runner.ID, "", now), Any: w.demand.Any(now), Orphans: w.orphanRuns.runsAt(runner.ID, now),
 	}
-	return w.loss.roomFor(runner.ID, w.gaugeOf(runner.ID).gauge.Room(runner.Slots, w.batchAt(runner.ID, now), told, now), now)
+	return w.orphanRuns.limitFree(runner.ID, w.gaugeOf(runner.ID).gauge.Room(runner.Slots, w.batchRunsAt(runner.ID, now), reported, now), now)
 }
 
-// gaugeOf returns the gauge of a runner. The caller holds the mutex.
-func (w *Worker) gaugeOf(id ident.Incarnation) *gauged {
-	known := w.gauges[id]
-	if known == nil {
-		known = &gauged{}
-		w.gauges[id] = known
-	}
-	return known
+// gaugeOf returns the gauge of a runner, creating it if necessary. The caller must hold the mutex.
+func (w *Worker) gaugeOf(id ident.Incarnation) *runnerGauge {
+	gauge := w.gauges[id]
+	if gauge == nil {
+		gauge = &runnerGauge{}
+		w.gauges[id] = gauge
+	}
+	return gauge
 }
 
-// askReports reads the reports of the runners that this node owns or still has items at, so that online work is seen
-// and batch steps aside.
-func (w *Worker) askReports(now time.Time) {
+// pollReports reads the reports of the runners that this node owns or still has items at, so that online work is seen and
+// batch work is preempted for it.
+func (w *Worker) pollReports(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, service := range w.watched(now) {
+	for _, service := range w.polledServices(now) {
 		for _, runner := range w.Runners.Of(service) {
-			if w.watches(runner, now) {
-				w.askDue(runner, w.Options.ReportEvery, now)
+			if w.pollsRunner(runner, now) {
+				w.pollIfDue(runner, w.Options.ReportEvery, now)
 			}
 		}
 	}
-	for _, runner := range w.orphaned(now) {
-		w.askDue(runner, w.loss.watch.ReadEvery(w.Options.ReportEvery, now), now)
+	for _, runner := range w.orphanedRunners(now) {
+		w.pollIfDue(runner, w.orphanRuns.watch.ReadEvery(w.Options.ReportEvery, now), now)
 	}
 }
 
-// askDue reads the report of a runner unless it was asked for less than a time ago. The caller holds the mutex.
-func (w *Worker) askDue(runner work.Runner, every time.Duration, now time.Time) {
+// pollIfDue reads the report of a runner unless it was read within the interval. The caller must hold the mutex.
+func (w *Worker) pollIfDue(runner work.Runner, every time.Duration, now time.Time) {
 	gauge := w.gaugeOf(runner.ID)
-	if now.Sub(gauge.asked) < every {
+	if now.Sub(gauge.polled) < every {
 		return
 	}
-	gauge.asked = now
-	w.tomb.Go(func() error { w.askReport(runner); return nil })
+	gauge.polled = now
+	w.tomb.Go(func() error { w.pollReport(runner); return nil })
 }
 
-// watches says whether this node reads the reports of a runner: it owns it, or has items there that no owner has lent a
-// place to. The caller holds the mutex.
-func (w *Worker) watches(runner work.Runner, now time.Time) bool {
-	return w.owns(runner) || (w.Runners.Own(runner.ID, runnertable.Batch) > 0 && w.borrowedAt(runner.ID, now) == 0)
+// pollsRunner reports whether this node reads the reports of a runner: it owns the runner, or has items there without a
+// slot lent by an owner. The caller must hold the mutex.
+func (w *Worker) pollsRunner(runner work.Runner, now time.Time) bool {
+	return w.owns(runner) || (w.Runners.Own(runner.ID, runnertable.Batch) > 0 && w.borrowedSlots(runner.ID, now) == 0)
 }
 
-// servicesInUse returns the services of the items this node has. The caller holds the mutex.
+// servicesInUse returns the services of this node's items. The caller must hold the mutex.
 func (w *Worker) servicesInUse() []string {
 	var services []string
 	for _, job := range w.jobs {
@@ -300,7 +301,7 @@
 	return services
 }
 
-// appendNew appends a service that is not there yet.
+// appendNew appends a service unless it is already present.
 func appendNew(services []string, service string) []string {
 	if slices.Contains(services, service) {
 		return services
@@ -308,8 +309,8 @@
 	return append(services, service)
 }
 
-func (w *Worker) askReport(runner work.Runner) {
-	ctx, cancel := w.call()
+func (w *Worker) pollReport(runner work.Runner) {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	load, err := w.Caller.Report(ctx, runner)
 	if err != nil {
@@ -319,15 +320,16 @@
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.loss.read(runner.ID, load, now)
+	w.orphanRuns.recordReport(runner.ID, load, now)
 	gauge := &w.gaugeOf(runner.ID).gauge
 	_, lent := w.lent.At(runner.ID, now)
-	gauge.Observe(load, w.ownReported(runner.ID, now)+lent, w.demand.Online(runner.ID, "", now), now)
-	w.yield(runner.ID, gauge.Yield(w.batchAt(runner.ID, now)))
+	gauge.Observe(load, w.reportedOwnRuns(runner.ID, now)+lent, w.demand.Online(runner.ID, "", now), now)
+	w.reclaimSlots(runner.ID, gauge.Yield(w.batchRunsAt(runner.ID, now)))
 }
 
-// ownReported counts the own items at a runner that its report can know of. The caller holds the mutex.
-func (w *Worker) ownReported(id ident.Incarnation, now time.Time) int {
+// reportedOwnRuns counts this node's items at a runner that the runner's report can include. The caller must hold the
+// mutex.
+func (w *Worker) reportedOwnRuns(id ident.Incarnation, now time.Time) int {
 	count := 0
 	for _, job := range w.jobs {
 		for _, item := range job.items {
@@ -339,9 +341,9 @@
 	return count
 }
 
-// cut ends runs of this node at a runner, the last in order first; they go on later after their last event. The caller
-// holds the mutex.
-func (w *Worker) cut(id ident.Incarnation, count int) {
+// preempt cancels runs of this node at a runner, last in order first. They resume later after their last event. The caller
+// must hold the mutex.
+func (w *Worker) preempt(id ident.Incarnation, count int) {
 	if count <= 0 {
 		return
 	}
@@ -353,15 +355,15 @@
 			}
 		}
 	}
-	ordered := w.prospects(running, w.Now())
+	ordered := w.byUrgency(running, w.Now())
 	slices.Reverse(ordered)
-	for _, prospect := range ordered[:min(count, len(ordered))] {
-		prospect.item.cut = true
-		prospect.item.cancel()
+	for _, next := range ordered[:min(count, len(ordered))] {
+		next.item.preempt = true
+		next.item.cancel()
 	}
 }
 
-// start runs an item at a runner, and says whether it does.
+// start runs an item at a runner and reports whether it was started.
 func (w *Worker) start(item *itemRun, service string, route *work.Route, id ident.Incarnation, now time.Time) bool {
 	wish := runnertable.Wish{Service: service, Class: runnertable.Batch, Tokens: item.item.Tokens, Bytes: len(item.body)}
 	flight, err := w.Runners.StartAt(id, wish, now)
@@ -376,7 +378,7 @@
 		flight.End()
 		return false
 	}
-	item.running, item.cut, item.cancel, item.runner = true, false, cancel, id
+	item.running, item.preempt, item.cancel, item.runner = true, false, cancel, id
 	item.started, item.progressed = now, now
 	item.job.running++
 	w.mutex.Unlock()
--- a/internal/jobworker/follow.go
+++ b/internal/jobworker/follow.go
@@ -15,34 +15,36 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// Readers reaches the workers that read the open jobs for the others.
+// Readers calls the workers that read the open jobs on behalf of the others.
 type Readers interface {
-	// Live returns what a worker at an address knows of the open jobs beyond a revision, zero for all. It may be held for the wait.
+	// Live returns the changes of the open jobs after a revision that the worker at an address knows, or the whole state
+	// for revision zero. The call may wait for changes up to the given time.
 	Live(ctx context.Context, address string, after int64, wait time.Duration) (changefeed.Update, error)
 }
 
 const (
-	// ReadersInLine is how many workers are asked for what they read before a worker reads for itself: the first by name, and the
-	// next one while the first does not answer. While the lease of a dead one lasts, all others would read for themselves.
+	// ReadersInLine is how many workers are asked for the open jobs before a worker reads the store itself: the first by
+	// name, then the next one if the first does not answer. With a single reader, all others would read the store until
+	// the lease of a dead reader expires.
 	ReadersInLine = 2
-	// avoidReaderFor is how long a worker that did not answer, or told what is too old, is passed over.
-	avoidReaderFor = 1500 * time.Millisecond
-	// askSlack bounds a question to a reader beyond its wait.
-	askSlack = 350 * time.Millisecond
-	// startPause is the time between two questions of a worker that was told nothing yet.
-	startPause = 60 * time.Millisecond
+	// readerBackoff is how long a worker that did not answer, or answered with outdated data, is skipped.
+	readerBackoff = 1500 * time.Millisecond
+	// readerCallMargin is the time a call to a reader may take beyond its wait.
+	readerCallMargin = 350 * time.Millisecond
+	// readerRetryPause is the pause after a failed call to a reader.
+	readerRetryPause = 60 * time.Millisecond
 )
 
-// errTooOld means that a reader told what may have changed long ago.
-const errTooOld = failure.Kind("job worker: told too late")
+// errStale means that a reader returned data that may have been out of date for too long.
+const errStale = failure.Kind("job worker: data of the reader is out of date")
 
-// followLive follows the open jobs, the claims and the workers: through another worker, or by reading them.
+// followLive follows the open jobs, the claims and the workers, through another worker or by reading the store.
 func (w *Worker) followLive() error {
 	for {
 		address, other := w.Reader(w.avoidsReader)
 		var err error
 		if other {
-			err = w.askLive(address)
+			err = w.fetchLive(address)
 		} else {
 			err = w.readLive()
 		}
@@ -53,7 +55,7 @@
 			if errors.Is(err, kv.ErrCompacted) {
 				w.live.Revision = 0
 			}
-			if !w.pauseForStore() {
+			if !w.waitForStore() {
 				return nil
 			}
 		case !w.pause(pause):
@@ -62,98 +64,100 @@
 	}
 }
 
-// pauseAfterLive is how long to wait before the next question or reading. What another worker reads is told as it comes; what
-// this one reads for all is looked at often, and what each reads for itself more rarely the more they are.
+// pauseAfterLive returns how long to wait before the next call or read. Another worker sends changes as they come. A
+// worker that reads for others polls often; workers that all read for themselves poll more rarely the more of them there
+// are.
 func (w *Worker) pauseAfterLive(other bool, err error) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch {
 	case other && err != nil:
-		return startPause
+		return readerRetryPause
 	case other:
 		return 0
 	case w.readsForAll():
 		return w.Options.WatchPause
 	}
-	return w.crowded(w.Options.WatchPause)
+	return w.scaledByWorkers(w.Options.WatchPause)
 }
 
-// readsForAll says whether this worker is one of those that others ask. The caller holds the mutex.
+// readsForAll reports whether this worker is one of the readers that others ask. The caller must hold the mutex.
 func (w *Worker) readsForAll() bool {
 	return slices.Contains(firstByName(w.workers, ReadersInLine), w.Node)
 }
 
-// ReadsForAll says whether this worker is one of those that others ask.
+// ReadsForAll reports whether this worker is one of the readers that others ask.
 func (w *Worker) ReadsForAll() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.readsForAll()
 }
 
-// askLive takes over what another worker knows.
-func (w *Worker) askLive(address string) error {
+// fetchLive applies what another worker knows.
+func (w *Worker) fetchLive(address string) error {
 	wait := w.Options.WatchWait
-	ctx, cancel := w.callWithin(wait + askSlack)
+	ctx, cancel := w.callContextFor(wait + readerCallMargin)
 	defer cancel()
 	update, err := w.Readers.Live(ctx, address, w.live.Revision, wait)
-	if err == nil && w.Now().Sub(update.AsOf) > w.oldestLive() {
-		err = fmt.Errorf("%w: as of %v ago", errTooOld, w.Now().Sub(update.AsOf))
+	if err == nil && w.Now().Sub(update.AsOf) > w.maxLiveAge() {
+		err = fmt.Errorf("%w: %v old", errStale, w.Now().Sub(update.AsOf))
 	}
 	if err == nil {
-		err = w.takeLive(update)
+		err = w.applyLive(update)
 	}
-	w.noteReader(address, err)
+	w.recordReaderResult(address, err)
 	return err
 }
 
-// oldestLive is the age from which on what another worker tells of the open jobs is not used: its own waiting call, the pause
-// before the next one and that one's wait, and what a slow store takes. Each worker that waits for itself may be as late.
-func (w *Worker) oldestLive() time.Duration {
+// maxLiveAge is the age from which on data about open jobs from another worker is rejected: the reader's own waiting call,
+// the pause before the next call and its wait, and the time a slow store takes. A worker that reads for itself may be as
+// late.
+func (w *Worker) maxLiveAge() time.Duration {
 	return 2*w.Options.WatchWait + w.Options.WatchPause + w.Options.CallTimeout
 }
 
 // readLive reads the open jobs, or waits for their next changes.
 func (w *Worker) readLive() error {
 	if w.live.Revision == 0 {
-		ctx, cancel := w.call()
+		ctx, cancel := w.callContext()
 		defer cancel()
 		update, err := w.Records.LiveWhole(ctx)
 		if err != nil {
 			return err
 		}
-		return w.takeLive(update)
+		return w.applyLive(update)
 	}
-	ctx, cancel := w.callWithin(w.Options.WatchWait + w.Options.CallTimeout)
+	ctx, cancel := w.callContextFor(w.Options.WatchWait + w.Options.CallTimeout)
 	defer cancel()
 	update, err := w.Records.LiveChanges(ctx, w.live.Revision, w.Options.WatchWait)
 	if err != nil {
 		return err
 	}
-	return w.takeLive(update)
+	return w.applyLive(update)
 }
 
-// takeLive takes over an update and passes it on. Only followLive calls it, so that the live state has one writer; what other
-// loops need of it is copied under the mutex. An update of an older state than is known is refused.
-func (w *Worker) takeLive(update changefeed.Update) error {
+// applyLive applies an update and publishes it. Only followLive calls it, so that the live state has a single writer; what
+// other loops need of it is copied under the mutex. An update older than the known state is rejected.
+func (w *Worker) applyLive(update changefeed.Update) error {
 	if !w.liveFeed.Take(update) {
 		return fmt.Errorf("%w: revision %d", changefeed.ErrBehind, update.Revision)
 	}
 	w.Records.Apply(w.live, update)
-	w.takeOver()
+	w.reconcile()
 	if w.Followed != nil {
 		w.Followed()
 	}
 	return nil
 }
 
-// LiveAfter tells another worker what this one knows of the open jobs beyond a revision.
+// LiveAfter returns to another worker the changes of the open jobs after a revision.
 func (w *Worker) LiveAfter(ctx context.Context, after int64, wait time.Duration) (changefeed.Update, error) {
 	return w.liveFeed.Next(ctx, after, min(wait, w.Options.WatchWait))
 }
 
-// Reader returns the address of the worker that reads the store for this one: the first by name of those that are registered, or
-// the next one where the first is avoided. It returns false where that is this node itself or none answers. A worker that knows
-// no other yet asks those named in its settings for a moment, unless it is one of them.
+// Reader returns the address of the worker that reads the store for this one: the first registered worker by name, or the
+// next one if the first is avoided. It returns false if that is this node itself or if all are avoided. A worker that does
+// not know any other yet asks the seeds in its settings for a limited time, unless it is one of them.
 func (w *Worker) Reader(avoided func(address string) bool) (string, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -161,7 +165,7 @@
 		return "", false
 	}
 	if len(w.workers) == 0 {
-		return w.seed()
+		return w.nextSeed()
 	}
 	for _, node := range firstByName(w.workers, ReadersInLine) {
 		if node == w.Node {
@@ -174,25 +178,25 @@
 	return "", false
 }
 
-// seed returns one of the workers named in the settings, by turns. The caller holds the mutex.
-func (w *Worker) seed() (string, bool) {
+// nextSeed returns the seeds in the settings in rotation. The caller must hold the mutex.
+func (w *Worker) nextSeed() (string, bool) {
 	if len(w.Seeds) == 0 || slices.Contains(w.Seeds, w.Address) || w.Now().Sub(w.started) > w.SeedsFor {
 		return "", false
 	}
-	w.seedsAsked++
-	return w.Seeds[w.seedsAsked%len(w.Seeds)], true
+	w.seedCalls++
+	return w.Seeds[w.seedCalls%len(w.Seeds)], true
 }
 
-// firstByName returns the first nodes by name, at most a number of them.
-func firstByName(workers map[ident.Node]jobrecord.Worker, most int) []ident.Node {
-	first := make([]ident.Node, 0, most+1)
+// firstByName returns the first nodes by name, at most limit of them.
+func firstByName(workers map[ident.Node]jobrecord.Worker, limit int) []ident.Node {
+	first := make([]ident.Node, 0, limit+1)
 	for node := range workers {
 		position, _ := slices.BinarySearch(first, node)
-		if position == most {
+		if position == limit {
 			continue
 		}
 		first = slices.Insert(first, position, node)
-		first = first[:min(len(first), most)]
+		first = first[:min(len(first), limit)]
 	}
 	return first
 }
@@ -201,9 +205,9 @@
 	return w.Now().Before(w.avoidedReaders[address])
 }
 
-// noteReader notes how a question to a reader ended: one in vain passes the reader over for a while. The seeds of a start are not
-// passed over, because they start at the same moment.
-func (w *Worker) noteReader(address string, err error) {
+// recordReaderResult records the outcome of a call to a reader. A reader that failed is skipped for a while. Seeds are not
+// skipped during start-up, because they start at the same moment.
+func (w *Worker) recordReaderResult(address string, err error) {
 	if err == nil {
 		delete(w.avoidedReaders, address)
 		return
@@ -214,6 +218,6 @@
 	if !known {
 		return
 	}
-	w.avoidedReaders[address] = w.Now().Add(avoidReaderFor)
+	w.avoidedReaders[address] = w.Now().Add(readerBackoff)
 	event.ReaderAvoided.Log(w.Logger).Str("address", address).Err(err).Send()
 }
--- a/internal/jobworker/follow_test.go
+++ b/internal/jobworker/follow_test.go
@@ -14,15 +14,15 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// metered is a group of workers that read through each other, each with a meter of its calls.
-type metered struct {
+// meteredGroup is a group of workers that read the live state through each other, each with a count of its store calls.
+type meteredGroup struct {
 	*group
 	peers  *localMirrors
 	meters map[ident.Node]*storemeter.Store
 }
 
-func newMetered(t *testing.T, workers int) *metered {
-	m := &metered{group: newGroup(t), peers: &localMirrors{workers: map[string]*jobworker.Worker{}}, meters: map[ident.Node]*storemeter.Store{}}
+func newMeteredGroup(t *testing.T, workers int) *meteredGroup {
+	m := &meteredGroup{group: newGroup(t), peers: &localMirrors{workers: map[string]*jobworker.Worker{}}, meters: map[ident.Node]*storemeter.Store{}}
 	var runners []work.Runner
 	for index := range 4 * workers {
 		runners = append(runners, work.Runner{ID: ident.Incarnation(fmt.Sprint("i-", index)), Service: "s", Address: "a", Zone: "z", Slots: 4})
@@ -36,8 +36,8 @@
 	return m
 }
 
-// liveCalls counts the calls that workers made for the open jobs since the last count.
-func (m *metered) liveCalls() map[ident.Node]int {
+// liveCalls returns the calls for open jobs that workers made since the last count.
+func (m *meteredGroup) liveCalls() map[ident.Node]int {
 	calls := map[ident.Node]int{}
 	for node, meter := range m.meters {
 		counts := meter.Take()
@@ -48,8 +48,8 @@
 	return calls
 }
 
-// settled waits until all workers know each other.
-func (m *metered) settled(workers int) {
+// waitSettled waits until all workers know each other.
+func (m *meteredGroup) waitSettled(workers int) {
 	m.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		seen := 0
@@ -64,20 +64,20 @@
 			return
 		}
 	}
-	m.t.Fatal("the workers never saw each other")
+	m.t.Fatal("the workers did not see each other")
 }
 
-func (m *metered) leave(node ident.Node) {
+func (m *meteredGroup) leave(node ident.Node) {
 	m.peers.mutex.Lock()
 	delete(m.peers.workers, string(node))
 	m.peers.mutex.Unlock()
 }
 
-// TestOpenJobsAreReadByOneWorkerForAll counts the calls of twelve workers while jobs come and are done.
+// TestOpenJobsAreReadByOneWorkerForAll counts the store calls of twelve workers while jobs are submitted and finished.
 func TestOpenJobsAreReadByOneWorkerForAll(t *testing.T) {
 	const workers = 12
-	m := newMetered(t, workers)
-	m.settled(workers)
+	m := newMeteredGroup(t, workers)
+	m.waitSettled(workers)
 	time.Sleep(2 * time.Second)
 	m.liveCalls()
 	for index := range 6 {
@@ -90,12 +90,12 @@
 	assert.Assert(t, calls["w-00"] > 0, "the first by name reads: %v", calls)
 }
 
-// TestJobsAreRunWhileTheirReaderIsGoneOrCutOff has the worker that reads for the others die, and the one that reads then be cut
-// off from the store while it answers: the jobs that come meanwhile are done.
+// TestJobsAreRunWhileTheirReaderIsGoneOrCutOff has the worker that reads for the others die, and its successor then lose
+// the store while it still answers: the jobs submitted in the meantime are finished.
 func TestJobsAreRunWhileTheirReaderIsGoneOrCutOff(t *testing.T) {
 	const workers = 4
-	m := newMetered(t, workers)
-	m.settled(workers)
+	m := newMeteredGroup(t, workers)
+	m.waitSettled(workers)
 	m.leave("w-00")
 	m.end("w-00")
 	m.submit("gone", 8)
--- a/internal/jobworker/keep_test.go
+++ b/internal/jobworker/handoff_test.go
@@ -12,8 +12,8 @@
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 )
 
-// TestWorkersAreDoubtedAfterWhatMayHaveTakenThemOffTheList has a worker start with a new disk, start again, and see an outage.
-func TestWorkersAreDoubtedAfterWhatMayHaveTakenThemOffTheList(t *testing.T) {
+// TestDoubtsWorkersAfterRestartAndOutage has a worker start with a new disk, restart, and see an outage.
+func TestDoubtsWorkersAfterRestartAndOutage(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "handoff")
 	now := time.Unix(1000, 0)
 	w := &Worker{Options: DefaultOptions, Now: func() time.Time { return now }, started: now}
@@ -23,25 +23,25 @@
 		return log
 	}
 	w.Handoff = opened()
-	assert.Assert(t, !w.DoubtsWorkers(), "a new site is sure of what it knows")
+	assert.Assert(t, !w.DoubtsWorkers(), "a new site does not doubt its workers")
 	w.Handoff = opened()
-	assert.Assert(t, w.DoubtsWorkers(), "a worker that was started again may have missed an outage")
-	now = now.Add(doubtFor)
+	assert.Assert(t, w.DoubtsWorkers(), "a restarted worker may have missed an outage")
+	now = now.Add(doubtPeriod)
 	assert.Assert(t, !w.DoubtsWorkers())
-	w.noteOutage(true)
+	w.recordRenewal(true)
 	now = now.Add(w.Options.OutageAfter + time.Millisecond)
 	assert.Assert(t, w.DoubtsWorkers())
-	w.noteOutage(false)
-	now = now.Add(doubtFor - time.Millisecond)
+	w.recordRenewal(false)
+	now = now.Add(doubtPeriod - time.Millisecond)
 	assert.Assert(t, w.DoubtsWorkers())
 	now = now.Add(time.Millisecond)
 	assert.Assert(t, !w.DoubtsWorkers())
 }
 
-// TestWorkerKnowsWhichJobsTheStoreHas asks for a job that is open, one that was finished here, and one that it has not heard of.
+// TestWorkerKnowsWhichJobsTheStoreHas asks for an open job, one that was finished here, and an unknown one.
 func TestWorkerKnowsWhichJobsTheStoreHas(t *testing.T) {
 	w := &Worker{open: map[ident.Job]*openJob{"open": {}}}
-	w.finished.keep(nil, &jobRun{header: &jobrecord.Header{ID: "finished"}}, time.Unix(1000, 0))
+	w.finished.add(nil, &jobRun{header: &jobrecord.Header{ID: "finished"}}, time.Unix(1000, 0))
 	assert.Assert(t, w.Accepted("open"))
 	assert.Assert(t, w.Accepted("finished"))
 	assert.Assert(t, !w.Accepted("unheard"))
--- a/internal/jobworker/job.go
+++ b/internal/jobworker/job.go
@@ -16,75 +16,78 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// jobRun is a job this node holds the claim of. The worker's mutex guards it.
+// jobRun is a job whose claim this node holds. The worker's mutex guards it.
 type jobRun struct {
 	entry  jobrecord.Open
 	claim  jobrecord.Claim
 	header *jobrecord.Header
-	// submitted is the moment of the submission by this node's clock: the header has the date.
+	// submitted is the time of the submission by this node's clock; the header has the date.
 	submitted time.Time
 	items     []*itemRun
-	// recorded are the results in the records, by position, but for the first readable ones: those were let go, and are read from the
-	// store. recordedBytes are their texts.
+	// recorded are the recorded results by position, without the first evicted ones, which were removed from memory and
+	// are read from the store. recordedBytes is the size of their texts.
 	recorded      []work.Result
-	readable      int
+	evicted       int
 	recordedBytes int64
-	// held is the job's part of the node's budget; headerBytes and values are the sizes of its header and of the values that its bodies
-	// lie in.
-	held        *heldbytes.Held
+	// reservation is the job's part of the node's memory budget; headerBytes and values are the sizes of its header and of
+	// the stored values that contain its bodies.
+	reservation *heldbytes.Held
 	headerBytes int64
 	values      []int64
-	// changed is closed and made anew when results are recorded.
+	// changed is closed and replaced when results are recorded.
 	changed chan struct{}
-	// unlisted are results that wait to be recorded, in the order they came.
-	unlisted []work.Result
-	running  int
-	// progressed is when the claim was taken, an event of an item came, or results were recorded.
+	// unrecorded are results that wait to be recorded, in order of arrival.
+	unrecorded []work.Result
+	running    int
+	// progressed is when the claim was taken, an event of an item arrived, or results were recorded.
 	progressed time.Time
-	// dropped says that this node does not run the job any more.
+	// dropped is set when this node no longer runs the job.
 	dropped bool
-	// second is the worker that keeps the output of the items in progress too.
-	second ident.Node
-	wake   chan struct{}
+	// mirrorPeer is the worker that stores a second copy of the output of the items in progress.
+	mirrorPeer ident.Node
+	wake       chan struct{}
 }
 
-// itemRun is one item and what is known of its output so far.
+// itemRun is one item and the state of its output so far.
 type itemRun struct {
 	job   *jobRun
 	index int
 	item  work.Item
 	body  []byte
-	// finished says that the item has a result, recorded or waiting to be.
+	// finished is set when the item has a result, recorded or waiting to be.
 	finished bool
 	running  bool
-	// cancel ends the run in progress; cut says that it was told to, so that online work has its place.
-	cancel context.CancelFunc
-	cut    bool
-	runner ident.Incarnation
-	// started and progressed are when the run began and when its last event came.
+	// cancel cancels the run in progress; preempt is set when it was cancelled to free its slot for online work.
+	cancel  context.CancelFunc
+	preempt bool
+	runner  ident.Incarnation
+	// started and progressed are when the run started and when its last event arrived.
 	started, progressed time.Time
-	// text is the data of the events so far, lastEvent the id of the last.
+	// text is the data of the events so far, lastEvent the id of the last one.
 	text      bytes.Buffer
 	lastEvent int64
-	// begun is the run in progress, run the one that made the last event.
-	begun, run progress.RunID
-	// mirrored is how much of the text the second place has, in bytes, and mirroredRun the run that made its end.
+	// currentRun is the run in progress, lastEventRun the one that produced the last event.
+	currentRun, lastEventRun progress.RunID
+	// mirrored is how many bytes of the text the mirror peer has, and mirroredRun the run that produced the end of them.
 	mirrored    int
 	mirroredRun progress.RunID
-	// print is the item's once it was needed.
-	print poison.Print
-	// failures counts the runs that the runner itself failed.
+	// fingerprint is the item's, once it was needed.
+	fingerprint poison.Print
+	// failures counts the runs in which the runner itself failed.
 	failures int
-	// avoid holds the runners that failed it.
+	// avoid holds the runners that failed the item.
 	avoid map[ident.Incarnation]bool
 	// notBefore is when the item may be tried again.
 	notBefore time.Time
-	// routeGone is when the item was first seen to have no route.
+	// routeGone is when the item was first seen without a route.
 	routeGone time.Time
 }
 
 func newJobRun(claim jobrecord.Claim, loaded *jobrecord.Job) *jobRun {
-	job := &jobRun{claim: claim, header: &loaded.Header, submitted: clock.At(loaded.Header.Submitted()), wake: make(chan struct{}, 1), changed: make(chan struct{})}
+	job := &jobRun{
+		claim: claim, header: &loaded.Header, submitted: clock.At(loaded.Header.Submitted()),
+		wake: make(chan struct{}, 1), changed: make(chan struct{}),
+	}
 	for index, item := range loaded.Header.Items {
 		job.items = append(job.items, &itemRun{
 			job: job, index: index, item: item.Item, body: loaded.Bodies[index], avoid: map[ident.Incarnation]bool{},
@@ -93,8 +96,9 @@
 	return job
 }
 
-// list takes over the recorded results; results of this node that another one recorded meanwhile are dropped.
-func (j *jobRun) list(results []work.Result) {
+// applyRecorded replaces the recorded results; unrecorded results of this node that another one has recorded in the
+// meantime are dropped.
+func (j *jobRun) applyRecorded(results []work.Result) {
 	recorded := make(map[ident.Request]bool, len(results))
 	for _, result := range results {
 		recorded[result.ID] = true
@@ -105,20 +109,20 @@
 			item.text, item.body = bytes.Buffer{}, nil
 		}
 	}
-	kept := j.unlisted[:0]
-	for _, result := range j.unlisted {
+	pending := j.unrecorded[:0]
+	for _, result := range j.unrecorded {
 		if !recorded[result.ID] {
-			kept = append(kept, result)
+			pending = append(pending, result)
 		}
 	}
-	clear(j.unlisted[len(kept):])
-	j.unlisted = kept
-	j.recorded, j.readable, j.recordedBytes = nil, 0, 0
+	clear(j.unrecorded[len(pending):])
+	j.unrecorded = pending
+	j.recorded, j.evicted, j.recordedBytes = nil, 0, 0
 	j.record(results)
 	j.signal()
 }
 
-// record takes over further results in the records and tells those that wait for them.
+// record adds further recorded results and wakes those that wait for them.
 func (j *jobRun) record(results []work.Result) {
 	j.recorded = append(j.recorded, results...)
 	j.recordedBytes += textBytes(results)
@@ -126,7 +130,7 @@
 	j.changed = make(chan struct{})
 }
 
-// textBytes is the size of the texts of results.
+// textBytes returns the size of the texts of results.
 func textBytes(results []work.Result) int64 {
 	sum := int64(0)
 	for index := range results {
@@ -135,26 +139,26 @@
 	return sum
 }
 
-// listed is the number of results in the records.
-func (j *jobRun) listed() int { return j.readable + len(j.recorded) }
+// recordedCount returns the number of recorded results.
+func (j *jobRun) recordedCount() int { return j.evicted + len(j.recorded) }
 
-// remaining are the tokens of the items without a recorded result beyond those about to be recorded.
-func (j *jobRun) remaining(recording []work.Result) int {
+// remainingTokens returns the tokens of the items without a recorded result, except those about to be recorded.
+func (j *jobRun) remainingTokens(recording []work.Result) int {
 	tokens := 0
 	about := make(map[ident.Request]bool, len(recording))
 	for _, result := range recording {
 		about[result.ID] = true
 	}
 	for _, item := range j.items {
-		if !item.finished || (j.isUnlisted(item.item.ID) && !about[item.item.ID]) {
+		if !item.finished || (j.isUnrecorded(item.item.ID) && !about[item.item.ID]) {
 			tokens += item.item.Tokens
 		}
 	}
 	return tokens
 }
 
-// unfinished are the tokens of the items that no runner has finished.
-func (j *jobRun) unfinished() int {
+// unfinishedTokens returns the tokens of the items that no runner has finished.
+func (j *jobRun) unfinishedTokens() int {
 	tokens := 0
 	for _, item := range j.items {
 		if !item.finished {
@@ -164,8 +168,8 @@
 	return tokens
 }
 
-func (j *jobRun) isUnlisted(id ident.Request) bool {
-	for _, result := range j.unlisted {
+func (j *jobRun) isUnrecorded(id ident.Request) bool {
+	for _, result := range j.unrecorded {
 		if result.ID == id {
 			return true
 		}
@@ -173,7 +177,7 @@
 	return false
 }
 
-// finish notes an item's result and wakes the writer.
+// finish stores an item's result and wakes the writer.
 func (j *jobRun) finish(item *itemRun, state work.ResultState) {
 	if item.finished {
 		return
@@ -185,7 +189,7 @@
 	}
 	item.text = bytes.Buffer{}
 	item.body = nil
-	j.unlisted = append(j.unlisted, result)
+	j.unrecorded = append(j.unrecorded, result)
 	j.signal()
 }
 
@@ -196,23 +200,23 @@
 	}
 }
 
-// drop stops running a job. The caller holds the mutex.
+// drop stops running a job. The caller must hold the mutex.
 func (w *Worker) drop(job *jobRun) {
 	job.dropped = true
-	job.unlisted = nil
+	job.unrecorded = nil
 	for _, item := range job.items {
 		if item.cancel != nil {
 			item.cancel()
 		}
 	}
 	delete(w.jobs, job.header.ID)
-	job.held.Release()
+	job.reservation.Release()
 	job.signal()
 	close(job.changed)
 	job.changed = make(chan struct{})
 }
 
-// startWriter records the job's results, one transaction at a time. The caller holds the mutex.
+// startWriter records the job's results, one transaction at a time. The caller must hold the mutex.
 func (w *Worker) startWriter(job *jobRun) {
 	job.signal()
 	w.tomb.Go(func() error {
@@ -222,22 +226,22 @@
 				return nil
 			case <-job.wake:
 			}
-			if !w.gather(job) {
+			if !w.awaitBatch(job) {
 				return nil
 			}
-			if done := w.recordAll(job); done {
+			if done := w.flush(job); done {
 				return nil
 			}
 		}
 	})
 }
 
-// gather waits until enough results wait to be recorded, or one has waited long enough. It returns false when the worker
-// ends.
-func (w *Worker) gather(job *jobRun) bool {
+// awaitBatch waits until enough results wait to be recorded, or one has waited long enough. It returns false when the
+// worker stops.
+func (w *Worker) awaitBatch(job *jobRun) bool {
 	timer := time.NewTimer(w.Options.RecordDelay)
 	defer timer.Stop()
-	for !w.urgent(job) {
+	for !w.shouldFlush(job) {
 		select {
 		case <-w.tomb.Dying():
 			return false
@@ -249,28 +253,29 @@
 	return true
 }
 
-// urgent says whether a job's results are to be recorded at once: no more can come or fit, or the job is about to be due.
-func (w *Worker) urgent(job *jobRun) bool {
+// shouldFlush reports whether a job's results are to be recorded at once: no more can come or fit, or the job is almost
+// due.
+func (w *Worker) shouldFlush(job *jobRun) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if job.dropped || w.draining || len(job.unlisted) == 0 || len(job.unlisted) >= w.Records.MaximumAppended(job.header) {
+	if job.dropped || w.draining || len(job.unrecorded) == 0 || len(job.unrecorded) >= w.Records.MaximumAppended(job.header) {
 		return true
 	}
-	if job.listed()+len(job.unlisted) == len(job.items) {
+	if job.recordedCount()+len(job.unrecorded) == len(job.items) {
 		return true
 	}
 	untilDue := w.due(job.items[0]).Sub(w.Now())
 	return untilDue.Abs() < 2*w.Options.RecordDelay
 }
 
-// recordAll records until nothing waits. It returns true when the job needs no writer any more.
-func (w *Worker) recordAll(job *jobRun) bool {
+// flush records results until none are left. It returns true when the job needs no writer any more.
+func (w *Worker) flush(job *jobRun) bool {
 	for {
 		w.mutex.Lock()
 		batch, waiting := job.nextBatch(w.Records.MaximumAppended(job.header))
-		gone := job.dropped
+		isDropped := job.dropped
 		w.mutex.Unlock()
-		if gone {
+		if isDropped {
 			return true
 		}
 		if !waiting {
@@ -285,39 +290,39 @@
 		case err != nil:
 			w.logStore("recording results of job "+string(job.header.ID), err)
 		}
-		if err != nil && !w.pauseForStore() {
+		if err != nil && !w.waitForStore() {
 			return true
 		}
 	}
 }
 
-// batch is what one transaction records.
-type batch struct {
-	claim     jobrecord.Claim
-	position  int
-	results   []work.Result
-	remaining int
-	finished  bool
+// resultBatch is the content of one transaction.
+type resultBatch struct {
+	claim           jobrecord.Claim
+	position        int
+	results         []work.Result
+	remainingTokens int
+	finished        bool
 }
 
-// nextBatch returns what to record next. While an Append is unanswered the same results come again, in the same order:
-// new ones only join behind.
-func (j *jobRun) nextBatch(most int) (batch, bool) {
-	if j.dropped || (len(j.unlisted) == 0 && j.listed() < len(j.items)) {
-		return batch{}, false
+// nextBatch returns what to record next. Until an Append is answered, the same results are returned in the same order; new
+// ones are only added at the end.
+func (j *jobRun) nextBatch(limit int) (resultBatch, bool) {
+	if j.dropped || (len(j.unrecorded) == 0 && j.recordedCount() < len(j.items)) {
+		return resultBatch{}, false
 	}
-	results := append([]work.Result(nil), j.unlisted[:min(len(j.unlisted), most)]...)
-	return batch{
-		claim: j.claim, position: j.listed(), results: results, remaining: j.remaining(results),
-		finished: j.listed()+len(results) == len(j.items),
+	results := append([]work.Result(nil), j.unrecorded[:min(len(j.unrecorded), limit)]...)
+	return resultBatch{
+		claim: j.claim, position: j.recordedCount(), results: results, remainingTokens: j.remainingTokens(results),
+		finished: j.recordedCount()+len(results) == len(j.items),
 	}, true
 }
 
-// record writes one batch. It returns true when the job is finished with it.
-func (w *Worker) record(job *jobRun, next batch) (bool, error) {
-	ctx, cancel := w.call()
+// record writes one batch. It returns true if the batch finished the job.
+func (w *Worker) record(job *jobRun, next resultBatch) (bool, error) {
+	ctx, cancel := w.callContext()
 	defer cancel()
-	err := w.Records.Append(ctx, next.claim, job.header, next.position, next.results, next.remaining, next.finished)
+	err := w.Records.Append(ctx, next.claim, job.header, next.position, next.results, next.remainingTokens, next.finished)
 	if err != nil {
 		return false, err
 	}
@@ -327,13 +332,13 @@
 		return false, nil
 	}
 	job.record(next.results)
-	clear(job.unlisted[:len(next.results)])
-	job.unlisted = job.unlisted[len(next.results):]
+	clear(job.unrecorded[:len(next.results)])
+	job.unrecorded = job.unrecorded[len(next.results):]
 	job.progressed = w.Now()
 	if next.finished {
 		w.drop(job)
-		if job.readable == 0 {
-			w.finished.keep(w.Budget, job, w.Now())
+		if job.evicted == 0 {
+			w.finished.add(w.Budget, job, w.Now())
 		}
 		event.JobLeft.Log(w.Logger).Str("job", string(job.header.ID)).Str("why", "all results are recorded").Int("items", len(job.items)).Send()
 		delete(w.open, job.header.ID)
--- a/internal/jobworker/lease.go
+++ b/internal/jobworker/lease.go
@@ -10,12 +10,12 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// keepLease holds a lease of the node. When it lapsed, the claims went with it and are taken anew.
+// keepLease keeps a lease of the node alive. When the lease expired, the claims expired with it and are taken again.
 func (w *Worker) keepLease() error {
 	for {
 		pause := w.Options.LeaseTTL / 3
 		err := w.renewLease()
-		w.noteOutage(err != nil)
+		w.recordRenewal(err != nil)
 		if err != nil {
 			w.logStore("renewing the lease", err)
 			pause = w.Options.RetryAfter
@@ -26,10 +26,10 @@
 	}
 }
 
-func (w *Worker) noteOutage(failed bool) {
+func (w *Worker) recordRenewal(failed bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.outage.note(failed, w.Options.OutageAfter, w.Now())
+	w.outage.record(failed, w.Options.OutageAfter, w.Now())
 }
 
 func (w *Worker) renewLease() error {
@@ -39,14 +39,14 @@
 	if lease == 0 && draining {
 		return nil
 	}
-	ctx, cancel := w.call()
+	ctx, cancel := w.callContext()
 	defer cancel()
 	sent := w.Now()
 	if lease != 0 {
 		ttl, err := w.Store.KeepAlive(ctx, lease)
 		if err == nil {
-			w.holdLease(lease, sent.Add(ttl))
-			return w.registerAgain(ctx, lease)
+			w.setLease(lease, sent.Add(ttl))
+			return w.reregister(ctx, lease)
 		}
 		if !errors.Is(err, kv.ErrLeaseNotFound) {
 			return err
@@ -58,63 +58,63 @@
 		err = w.register(ctx, granted)
 	}
 	if err != nil {
-		w.holdLease(0, time.Time{})
+		w.setLease(0, time.Time{})
 		return err
 	}
-	w.holdLease(granted, sent.Add(w.Options.LeaseTTL))
+	w.setLease(granted, sent.Add(w.Options.LeaseTTL))
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	held := w.heldJobs()
-	w.tomb.Go(func() error { w.reclaimAll(held); return nil })
+	jobs := w.claimedJobs()
+	w.tomb.Go(func() error { w.reclaimAll(jobs); return nil })
 	return nil
 }
 
 // register writes this node's entry among the workers.
 func (w *Worker) register(ctx context.Context, lease kv.LeaseID) error {
-	revision, err := w.Records.Register(ctx, w.self(), lease)
+	revision, err := w.Records.Register(ctx, w.registration(), lease)
 	if err != nil {
 		return err
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.registered, w.unlisted = revision, false
+	w.registered, w.registrationGone = revision, false
 	return nil
 }
 
-// registerAgain writes the entry anew where it is gone though the lease lives. A worker without one owns no runner in the eyes
-// of all, its own too, and takes itself for registered as long as it renews its lease.
-func (w *Worker) registerAgain(ctx context.Context, lease kv.LeaseID) error {
+// reregister writes the entry again if it is gone although the lease is alive. A worker without an entry owns no runner in
+// the view of all workers, including its own, and would consider itself registered as long as it renews its lease.
+func (w *Worker) reregister(ctx context.Context, lease kv.LeaseID) error {
 	w.mutex.Lock()
-	gone := w.unlisted && !w.draining
+	missing := w.registrationGone && !w.draining
 	w.mutex.Unlock()
-	if !gone {
+	if !missing {
 		return nil
 	}
 	event.RegistrationGone.Log(w.Logger).Int64("lease", int64(lease)).Send()
 	return w.register(ctx, lease)
 }
 
-// self is this node's entry among the workers.
-func (w *Worker) self() jobrecord.Worker {
+// registration returns this node's entry among the workers.
+func (w *Worker) registration() jobrecord.Worker {
 	return jobrecord.Worker{Node: w.Node, Zone: w.Zone, Address: w.Address}
 }
 
-func (w *Worker) holdLease(lease kv.LeaseID, until time.Time) {
+func (w *Worker) setLease(lease kv.LeaseID, until time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.lease, w.leaseUntil = lease, until
 }
 
-func (w *Worker) reclaimAll(held []*jobRun) {
-	for _, job := range held {
+func (w *Worker) reclaimAll(jobs []*jobRun) {
+	for _, job := range jobs {
 		w.reclaim(job)
 	}
 }
 
-func (w *Worker) heldJobs() []*jobRun {
-	held := make([]*jobRun, 0, len(w.jobs))
+func (w *Worker) claimedJobs() []*jobRun {
+	claimed := make([]*jobRun, 0, len(w.jobs))
 	for _, job := range w.jobs {
-		held = append(held, job)
+		claimed = append(claimed, job)
 	}
-	return held
+	return claimed
 }
--- a/internal/jobworker/load.go
+++ b/internal/jobworker/load.go
@@ -7,46 +7,47 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// loadEvery is the time between two lines of the batch load, a tenth of the time in which items are usually due: rare
-// enough to cost nothing beside the runs.
-const loadEvery = 2 * time.Second
+// loadLogEvery is the time between two log lines of the batch load. It is a tenth of the time in which items are usually
+// due, which keeps the cost negligible beside the runs.
+const loadLogEvery = 2 * time.Second
 
-// placesUse says what becomes of the places of the runners that a worker owns. Their sum is slots: whatever is neither
-// online nor batch nor room is kept free.
-type placesUse struct {
+// slotUse counts the slots, by use, of the runners that a worker owns. Their total is slots; those that are neither
+// online, batch nor free are reserved for online work.
+type slotUse struct {
 	runners, slots int
-	// online is the work that nodes tell of, batch the runs of items and the places lent, room what more items could start
+	// online is the work that nodes report, batch the runs of items and the lent slots, free what more items could start
 	// now.
-	online, batch, room int
+	online, batch, free int
 }
 
-// itemsUse counts the unfinished items of the jobs that a worker runs.
-type itemsUse struct {
-	// running have a runner, waiting have none; late are those of the waiting that cannot be in time any more.
+// itemUse counts the unfinished items of the jobs that a worker runs.
+type itemUse struct {
+	// running items have a runner, waiting items have none; late counts the waiting items that can no longer be done in
+	// time.
 	running, waiting, late int
 }
 
-// logLoad writes how many items wait and what becomes of the places that they could take, so that a lack of places can be
-// told from a lack of reach and from places that are kept free. It writes nothing while no job is open.
+// logLoad logs how many items wait and how the slots that they could take are used, so that a lack of slots can be
+// distinguished from unreachable runners and from slots kept free. It logs nothing while no job is open.
 func (w *Worker) logLoad(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if len(w.open) == 0 || now.Sub(w.loadLogged) < loadEvery {
+	if len(w.open) == 0 || now.Sub(w.loadLogged) < loadLogEvery {
 		return
 	}
 	w.loadLogged = now
-	items, places := w.itemsInUse(now), w.placesInUse(now)
-	held, all := w.Budget.Load()
+	items, slotTotals := w.countItems(now), w.countSlots(now)
+	heldBytes, limit := w.Budget.Load()
 	event.BatchLoad.Log(w.Logger).Int("jobs", len(w.jobs)).
 		Int("waiting", items.waiting).Int("late", items.late).Int("running", items.running).
-		Int("runners", places.runners).Int("slots", places.slots).
-		Int("online", places.online).Int("batch", places.batch).Int("room", places.room).
-		Int64("run_ms", w.duration.Milliseconds()).Int64("held_bytes", held).Int64("may_hold_bytes", all).Send()
+		Int("runners", slotTotals.runners).Int("slots", slotTotals.slots).
+		Int("online", slotTotals.online).Int("batch", slotTotals.batch).Int("room", slotTotals.free).
+		Int64("run_ms", w.duration.Milliseconds()).Int64("held_bytes", heldBytes).Int64("may_hold_bytes", limit).Send()
 }
 
-// itemsInUse counts the items. The caller holds the mutex.
-func (w *Worker) itemsInUse(now time.Time) itemsUse {
-	var use itemsUse
+// countItems counts the items. The caller must hold the mutex.
+func (w *Worker) countItems(now time.Time) itemUse {
+	var use itemUse
 	for _, job := range w.jobs {
 		for _, item := range job.items {
 			switch {
@@ -55,7 +56,7 @@
 				use.running++
 			default:
 				use.waiting++
-				if w.prospect(item, now).hopeless {
+				if w.urgency(item, now).tooLate {
 					use.late++
 				}
 			}
@@ -64,20 +65,20 @@
 	return use
 }
 
-// placesInUse adds up the runners that this node owns for batch routes. The caller holds the mutex.
-func (w *Worker) placesInUse(now time.Time) placesUse {
-	var use placesUse
+// countSlots sums up the runners that this node owns for batch routes. The caller must hold the mutex.
+func (w *Worker) countSlots(now time.Time) slotUse {
+	var use slotUse
 	for _, service := range w.batchServices() {
 		owned := w.owned(service)
-		use.room += w.spare(owned, now)
+		use.free += w.spareSlots(owned, now)
 		for _, runner := range owned {
-			use.add(runner, w.demand.Online(runner.ID, "", now), w.batchAt(runner.ID, now))
+			use.add(runner, w.demand.Online(runner.ID, "", now), w.batchRunsAt(runner.ID, now))
 		}
 	}
 	return use
 }
 
-func (u *placesUse) add(runner work.Runner, online, batch int) {
+func (u *slotUse) add(runner work.Runner, online, batch int) {
 	u.runners++
 	u.slots += runner.Slots
 	u.online += online
--- a/internal/jobworker/memory.go
+++ b/internal/jobworker/memory.go
@@ -12,57 +12,62 @@
 )
 
 const (
-	// overtakenFor is how long a job that finds no room is overtaken by smaller ones of other tenants: without an end to that a stream of
-	// these would keep it out.
-	overtakenFor = 2 * time.Second
-	// fullFor is how long a worker counts as full after it had no room for a job: those that wait try several times in it.
-	fullFor = time.Second
-	// mirroredShare of the node's budget may be output that is kept for other workers.
-	mirroredShare = 0.25
+	// overtakingPeriod is how long smaller jobs of other tenants may overtake a job that does not fit in memory. Without a
+	// limit, a stream of small jobs would starve it.
+	overtakingPeriod = 2 * time.Second
+	// fullPeriod is how long a worker counts as full after a job did not fit; waiting jobs are tried several times in that
+	// period.
+	fullPeriod = time.Second
+	// mirrorBudgetFraction of the node's budget may be output stored for other workers.
+	mirrorBudgetFraction = 0.25
 )
 
-// memory is what a worker knows of its room for jobs. The worker's mutex guards it. The zero memory has room.
+// memory is the state of a worker's memory for jobs. The worker's mutex guards it. The zero value has free space.
 type memory struct {
-	// refused is when a job last found no room, full when it was all jobs together that left none.
-	refused, full time.Time
-	// turnedAway counts the jobs that found none since the log was told of it, which was at told; zero if there was room since.
-	turnedAway int
-	told       time.Time
-	// mirrored is the reservation of the output that is kept for other workers.
+	// refusedAt is when a job last did not fit, fullAt when that was because of all jobs together and not of its tenant's
+	// share.
+	refusedAt, fullAt time.Time
+	// rejected counts the jobs that did not fit since loggedFull, when that was logged; loggedFull is zero if there has
+	// been space since.
+	rejected   int
+	loggedFull time.Time
+	// mirrored is the reservation for the output stored for other workers.
 	mirrored *heldbytes.Held
 }
 
-// note takes in that a job found no room.
-func (m *memory) note(err error, now time.Time) {
-	m.turnedAway++
-	m.refused = now
+// recordRefusal records that a job did not fit.
+func (m *memory) recordRefusal(err error, now time.Time) {
+	m.rejected++
+	m.refusedAt = now
 	if !errors.Is(err, heldbytes.ErrShare) {
-		m.full = now
+		m.fullAt = now
 	}
 }
 
-// isFull says whether no job is to be brought here.
-func (m *memory) isFull(now time.Time) bool { return !m.full.IsZero() && now.Sub(m.full) < fullFor }
+// full reports whether no jobs should be assigned to this node.
+func (m *memory) full(now time.Time) bool {
+	return !m.fullAt.IsZero() && now.Sub(m.fullAt) < fullPeriod
+}
 
-// reserve takes the room of a job that is about to be read. What the store has too is let go for it. The error wraps heldbytes.ErrOver. The
-// caller holds the mutex.
+// reserve reserves the memory for a job that is about to be read, evicting results that can be read from the store if
+// necessary. The error wraps heldbytes.ErrOver. The caller must hold the mutex.
 func (w *Worker) reserve(entry jobrecord.Open, now time.Time) (*heldbytes.Held, error) {
 	for {
-		held, err := w.Budget.Reserve(heldbytes.Job, heldbytes.Whose{Tenant: entry.Tenant}, entry.Size())
+		reservation, err := w.Budget.Reserve(heldbytes.Job, heldbytes.Whose{Tenant: entry.Tenant}, entry.Size())
 		if err == nil {
-			return held, nil
+			return reservation, nil
 		}
-		if errors.Is(err, heldbytes.ErrShare) || !w.letGoResults() {
-			w.memory.note(err, now)
+		if errors.Is(err, heldbytes.ErrShare) || !w.evictResults() {
+			w.memory.recordRefusal(err, now)
 			return nil, err
 		}
 	}
 }
 
-// letGoResults lets go some results that the store has: those of a finished job, then those of the running job with the most. It returns
-// false where there are none. The caller holds the mutex.
-func (w *Worker) letGoResults() bool {
-	if w.finished.dropOldest() {
+// evictResults evicts some results that the store also has: those of one finished job first, then those of the running job
+// with the most. It returns false if there are none. The caller must hold the mutex.
+func (w *Worker) evictResults() bool {
+	if w.finished.evictOldest() {
 		return true
 	}
 	var largest *jobRun
@@ -74,67 +79,67 @@
 	if largest == nil {
 		return false
 	}
-	largest.letGoRecorded()
-	largest.held.Set(largest.bytes())
+	largest.evictRecorded()
+	largest.reservation.Set(largest.bytes())
 	return true
 }
 
-// countMemory counts what the jobs have taken since the last round, lets go what is too much, and tells the log. The caller holds the
-// mutex.
-func (w *Worker) countMemory(now time.Time) {
+// accountMemory updates the memory accounting of the jobs, evicts what exceeds the budget, and logs changes. The caller
+// must hold the mutex.
+func (w *Worker) accountMemory(now time.Time) {
 	for _, job := range w.jobs {
-		job.held.Set(job.bytes())
+		job.reservation.Set(job.bytes())
 	}
-	w.countMirrored(now)
-	for w.Budget.Over(heldbytes.Kept) && w.finished.dropOldest() {
+	w.accountMirrored(now)
+	for w.Budget.Over(heldbytes.Kept) && w.finished.evictOldest() {
 	}
-	for w.Budget.Over(heldbytes.Job) && w.letGoResults() {
+	for w.Budget.Over(heldbytes.Job) && w.evictResults() {
 	}
-	w.tellMemory(now)
+	w.logMemory(now)
 }
 
-// countMirrored counts the output that is kept for other workers, and bounds it.
-func (w *Worker) countMirrored(now time.Time) {
-	_, all := w.Budget.Load()
-	if all == 0 {
+// accountMirrored accounts for the output stored for other workers, and bounds it.
+func (w *Worker) accountMirrored(now time.Time) {
+	_, limit := w.Budget.Load()
+	if limit == 0 {
 		return
 	}
 	if w.memory.mirrored == nil {
 		w.memory.mirrored = w.Budget.Open(heldbytes.Kept, heldbytes.Whose{})
 	}
-	w.memory.mirrored.Set(w.outputs().Bound(int64(mirroredShare*float64(all)), now))
+	w.memory.mirrored.Set(w.mirrorStore().Bound(int64(mirrorBudgetFraction*float64(limit)), now))
 }
 
-// outputs is the output that is kept for other workers.
-func (w *Worker) outputs() *progress.Mirror {
+// mirrorStore returns the store of the output of other workers' items.
+func (w *Worker) mirrorStore() *progress.Mirror {
 	if w.Outputs != nil {
 		return &w.Outputs.Mirror
 	}
 	return &w.mirror
 }
 
-// tellMemory writes a line where jobs find no room any more, and where they do again.
-func (w *Worker) tellMemory(now time.Time) {
+// logMemory logs when jobs no longer fit in memory, and when they do again.
+func (w *Worker) logMemory(now time.Time) {
 	m := &w.memory
-	held, all := w.Budget.Load()
-	short := held > all || (!m.refused.IsZero() && now.Sub(m.refused) < fullFor)
+	heldBytes, limit := w.Budget.Load()
+	isFull := heldBytes > limit || (!m.refusedAt.IsZero() && now.Sub(m.refusedAt) < fullPeriod)
 	switch {
-	case short && m.told.IsZero():
-		m.told = now
-		event.WorkerFull.Log(w.Logger).Int("jobs", len(w.jobs)).Int64("held", held).Int64("of", all).Send()
-	case !short && !m.told.IsZero():
-		event.WorkerHasRoom.Log(w.Logger).Int("jobs", len(w.jobs)).Int64("held", held).Int64("of", all).
-			Int("turned_away", m.turnedAway).Int64("lasted_ms", now.Sub(m.told).Milliseconds()).Send()
-		m.told, m.turnedAway = time.Time{}, 0
+	case isFull && m.loggedFull.IsZero():
+		m.loggedFull = now
+		event.WorkerFull.Log(w.Logger).Int("jobs", len(w.jobs)).Int64("held", heldBytes).Int64("of", limit).Send()
+	case !isFull && !m.loggedFull.IsZero():
+		event.WorkerHasRoom.Log(w.Logger).Int("jobs", len(w.jobs)).Int64("held", heldBytes).Int64("of", limit).
+			Int("turned_away", m.rejected).Int64("lasted_ms", now.Sub(m.loggedFull).Milliseconds()).Send()
+		m.loggedFull, m.rejected = time.Time{}, 0
 	}
 }
 
-// mayBegin is how many items may begin in a round. Where the budget is full it is one at a time: the output of items adds to what is held,
-// and only their ends give some back. The caller holds the mutex.
-func (w *Worker) mayBegin() int {
-	held, all := w.Budget.Load()
+// maxStarts returns how many items may start in a round. If the budget is exceeded, items run one at a time: their output
+// adds to the memory in use, and only finished items release some. The caller must hold the mutex.
+func (w *Worker) maxStarts() int {
+	heldBytes, limit := w.Budget.Load()
 	switch {
-	case held <= all:
+	case heldBytes <= limit:
 		return math.MaxInt
 	case w.anyRunning():
 		return 0
@@ -142,12 +147,12 @@
 	return 1
 }
 
-// bytes is what a job takes of the memory: its header, the values with a body that is needed, the output of its items and its results. The
-// caller holds the worker's mutex.
+// bytes returns the memory that a job uses: its header, the values with a body that is still needed, the output of its
+// items and its results. The caller must hold the worker's mutex.
 func (j *jobRun) bytes() int64 {
 	sum := j.headerBytes + j.recordedBytes
-	for index := range j.unlisted {
-		sum += int64(len(j.unlisted[index].Text))
+	for index := range j.unrecorded {
+		sum += int64(len(j.unrecorded[index].Text))
 	}
 	counted := -1
 	for _, item := range j.items {
@@ -161,8 +166,8 @@
 	return sum
 }
 
-// measure notes the sizes of the header and of the values that the bodies lie in.
-func (j *jobRun) measure(size int64) {
+// setSizes sets the sizes of the header and of the values that contain the bodies.
+func (j *jobRun) setSizes(size int64) {
 	j.values = make([]int64, j.header.Parts)
 	bodies := int64(0)
 	for index := range j.header.Items {
@@ -173,8 +178,9 @@
 	j.headerBytes = max(size-bodies, 0)
 }
 
-// letGoRecorded lets go the results that are recorded: from now on they are read from the store. The caller holds the worker's mutex.
-func (j *jobRun) letGoRecorded() {
-	j.readable += len(j.recorded)
+// evictRecorded removes the recorded results from memory: they are read from the store from then on. The caller must hold
+// the worker's mutex.
+func (j *jobRun) evictRecorded() {
+	j.evicted += len(j.recorded)
 	j.recorded, j.recordedBytes = nil, 0
 }
--- a/internal/jobworker/memory_test.go
+++ b/internal/jobworker/memory_test.go
@@ -27,44 +27,44 @@
 )
 
 const (
-	// smallWorker is the memory of the smallest worker that is known, in bytes. A fifth of it may be held: bodies are there up to three
-	// times for moments, and the process itself takes a quarter.
+	// smallWorker is the memory of the smallest known worker, in bytes. A fifth of it may be used for jobs: bodies are in
+	// memory up to three times for short periods, and the process itself takes a quarter.
 	smallWorker = 136 << 20
-	// largeItem is the body of a large item, largeItems how many a job of 8 MiB has of them, once they are decoded.
+	// largeItem is the size of the body of a large item in bytes, largeItems the number of them in a decoded job of 8 MiB.
 	largeItem  = 620_000
 	largeItems = 10
 )
 
-// lines takes the lines of a worker's log.
-type lines struct {
+// logBuffer collects the lines of a worker's log.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return bytes.Contains(l.text.Bytes(), []byte(text))
 }
 
-// memoryWorld is a worker with little memory, whose items end when the test lets them.
-type memoryWorld struct {
+// memoryRig is a worker with little memory, whose items block until the test releases them.
+type memoryRig struct {
 	*group
 	worker *jobworker.Worker
 	caller *fakeCaller
-	log    *lines
+	log    *logBuffer
 	jobs   []*jobrecord.Submission
 }
 
-func newMemoryWorld(t *testing.T) *memoryWorld {
-	m := &memoryWorld{group: newGroup(t), caller: &fakeCaller{held: true}, log: &lines{}}
+func newMemoryRig(t *testing.T) *memoryRig {
+	m := &memoryRig{group: newGroup(t), caller: &fakeCaller{held: true}, log: &logBuffer{}}
 	m.budget, m.logger = heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(smallWorker)), zerolog.New(m.log)
 	m.worker = m.start("w", kvtest.NewPaged(m.data), m.caller, nil, oneRunner("i-1"))
 	time.Sleep(time.Second)
@@ -72,7 +72,7 @@
 }
 
 // submitOf accepts a job of a tenant with items of a size.
-func (m *memoryWorld) submitOf(tenant ident.Tenant, id string, items, size int) {
+func (m *memoryRig) submitOf(tenant ident.Tenant, id string, items, size int) {
 	submission := &jobrecord.Submission{ID: ident.Job(id), Route: "r", Host: "h", Zone: "z", Tenant: tenant}
 	for index := range items {
 		submission.Items = append(submission.Items, work.Item{ID: ident.Request(fmt.Sprint(id, "-", index)), Path: "/p/x", Tokens: 10, Body: make([]byte, size)})
@@ -81,8 +81,8 @@
 	m.jobs = append(m.jobs, submission)
 }
 
-// bodies is the sum of the bodies that the worker has in memory, jobs how many jobs they are of.
-func (m *memoryWorld) bodies() (sum, jobs int) {
+// bodies returns the total size of the bodies that the worker has in memory, and the number of their jobs.
+func (m *memoryRig) bodies() (sum, jobs int) {
 	for _, job := range m.jobs {
 		before := sum
 		for _, item := range job.Items {
@@ -97,14 +97,14 @@
 	return sum, jobs
 }
 
-func (m *memoryWorld) logged(text string) bool { return m.log.has(text) }
+func (m *memoryRig) logged(text string) bool { return m.log.has(text) }
 
-// TestWorkerHoldsNoMoreJobsThanItsMemoryHas is the load of twelve jobs of 8 MiB, ten items of 620,000 bytes each, that find one worker of
-// the smallest memory: 74 MB of bodies, beside a process of 36 MB and what is there twice for moments. It may hold a fifth of the memory,
-// and has each job done all the same, none of them given up.
+// TestWorkerHoldsNoMoreJobsThanItsMemoryHas submits twelve jobs of 8 MiB, ten items of 620,000 bytes each, to one worker
+// of the smallest memory: 74 MB of bodies, beside a process of 36 MB and temporary copies. The worker may use a fifth of
+// the memory, and must still finish every job without giving one up.
 func TestWorkerHoldsNoMoreJobsThanItsMemoryHas(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		for job := range 12 {
 			m.submitOf("", fmt.Sprint("j", job), largeItems, largeItem)
 		}
@@ -122,15 +122,15 @@
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, m.logged("worker_memory_free"))
 		tally := m.budget.Take()
-		assert.Assert(t, tally.Most <= smallWorker/5, "%d bytes were held", tally.Most)
-		assert.Assert(t, tally.Held < largeItem, "%d bytes are held after the last job", tally.Held)
+		assert.Assert(t, tally.Most <= smallWorker/5, "%d bytes were in use", tally.Most)
+		assert.Assert(t, tally.Held < largeItem, "%d bytes are in use after the last job", tally.Held)
 	})
 }
 
-// TestLargeJobsOfOneTenantLeaveRoomForAnother has a tenant with a heap of large jobs before one with small ones.
+// TestLargeJobsOfOneTenantLeaveRoomForAnother submits many large jobs of one tenant before small ones of another.
 func TestLargeJobsOfOneTenantLeaveRoomForAnother(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		for job := range 8 {
 			m.submitOf("large", fmt.Sprint("l", job), largeItems, largeItem)
 		}
@@ -138,16 +138,16 @@
 		m.submitOf("small", "s", 2, 1000)
 		time.Sleep(5 * time.Second)
 		_, _, found := m.worker.HeldBody("s", "s-0")
-		assert.Assert(t, found, "the job of the small tenant is not run")
+		assert.Assert(t, found, "the job of the small tenant does not run")
 	})
 }
 
-// TestLargeJobIsNotOvertakenForLong has jobs of one item of 620,000 bytes come four a second, as fast as they end, at a worker whose memory
-// is full of them. One of ten such items comes with them: the room of each that ends would be taken by the next small one. It is to be in
-// memory within the 20 seconds in which jobs of its route are due.
+// TestLargeJobIsNotOvertakenForLong submits four jobs a second of one item of 620,000 bytes, as fast as they end, to a
+// worker whose memory is full of them, and a job of ten such items. The memory of each job that ends would be taken by the
+// next small one. The large job must be in memory within the 20 seconds in which jobs of its route are due.
 func TestLargeJobIsNotOvertakenForLong(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		m.caller.hold(false)
 		m.caller.takes = 2 * time.Second
 		small := 0
@@ -167,16 +167,16 @@
 			_, _, found := m.worker.HeldBody("large", ident.Request(fmt.Sprint("large-", largeItems-1)))
 			seen = seen || found
 		}
-		assert.Assert(t, seen, "the large job found no room")
+		assert.Assert(t, seen, "the large job did not get into memory")
 		assert.Assert(t, m.budget.Take().Most <= smallWorker/5)
 	})
 }
 
-// TestFullWorkerIsBroughtNoJob has fronts ask a worker without room: they are told of no lease, and a job that is brought all the same is
-// not taken, so that its claim is given up for others.
-func TestFullWorkerIsBroughtNoJob(t *testing.T) {
+// TestFullWorkerIsAssignedNoJob has fronts ask a worker without free memory: it reports no lease, and a job that is
+// assigned all the same is refused, so that its claim is released for others.
+func TestFullWorkerIsAssignedNoJob(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		lease := func() int64 {
 			return m.worker.Demand(&demand.Report{Node: "front", Incarnation: 1, Sequence: 1}).Batch.Lease
 		}
@@ -189,16 +189,16 @@
 		}
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, lease(), int64(0))
-		brought := jobrecord.Open{ID: "brought", Route: "r", Zone: "z", Bytes: largeItems * largeItem, Revision: 1 << 40}
-		err := m.worker.Assign(jobrecord.Assigned{Open: brought, Claim: jobrecord.Claim{Job: "brought"}}, kv.LeaseID(first))
+		assigned := jobrecord.Open{ID: "brought", Route: "r", Zone: "z", Bytes: largeItems * largeItem, Revision: 1 << 40}
+		err := m.worker.Assign(jobrecord.Assigned{Open: assigned, Claim: jobrecord.Claim{Job: "brought"}}, kv.LeaseID(first))
 		assert.ErrorIs(t, err, jobworker.ErrNotAssignable)
 	})
 }
 
-// TestWorkerKeepsNoJobBeyondItsMemory has fronts bring jobs of 8 MiB for the disk of a worker whose memory is taken.
+// TestWorkerKeepsNoJobBeyondItsMemory has fronts send jobs of 8 MiB for the disk of a worker whose memory is full.
 func TestWorkerKeepsNoJobBeyondItsMemory(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		for job := range 6 {
 			m.submitOf("", fmt.Sprint("j", job), largeItems, largeItem)
 		}
@@ -214,11 +214,11 @@
 	})
 }
 
-// TestResultsThatWereLetGoAreReadFromTheStore has jobs end at a worker whose readers come late. While there is room, they are answered from
-// memory; once jobs need it, the worker is not sure, and the store has every result.
-func TestResultsThatWereLetGoAreReadFromTheStore(t *testing.T) {
+// TestEvictedResultsAreReadFromTheStore has jobs end at a worker whose results are read late. While there is memory, they
+// are answered from it; once jobs need it, the worker is not sure, and the store has every result.
+func TestEvictedResultsAreReadFromTheStore(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		m.caller.hold(false)
 		m.submitOf("", "early", 3, 1000)
 		m.waitWhole("early", 3)
@@ -233,16 +233,16 @@
 		}
 		time.Sleep(5 * time.Second)
 		_, sure = m.worker.Held(context.Background(), "early", 0, 0)
-		assert.Assert(t, !sure, "results of a finished job take room that a job needs")
+		assert.Assert(t, !sure, "results of a finished job take memory that a job needs")
 		m.waitWhole("early", 3)
 	})
 }
 
-// TestJobLargerThanTheRoomIsTakenAlone lowers the memory, as settings that are read again do, below what one job needs: it was accepted,
-// and is run by itself.
+// TestJobLargerThanTheRoomIsTakenAlone lowers the memory budget below what one job needs, as reloaded settings do: the job
+// was accepted, and is run alone.
 func TestJobLargerThanTheRoomIsTakenAlone(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		m.budget.SetLimits(heldbytes.LimitsOf(16 << 20))
 		m.caller.hold(false)
 		m.submitOf("a", "one", largeItems, largeItem)
@@ -252,11 +252,11 @@
 	})
 }
 
-// TestClaimsWithoutRoomAreGivenBackAtAStart starts a worker again that holds the claims of more jobs than its memory has room for now.
-// Nobody else may run them as long as it has the claims: those that do not fit go to the other worker.
+// TestClaimsWithoutRoomAreGivenBackAtAStart restarts a worker that holds the claims of more jobs than now fit in its
+// memory. Nobody else may run them while it has the claims: those that do not fit go to the other worker.
 func TestClaimsWithoutRoomAreGivenBackAtAStart(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		m := newMemoryWorld(t)
+		m := newMemoryRig(t)
 		m.budget.SetLimits(heldbytes.LimitsOf(1 << 30))
 		for job := range 7 {
 			m.submitOf("", fmt.Sprint("j", job), largeItems, largeItem)
@@ -273,7 +273,7 @@
 		time.Sleep(10 * time.Second)
 		sum, jobs := m.bodies()
 		assert.Assert(t, jobs >= 2 && sum <= smallWorker/5, "%d bytes of %d jobs", sum, jobs)
-		assert.Assert(t, m.logged("there is no room for it"))
+		assert.Assert(t, m.logged("not enough memory for the job"))
 		m.caller.hold(false)
 		m.callers["other"].hold(false)
 		for _, job := range m.jobs {
@@ -282,26 +282,27 @@
 	})
 }
 
-// TestItemsBeginOneAtATimeBeyondTheBudget lowers the memory below what the one job of a worker takes: its items go on, one at a time of eight
-// places, since each adds its output, and only their ends give room back. With room they run beside each other.
+// TestItemsBeginOneAtATimeBeyondTheBudget lowers the memory budget below what the only job of a worker uses: its items run
+// one at a time although there are eight slots, because each adds its output and only finished items release memory. With
+// enough memory they run in parallel.
 func TestItemsBeginOneAtATimeBeyondTheBudget(t *testing.T) {
-	most := func(memory int64) int {
+	maxRunning := func(memory int64) int {
 		ran := 0
 		simulated.Test(t, func(t *testing.T) {
-			m := newMemoryWorld(t)
+			m := newMemoryRig(t)
 			m.budget.SetLimits(heldbytes.LimitsOf(memory))
 			m.caller.hold(false)
 			m.caller.takes = 500 * time.Millisecond
 			m.submitOf("", "job", largeItems, largeItem)
 			time.Sleep(6 * time.Second)
 			m.caller.mutex.Lock()
-			ran = m.caller.most
+			ran = m.caller.maxRunning
 			m.caller.mutex.Unlock()
 			m.waitWhole("job", largeItems)
 		})
 		return ran
 	}
 	// The last item of the job is 620,000 bytes, more than a fifth of this.
-	assert.Equal(t, most(2<<20), 1)
-	assert.Assert(t, most(smallWorker) > 1)
+	assert.Equal(t, maxRunning(2<<20), 1)
+	assert.Assert(t, maxRunning(smallWorker) > 1)
 }
--- a/internal/jobworker/mirror.go
+++ b/internal/jobworker/mirror.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// mirrorTimeout bounds one sending of output to its second place.
-	mirrorTimeout = 400 * time.Millisecond
-	// askTimeout bounds the asking for output when a job is taken over: a run that begins anew is the price of a node that
-	// does not answer.
-	askTimeout = 200 * time.Millisecond
-	// youngJob is the age below which a job has no output worth asking for.
-	youngJob = 1500 * time.Millisecond
+	// mirrorSendTimeout bounds one transfer of output to its mirror peer.
+	mirrorSendTimeout = 400 * time.Millisecond
+	// mirrorFetchTimeout bounds the calls for output when a job is taken over. If a node does not answer, its items may
+	// have to run again from the beginning.
+	mirrorFetchTimeout = 200 * time.Millisecond
+	// minMirroredAge is the age below which a job has no output worth fetching.
+	minMirroredAge = 1500 * time.Millisecond
 )
 
-// Mirrors carries the output so far of items to other workers, and back from them.
+// Mirrors carries the partial output of items to other workers, and back from them.
 type Mirrors interface {
-	// Send passes updates on to the worker at an address. It returns the items that are to be sent from the beginning.
+	// Send sends updates to the worker at an address. It returns the items that must be sent from the beginning.
 	Send(ctx context.Context, address string, updates []progress.Update) (gaps []ident.Request, err error)
-	// Ask returns what the worker at an address keeps of a job.
+	// Ask returns the output of a job that the worker at an address stores.
 	Ask(ctx context.Context, address string, job ident.Job) ([]progress.Output, error)
 }
 
-// Mirror takes over output that another worker keeps here. It returns the items that are to be sent from the beginning.
+// Mirror stores output of another worker's items. It returns the items that must be sent from the beginning.
 func (w *Worker) Mirror(updates []progress.Update) []ident.Request {
 	if w.Outputs != nil {
 		gaps, err := w.Outputs.Keep(updates, w.Now())
@@ -47,7 +47,7 @@
 	return gaps
 }
 
-// Mirrored returns the output of a job that is kept here for another worker.
+// Mirrored returns the output of a job that is stored here for another worker.
 func (w *Worker) Mirrored(job ident.Job) []progress.Output {
 	if w.Outputs != nil {
 		return w.Outputs.Mirror.Outputs(job)
@@ -55,18 +55,18 @@
 	return w.mirror.Outputs(job)
 }
 
-// mirrorLoop sends what the items in progress have put out to a second worker.
+// mirrorLoop sends the new output of the items in progress to a second worker.
 func (w *Worker) mirrorLoop() error {
 	if w.Mirrors == nil {
 		return nil
 	}
 	for w.pause(w.Options.MirrorEvery) {
 		var sending sync.WaitGroup
-		for address, sent := range w.unmirrored() {
+		for address, batch := range w.pendingMirrors() {
 			sending.Add(1)
 			w.tomb.Go(func() error {
 				defer sending.Done()
-				w.sendMirror(address, sent)
+				w.sendMirror(address, batch)
 				return nil
 			})
 		}
@@ -75,100 +75,101 @@
 	return nil
 }
 
-// outgrowth is output of an item on its way to its second place.
-type outgrowth struct {
+// pendingPiece is output of an item in transfer to its mirror peer.
+type pendingPiece struct {
 	item *itemRun
-	// length is how much of the output is there once the piece has arrived, and run what made its end.
-	length int
-	run    progress.RunID
+	// length is how much of the output the peer has once the piece has arrived, and lastEventRun the run that produced its
+	// end.
+	length       int
+	lastEventRun progress.RunID
 }
 
-// shipment is what one worker is sent at once.
-type shipment struct {
+// mirrorBatch is what one worker is sent at once.
+type mirrorBatch struct {
 	updates []progress.Update
-	grown   []outgrowth
+	pieces  []pendingPiece
 }
 
-// unmirrored returns what the second places lack, by their addresses.
-func (w *Worker) unmirrored() map[string]*shipment {
+// pendingMirrors returns the output that mirror peers lack, by their addresses.
+func (w *Worker) pendingMirrors() map[string]*mirrorBatch {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	shipments := map[string]*shipment{}
+	batches := map[string]*mirrorBatch{}
 	for id, job := range w.jobs {
-		second, found := w.secondPlace(id)
+		mirrorPeer, found := w.mirrorWorker(id)
 		if !found {
 			continue
 		}
-		if job.second != second.Node {
-			job.second = second.Node
-			job.mirrorAnew()
+		if job.mirrorPeer != mirrorPeer.Node {
+			job.mirrorPeer = mirrorPeer.Node
+			job.resetMirrored()
 		}
-		update, grown := job.outgrown()
-		if len(grown) == 0 {
+		update, pieces := job.pendingOutput()
+		if len(pieces) == 0 {
 			continue
 		}
-		sent := shipments[second.Address]
-		if sent == nil {
-			sent = &shipment{}
-			shipments[second.Address] = sent
+		batch := batches[mirrorPeer.Address]
+		if batch == nil {
+			batch = &mirrorBatch{}
+			batches[mirrorPeer.Address] = batch
 		}
-		sent.updates = append(sent.updates, update)
-		sent.grown = append(sent.grown, grown...)
+		batch.updates = append(batch.updates, update)
+		batch.pieces = append(batch.pieces, pieces...)
 	}
-	return shipments
+	return batches
 }
 
-// secondPlace returns the worker that keeps the output of a job beside this one: one of the same zone where there is
-// another, because bytes between zones have their price. The caller holds the mutex.
-func (w *Worker) secondPlace(job ident.Job) (jobrecord.Worker, bool) {
-	near, far := make([]ident.Node, 0, len(w.workers)), make([]ident.Node, 0, len(w.workers))
+// mirrorWorker returns the worker that stores a second copy of a job's output, preferably in the same zone, because
+// traffic between zones costs money. The caller must hold the mutex.
+func (w *Worker) mirrorWorker(job ident.Job) (jobrecord.Worker, bool) {
+	sameZone, otherZones := make([]ident.Node, 0, len(w.workers)), make([]ident.Node, 0, len(w.workers))
 	for node, worker := range w.workers {
 		switch {
 		case node == w.Node:
 		case worker.Zone == w.Zone:
-			near = append(near, node)
+			sameZone = append(sameZone, node)
 		default:
-			far = append(far, node)
+			otherZones = append(otherZones, node)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(sameZone) == 0 {
+		sameZone = otherZones
 	}
-	first, found := rendezvous.First(string(job), slices.Values(near))
+	first, found := rendezvous.First(string(job), slices.Values(sameZone))
 	return w.workers[first], found
 }
 
-// outgrown returns the output of the job's items that the second place lacks. The worker's mutex is held.
-func (j *jobRun) outgrown() (progress.Update, []outgrowth) {
+// pendingOutput returns the output of the job's items that the mirror peer lacks. The caller must hold the worker's mutex.
+func (j *jobRun) pendingOutput() (progress.Update, []pendingPiece) {
 	update := progress.Update{Job: j.header.ID}
-	var grown []outgrowth
+	var pieces []pendingPiece
 	for _, item := range j.items {
 		if item.finished || item.text.Len() <= item.mirrored {
 			continue
 		}
 		text := append([]byte(nil), item.text.Bytes()[item.mirrored:]...)
 		update.Pieces = append(update.Pieces, progress.Piece{
-			Item: item.item.ID, Run: item.run, Before: item.mirroredRun, Offset: item.mirrored, LastEvent: item.lastEvent, Text: text,
+			Item: item.item.ID, Run: item.lastEventRun, Before: item.mirroredRun, Offset: item.mirrored, LastEvent: item.lastEvent, Text: text,
 		})
-		grown = append(grown, outgrowth{item: item, length: item.text.Len(), run: item.run})
+		pieces = append(pieces, pendingPiece{item: item, length: item.text.Len(), lastEventRun: item.lastEventRun})
 	}
-	return update, grown
+	return update, pieces
 }
 
-// mirrorAnew has all output sent from the beginning. The worker's mutex is held.
-func (j *jobRun) mirrorAnew() {
+// resetMirrored has all output sent from the beginning. The caller must hold the worker's mutex.
+func (j *jobRun) resetMirrored() {
 	for _, item := range j.items {
 		item.mirrored = 0
 	}
 }
 
-// sendMirror makes one call and notes what arrived.
-func (w *Worker) sendMirror(address string, sent *shipment) {
-	ctx, cancel := context.WithTimeout(w.ctx, mirrorTimeout)
+// sendMirror makes one call and records what arrived.
+func (w *Worker) sendMirror(address string, batch *mirrorBatch) {
+	ctx, cancel := context.WithTimeout(w.ctx, mirrorSendTimeout)
 	defer cancel()
-	gaps, err := w.Mirrors.Send(ctx, address, sent.updates)
+	gaps, err := w.Mirrors.Send(ctx, address, batch.updates)
 	if err != nil {
-		event.MirrorFailed.Log(w.Logger).Str("worker", address).Int("items", len(sent.grown)).Err(err).Send()
+		event.MirrorFailed.Log(w.Logger).Str("worker", address).Int("items", len(batch.pieces)).Err(err).Send()
 		return
 	}
 	missing := make(map[ident.Request]bool, len(gaps))
@@ -177,17 +178,17 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, one := range sent.grown {
-		one.item.mirrored, one.item.mirroredRun = one.length, one.run
-		if missing[one.item.item.ID] {
-			one.item.mirrored = 0
+	for _, piece := range batch.pieces {
+		piece.item.mirrored, piece.item.mirroredRun = piece.length, piece.lastEventRun
+		if missing[piece.item.item.ID] {
+			piece.item.mirrored = 0
 		}
 	}
 }
 
-// recall asks the other workers, and this one's own memory, for the output of a job that is taken over. It returns the
-// furthest of each item.
-func (w *Worker) recall(id ident.Job) map[ident.Request]progress.Output {
+// fetchMirrored collects the output of a job that is taken over from the other workers and from this worker's own mirror.
+// It returns the longest output of each item.
+func (w *Worker) fetchMirrored(id ident.Job) map[ident.Request]progress.Output {
 	if w.Mirrors == nil {
 		return nil
 	}
@@ -199,7 +200,7 @@
 		}
 	}
 	w.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(w.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(w.ctx, mirrorFetchTimeout)
 	defer cancel()
 	answers := make(chan []progress.Output, len(addresses))
 	for _, address := range addresses {
@@ -212,33 +213,33 @@
 			return nil
 		})
 	}
-	furthest := map[ident.Request]progress.Output{}
-	keepFurthest(furthest, w.Mirrored(id))
+	longest := map[ident.Request]progress.Output{}
+	mergeLongest(longest, w.Mirrored(id))
 	for range addresses {
-		keepFurthest(furthest, <-answers)
+		mergeLongest(longest, <-answers)
 	}
-	return furthest
+	return longest
 }
 
-func keepFurthest(furthest map[ident.Request]progress.Output, outputs []progress.Output) {
+func mergeLongest(longest map[ident.Request]progress.Output, outputs []progress.Output) {
 	for _, output := range outputs {
-		if output.LastEvent > furthest[output.Item].LastEvent {
-			furthest[output.Item] = output
+		if output.LastEvent > longest[output.Item].LastEvent {
+			longest[output.Item] = output
 		}
 	}
 }
 
-// resume has the job's items go on behind the output that was kept. It returns how many do.
-func (j *jobRun) resume(kept map[ident.Request]progress.Output) int {
+// resume makes the job's items continue after the mirrored output. It returns how many do.
+func (j *jobRun) resume(mirrored map[ident.Request]progress.Output) int {
 	resumed := 0
 	for _, item := range j.items {
-		output := kept[item.item.ID]
+		output := mirrored[item.item.ID]
 		if item.finished || output.LastEvent <= item.lastEvent {
 			continue
 		}
 		item.text.Reset()
 		item.text.Write(output.Text)
-		item.lastEvent, item.run = output.LastEvent, output.Run
+		item.lastEvent, item.lastEventRun = output.LastEvent, output.Run
 		resumed++
 	}
 	return resumed
--- a/internal/jobworker/mirror_test.go
+++ b/internal/jobworker/mirror_test.go
@@ -21,8 +21,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// stuckCaller answers each item up to an event and then nothing, until it is let go. It notes after which event it was asked
-// to go on.
+// stuckCaller answers each item up to an event and then blocks until it is released. It records the event after which it
+// was asked to resume.
 type stuckCaller struct {
 	fakeCaller
 	until int
@@ -49,7 +49,7 @@
 	return &work.Reply{Head: work.Head{Status: http.StatusOK}, Sealed: true, Framed: true, Body: io.NopCloser(body)}, nil
 }
 
-// endless gives nothing until its context ends.
+// endless produces no data until its context ends.
 type endless struct{ ctx context.Context }
 
 func (e *endless) Read([]byte) (int, error) {
@@ -57,7 +57,7 @@
 	return 0, e.ctx.Err()
 }
 
-// localMirrors reaches the workers of one process.
+// localMirrors calls the workers of one process.
 type localMirrors struct {
 	mutex   sync.Mutex
 	workers map[string]*jobworker.Worker
@@ -102,11 +102,11 @@
 	m.workers[worker.Address] = worker
 }
 
-// mirrorEvery is the time between two sendings of output to its second place.
+// mirrorEvery is the time between two transfers of output to the mirror peer.
 const mirrorEvery = 20 * time.Millisecond
 
-// TestOutputOutlivesItsWorker ends a worker in the middle of its items: the one that takes the job over goes on after their
-// last event, and the output is whole.
+// TestOutputOutlivesItsWorker stops a worker in the middle of its items: the one that takes the job over resumes after
+// their last event, and the output is complete.
 func TestOutputOutlivesItsWorker(t *testing.T) {
 	g := newGroup(t)
 	mirrors := &localMirrors{workers: map[string]*jobworker.Worker{}}
@@ -122,7 +122,7 @@
 			break
 		}
 	}
-	assert.Equal(t, reached(mirrors.workers["n1"].Mirrored("j"), 2), 3, "the output never reached the second worker")
+	assert.Equal(t, reached(mirrors.workers["n1"].Mirrored("j"), 2), 3, "the output did not reach the second worker")
 	time.Sleep(1500 * time.Millisecond)
 	mirrors.mutex.Lock()
 	delete(mirrors.workers, "n0")
@@ -132,7 +132,7 @@
 	second.mutex.Lock()
 	defer second.mutex.Unlock()
 	for index := range 3 {
-		assert.Equal(t, second.resumed[ident.Request(fmt.Sprint("j-", index))], int64(2), "item %d began anew", index)
+		assert.Equal(t, second.resumed[ident.Request(fmt.Sprint("j-", index))], int64(2), "item %d restarted from the beginning", index)
 	}
 }
 
--- a/internal/jobworker/order.go
+++ b/internal/jobworker/order.go
@@ -6,68 +6,70 @@
 	"time"
 )
 
-// leastRemaining is the part of a run's mean time that an item is thought to need at least.
-const leastRemaining = 0.1
+// minRemainingFraction is the least fraction of its estimated run that an item is assumed to need.
+const minRemainingFraction = 0.1
 
-// An item's size, as a multiple of the mean, is believed within these bounds: the counts are those of the client.
+// minRelativeSize and maxRelativeSize bound an item's size as a multiple of the mean, because the token counts come from the client.
 const (
-	smallestSize = 0.3
-	largestSize  = 3
+	minRelativeSize = 0.3
+	maxRelativeSize = 3
 )
 
-// Runs step aside for online work and go on later, so that an item takes longer than one run without a break.
+// Runs are preempted for online work and resumed later, so an item takes longer than one uninterrupted run.
 const (
-	// begunSlowdown is how many times longer an item with output takes, unbegunSlowdown one without: an item is begun only
-	// where it is likely to be done in time.
-	begunSlowdown   = 1.0
-	unbegunSlowdown = 1.25
+	// startedSlowdown is the factor by which an item with output takes longer, unstartedSlowdown that of an item without:
+	// an item is started only if it is likely to be done in time.
+	startedSlowdown   = 1.0
+	unstartedSlowdown = 1.25
 )
 
-// prospect is what the order of an item depends on.
-type prospect struct {
+// urgency is what the order of an item depends on.
+type urgency struct {
 	item *itemRun
-	// start is when the item had to start at the latest to be done in time. It does not move as the item progresses:
-	// otherwise each item would fall behind those with less output, and all would be finished late together.
-	start time.Time
-	// latest is when the item has to go on at the latest to be likely done in time.
-	latest time.Time
-	// remaining is the time the item still needs.
+	// plannedStart is the latest start of the whole item for it to be done in time. It does not move as the item
+	// progresses: otherwise each item would fall behind those with less output, and all would finish late together.
+	plannedStart time.Time
+	// latestStart is the latest time to start or resume the item for it to be likely done in time.
+	latestStart time.Time
+	// remaining is the time that the item still needs.
 	remaining time.Duration
-	// hopeless says that the item cannot be done in time any more.
-	hopeless bool
+	// tooLate is set if the item can no longer be done in time.
+	tooLate bool
 }
 
-// prospects returns the items in the order in which they are to be given out. Items that can still be done in time come
-// first, those that had to start first before the others, so that large items start early and what is begun is finished.
-// The others follow, those with the least left to do first. The caller holds the mutex.
-func (w *Worker) prospects(items []*itemRun, now time.Time) []prospect {
-	ordered := make([]prospect, 0, len(items))
+// byUrgency returns the items in dispatch order. Items that can still be done in time come first, ordered by planned
+// start, so that large items start early and started items are finished. The others follow, those with the least remaining
+// time first. The caller must hold the mutex.
+func (w *Worker) byUrgency(items []*itemRun, now time.Time) []urgency {
+	ordered := make([]urgency, 0, len(items))
 	for _, item := range items {
-		ordered = append(ordered, w.prospect(item, now))
+		ordered = append(ordered, w.urgency(item, now))
 	}
-	slices.SortFunc(ordered, compareProspects)
+	slices.SortFunc(ordered, compareUrgency)
 	return ordered
 }
 
-func (w *Worker) prospect(item *itemRun, now time.Time) prospect {
-	due, whole, remaining := w.due(item), w.whole(item), w.remaining(item)
-	slowdown := unbegunSlowdown
+func (w *Worker) urgency(item *itemRun, now time.Time) urgency {
+	due, estimatedRun, remaining := w.due(item), w.estimatedRun(item), w.remaining(item)
+	slowdown := unstartedSlowdown
 	if item.lastEvent > 0 {
-		slowdown = begunSlowdown
+		slowdown = startedSlowdown
+	}
+	latestStart := due.Add(-time.Duration(slowdown * float64(remaining)))
+	return urgency{
+		item: item, plannedStart: due.Add(-estimatedRun), latestStart: latestStart, remaining: remaining, tooLate: now.After(latestStart),
 	}
-	latest := due.Add(-time.Duration(slowdown * float64(remaining)))
-	return prospect{item: item, start: due.Add(-whole), latest: latest, remaining: remaining, hopeless: now.After(latest)}
 }
 
-func compareProspects(first, second prospect) int {
-	if first.hopeless != second.hopeless {
-		if first.hopeless {
+func compareUrgency(first, second urgency) int {
+	if first.tooLate != second.tooLate {
+		if first.tooLate {
 			return 1
 		}
 		return -1
 	}
-	byTime := first.start.Compare(second.start)
-	if first.hopeless {
+	byTime := first.plannedStart.Compare(second.plannedStart)
+	if first.tooLate {
 		byTime = cmp.Compare(first.remaining, second.remaining)
 	}
 	return cmp.Or(
@@ -87,24 +89,24 @@
 	return submitted.Add(route.CompletionObjective)
 }
 
-// size is the item's size as a multiple of the mean.
-func (w *Worker) size(item *itemRun) float64 {
+// relativeSize returns the item's size as a multiple of the mean.
+func (w *Worker) relativeSize(item *itemRun) float64 {
 	if w.tokens <= 0 || item.item.Tokens <= 0 {
 		return 1
 	}
-	return min(max(float64(item.item.Tokens)/w.tokens, smallestSize), largestSize)
+	return min(max(float64(item.item.Tokens)/w.tokens, minRelativeSize), maxRelativeSize)
 }
 
-// whole estimates the time of a run of the whole item.
-func (w *Worker) whole(item *itemRun) time.Duration {
-	return time.Duration(w.size(item) * float64(w.duration))
+// estimatedRun estimates the duration of a run of the whole item.
+func (w *Worker) estimatedRun(item *itemRun) time.Duration {
+	return time.Duration(w.relativeSize(item) * float64(w.duration))
 }
 
-// remaining estimates the time the item still needs at a runner, from its size and from what it has already.
+// remaining estimates the time that the item still needs at a runner, from its size and its output so far.
 func (w *Worker) remaining(item *itemRun) time.Duration {
 	left := 1.0
 	if w.events > 0 {
-		left = max(leastRemaining, 1-float64(item.lastEvent)/(w.size(item)*w.events))
+		left = max(minRemainingFraction, 1-float64(item.lastEvent)/(w.relativeSize(item)*w.events))
 	}
-	return time.Duration(left * float64(w.whole(item)))
+	return time.Duration(left * float64(w.estimatedRun(item)))
 }
--- a/internal/jobworker/order_test.go
+++ b/internal/jobworker/order_test.go
@@ -13,10 +13,10 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// orderStart is when the jobs of these tests are looked at.
+// orderStart is the current time in these tests.
 var orderStart = time.UnixMilli(1_000_000)
 
-// waitingItem is an item of a job that was submitted some time ago and is due 20 s after that.
+// waitingItem returns an item of a job that was submitted some time ago and is due 20 s after that.
 func waitingItem(job string, age time.Duration, tokens int) *itemRun {
 	header := &jobrecord.Header{ID: ident.Job(job), Host: "h", SubmittedMs: orderStart.Add(-age).UnixMilli()}
 	return &itemRun{job: &jobRun{header: header, submitted: header.Submitted()}, item: work.Item{ID: ident.Request(job), Path: "/p/x", Tokens: tokens}}
@@ -24,8 +24,8 @@
 
 func orderOf(w *Worker, items ...*itemRun) string {
 	text := ""
-	for _, prospect := range w.prospects(items, orderStart) {
-		text += fmt.Sprint(prospect.item.item.ID, " ")
+	for _, next := range w.byUrgency(items, orderStart) {
+		text += fmt.Sprint(next.item.item.ID, " ")
 	}
 	return text
 }
@@ -60,9 +60,9 @@
 	assert.Equal(t, orderOf(w, unbegun, begun), "begun unbegun ")
 }
 
-func TestAnItemIsBegunOnlyWithTimeForBreaks(t *testing.T) {
+func TestItemIsStartedOnlyWithTimeForPreemptions(t *testing.T) {
 	w := newOrderWorker()
-	// 5.5 s are left for a run of 5 s: enough for one that goes on, not for one that begins and will step aside.
+	// 5.5 s are left for a run of 5 s: enough for a resumed run, not for a new one that will be preempted.
 	tight, young := waitingItem("tight", 14500*time.Millisecond, 1000), waitingItem("young", time.Second, 1000)
 	assert.Equal(t, orderOf(w, tight, young), "young tight ")
 	tight.lastEvent = 1
