--- a/internal/jobworker/orphans.go
+++ b/internal/jobworker/orphans.go
@@ -12,148 +12,154 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// commonLoss is what a worker knows of the runs at its runners that no living node tells of, after all nodes lost their power. The
-// worker's mutex guards it. The zero commonLoss looks for none.
-type commonLoss struct {
+// orphanState is what a worker knows of orphaned runs at its runners: runs that no living node accounts for after a
+// simultaneous restart of all nodes. The worker's mutex guards it. The zero value looks for none.
+type orphanState struct {
 	watch  orphans.Watch
 	ration orphans.Ration
-	// reading are the runners of which a reading beside the usual ones is on its way.
-	reading map[ident.Incarnation]bool
+	// polling are the runners with an orphan poll in flight, beside the usual reports.
+	polling map[ident.Incarnation]bool
 	counts  map[ident.Incarnation]*orphans.Count
-	// readings counts those made; unsettled is how many owned runners were not read, or had orphans, in the last round.
-	readings, unsettled int
-	// found says that the log was told what was found, gone that it was told that there are none any more.
-	found, gone bool
+	// reports counts the reports read; unsettled is how many owned runners were not read, or had orphans, in the last
+	// round.
+	reports, unsettled int
+	// foundLogged is set when the findings were logged, goneLogged when it was logged that there are no orphans any more.
+	foundLogged, goneLogged bool
 }
 
-// heard notes how long a node that tells of its work has lived. One that has lived longer than the common loss knows what the
-// runners have: then there was none.
-func (l *commonLoss) heard(report *demand.Report, now time.Time) {
-	if !l.watch.Heard(report.Age(), now) {
-		*l = commonLoss{}
+// observeAge records the age of a node that reports its work. A node that started before the supposed restart of all nodes
+// shows that there was none, because it accounts for its runs.
+func (s *orphanState) observeAge(report *demand.Report, now time.Time) {
+	if !s.watch.Heard(report.Age(), now) {
+		*s = orphanState{}
 	}
 }
 
-// heardFirst takes requests of a node that tells for the first time out of the orphans, as far as they were sent before the runners were
-// read.
-func (l *commonLoss) heardFirst(report *demand.Report, now time.Time) {
-	if !l.watch.Open(now) {
+// subtractKnown subtracts the requests in a node's first report from the orphans, as far as they were sent before the
+// runners were read.
+func (s *orphanState) subtractKnown(report *demand.Report, now time.Time) {
+	if !s.watch.Open(now) {
 		return
 	}
-	for _, told := range report.Counts {
-		if told.Old <= 0 {
+	for _, reported := range report.Counts {
+		if reported.Old <= 0 {
 			continue
 		}
-		count := l.counts[told.Runner]
+		count := s.counts[reported.Runner]
 		if count == nil {
-			count = l.add(told.Runner)
+			count = s.addCount(reported.Runner)
 		}
-		count.Learn(min(told.Old, told.Online), now)
+		count.Learn(min(reported.Old, reported.Online), now)
 	}
 }
 
-// read takes in the report of a runner.
-func (l *commonLoss) read(id ident.Incarnation, load work.Load, now time.Time) {
-	if count := l.counts[id]; count != nil && l.watch.Open(now) {
+// recordReport records a runner's report.
+func (s *orphanState) recordReport(id ident.Incarnation, load work.Load, now time.Time) {
+	if count := s.counts[id]; count != nil && s.watch.Open(now) {
 		count.Read(load.Running+load.Waiting, now)
-		l.readings++
+		s.reports++
 	}
 }
 
-// at is how many orphans a runner has.
-func (l *commonLoss) at(id ident.Incarnation, now time.Time) int {
-	if count := l.counts[id]; count != nil && l.watch.Open(now) {
+// runsAt returns how many orphans a runner has.
+func (s *orphanState) runsAt(id ident.Incarnation, now time.Time) int {
+	if count := s.counts[id]; count != nil && s.watch.Open(now) {
 		return count.Runs(now)
 	}
 	return 0
 }
 
-// unread says whether nothing is known of a runner, and told of it, because this node has just started: its places may all be taken.
-func (l *commonLoss) unread(id ident.Incarnation, now time.Time) bool {
-	count := l.counts[id]
-	return l.watch.Settling(now) && (count == nil || !count.WasRead())
+// unknown reports whether the load of a runner is unknown because this node has just started: all its slots may be taken.
+func (s *orphanState) unknown(id ident.Incarnation, now time.Time) bool {
+	count := s.counts[id]
+	return s.watch.Settling(now) && (count == nil || !count.WasRead())
 }
 
-// startShare of the room for items is used while nodes that have just started have not told of their work: the rest is for requests,
-// which are there at once. Items can't wait for all of them: those of the jobs in progress have lost time already.
-const startShare = 0.5
+// startupFraction of the free slots is used for items while nodes that have just started have not reported their work; the
+// rest is for requests, which arrive at once. Items cannot wait for all reports, because those of the jobs in progress
+// have already lost time.
+const startupFraction = 0.5
 
-// roomFor is how many items more may begin at a runner that has room for some.
-func (l *commonLoss) roomFor(id ident.Incarnation, room int, now time.Time) int {
+// limitFree returns how many more items may start at a runner with a number of free slots.
+func (s *orphanState) limitFree(id ident.Incarnation, free int, now time.Time) int {
 	switch {
-	case l.unread(id, now):
+	case s.unknown(id, now):
 		return 0
-	case l.watch.Settling(now) && l.unsettled > 0:
-		return int(startShare * float64(room))
+	case s.watch.Settling(now) && s.unsettled > 0:
+		return int(startupFraction * float64(free))
 	}
-	return room
+	return free
 }
 
-// followOrphans notes the work at the owned runners that is known of, so that their reports can be held against it. The caller
-// holds the mutex.
-func (w *Worker) followOrphans(now time.Time) {
-	loss := &w.loss
-	if !loss.watch.Open(now) {
+// updateOrphans records the known work at the owned runners, to be compared with their reports. The caller must hold the
+// mutex.
+func (w *Worker) updateOrphans(now time.Time) {
+	orphanRuns := &w.orphanRuns
+	if !orphanRuns.watch.Open(now) {
 		return
 	}
 	owned := w.allOwned(now)
 	runs, read := 0, 0
-	loss.unsettled = max(len(owned), 1)
+	orphanRuns.unsettled = max(len(owned), 1)
 	for _, runner := range owned {
-		count := loss.counts[runner.ID]
+		count := orphanRuns.counts[runner.ID]
 		if count == nil {
-			count = loss.add(runner.ID)
+			count = orphanRuns.addCount(runner.ID)
 		}
-		count.Know(w.demand.Online(runner.ID, "", now)+w.batchAt(runner.ID, now), now)
+		count.Know(w.demand.Online(runner.ID, "", now)+w.batchRunsAt(runner.ID, now), now)
 		runs += count.Runs(now)
 		if count.WasRead() {
 			read++
 		}
 		if count.Gone() {
-			loss.unsettled--
+			orphanRuns.unsettled--
 		}
 	}
-	loss.tell(w.Logger, lossFigures{runners: len(owned), read: read, runs: runs, age: now.Sub(w.started)}, loss.watch.Settling(now))
+	orphanRuns.logState(w.Logger, orphanFigures{
+		runners: len(owned), read: read, runs: runs, age: now.Sub(w.started),
+	}, orphanRuns.watch.Settling(now))
 }
 
-func (l *commonLoss) add(id ident.Incarnation) *orphans.Count {
-	if l.counts == nil {
-		l.counts = map[ident.Incarnation]*orphans.Count{}
+func (s *orphanState) addCount(id ident.Incarnation) *orphans.Count {
+	if s.counts == nil {
+		s.counts = map[ident.Incarnation]*orphans.Count{}
 	}
-	l.counts[id] = &orphans.Count{}
-	return l.counts[id]
+	s.counts[id] = &orphans.Count{}
+	return s.counts[id]
 }
 
-// orphaned returns the owned runners whose reports are read because they may have orphans. The caller holds the mutex.
-func (w *Worker) orphaned(now time.Time) []work.Runner {
-	if !w.loss.watch.Open(now) {
+// orphanedRunners returns the owned runners whose reports are read because they may have orphans. The caller must hold the
+// mutex.
+func (w *Worker) orphanedRunners(now time.Time) []work.Runner {
+	if !w.orphanRuns.watch.Open(now) {
 		return nil
 	}
 	var found []work.Runner
 	for _, runner := range w.allOwned(now) {
-		if count := w.loss.counts[runner.ID]; count != nil && !count.Gone() {
+		if count := w.orphanRuns.counts[runner.ID]; count != nil && !count.Gone() {
 			found = append(found, runner)
 		}
 	}
 	return found
 }
 
-// lossFigures are those of the log: the owned runners, how many of them were read, their orphans, and the age of this process.
-type lossFigures struct {
+// orphanFigures are the logged figures: the owned runners, how many of them were read, their orphans, and the age of this
+// process.
+type orphanFigures struct {
 	runners, read, runs int
 	age                 time.Duration
 }
 
-// tell writes what was found, once all runners were read or the time for it is over, and that the orphans are gone.
-func (l *commonLoss) tell(logger zerolog.Logger, figures lossFigures, settling bool) {
-	whole := figures.runners > 0 && figures.read == figures.runners
-	if !l.found && (whole || !settling) {
-		l.found, l.gone = true, figures.runs == 0
+// logState logs what was found, once all runners were read or the time for it is over, and when the orphans are gone.
+func (s *orphanState) logState(logger zerolog.Logger, figures orphanFigures, settling bool) {
+	allRead := figures.runners > 0 && figures.read == figures.runners
+	if !s.foundLogged && (allRead || !settling) {
+		s.foundLogged, s.goneLogged = true, figures.runs == 0
 		event.OrphansFound.Log(logger).Int("runners", figures.runners).Int("read", figures.read).
 			Int("runs", figures.runs).Int64("age_ms", figures.age.Milliseconds()).Send()
 	}
-	if l.found && !l.gone && figures.runs == 0 {
-		l.gone = true
-		event.OrphansGone.Log(logger).Int("readings", l.readings).Int64("age_ms", figures.age.Milliseconds()).Send()
+	if s.foundLogged && !s.goneLogged && figures.runs == 0 {
+		s.goneLogged = true
+		event.OrphansGone.Log(logger).Int("readings", s.reports).Int64("age_ms", figures.age.Milliseconds()).Send()
 	}
 }
--- a/internal/jobworker/orphans_test.go
+++ b/internal/jobworker/orphans_test.go
@@ -19,7 +19,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// busyCaller answers the reports of runners that are busy with runs of dead nodes, and counts them.
+// busyCaller answers reports of runners with orphaned runs, and counts the calls.
 type busyCaller struct {
 	work.Caller
 	mutex sync.Mutex
@@ -40,14 +40,14 @@
 	c.busy[runner] = busy
 }
 
-func (c *busyCaller) read(runner ident.Incarnation) int {
+func (c *busyCaller) reportCount(runner ident.Incarnation) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.reads[runner]
 }
 
-// startedWorker is a worker that has just started, again or for the first time, and owns runners a and b of eight places. Runner a
-// is full of runs of nodes that are gone.
+// startedWorker returns a worker that has just started, again or for the first time, and owns runners a and b of eight
+// slots. Runner a is full of runs of nodes that are gone.
 func startedWorker(t *testing.T, again bool) (*Worker, *busyCaller) {
 	t.Helper()
 	runners := runnertable.New("z")
@@ -71,8 +71,8 @@
 	return w, caller
 }
 
-// told is the answer of a worker to a node that has lived for an age and has some requests at runner a.
-func told(w *Worker, node ident.Node, sequence int64, age time.Duration, online int) map[ident.Incarnation]demand.Share {
+// demandAnswer returns the shares that a worker sends to a node of a given age with some requests at runner a.
+func demandAnswer(w *Worker, node ident.Node, sequence int64, age time.Duration, online int) map[ident.Incarnation]demand.Share {
 	shares := map[ident.Incarnation]demand.Share{}
 	report := &demand.Report{Node: node, Sequence: sequence, AgeMs: age.Milliseconds(), Counts: []demand.Count{{Runner: "a", Online: online}}}
 	for _, share := range w.Demand(report).Shares {
@@ -81,80 +81,81 @@
 	return shares
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 20*time.Second, "never: %s", what)
+		assert.Assert(t, time.Since(began) < 20*time.Second, "timed out: %s", what)
 	}
 }
 
-// TestWorkerThatStartedWithAllTellsWhatNobodyElseKnows has all nodes start at once, one runner full of runs of their predecessors. The
-// worker has no job and nobody asks it for places. It tells of the runs as soon as it has read the runner, and of nothing before;
-// once they are over it tells so and reads no more.
-func TestWorkerThatStartedWithAllTellsWhatNobodyElseKnows(t *testing.T) {
+// TestWorkerReportsOrphansAfterSimultaneousRestart has all nodes start at once, with one runner full of runs of their
+// predecessors. The worker has no job and nobody asks it for slots. It reports the orphaned runs as soon as it has read
+// the runner, and nothing before; once they are over it reports that and stops reading.
+func TestWorkerReportsOrphansAfterSimultaneousRestart(t *testing.T) {
 	w, caller := startedWorker(t, true)
 	sequence := int64(0)
 	next := func() map[ident.Incarnation]demand.Share {
 		sequence++
-		shares := told(w, "f", sequence, 50*time.Millisecond, 0)
-		if share, found := shares["a"]; found && caller.read("a") == 0 {
-			t.Fatalf("told %+v of a runner that was not read", share)
+		shares := demandAnswer(w, "f", sequence, 50*time.Millisecond, 0)
+		if share, found := shares["a"]; found && caller.reportCount("a") == 0 {
+			t.Fatalf("reported %+v for a runner that was not read", share)
 		}
 		return shares
 	}
-	eventually(t, "the runs of dead nodes are told of", func() bool { return next()["a"].Orphans == 8 })
+	eventually(t, "orphaned runs are reported", func() bool { return next()["a"].Orphans == 8 })
 	assert.Equal(t, next()["b"].Orphans, 0)
 	w.mutex.Lock()
-	room := w.room(work.Runner{ID: "b", Service: "s", Zone: "z", Slots: 8}, w.Now())
+	free := w.free(work.Runner{ID: "b", Service: "s", Zone: "z", Slots: 8}, w.Now())
 	w.mutex.Unlock()
-	assert.Assert(t, room <= 4, "items would take the places of requests that nodes did not tell of yet")
+	assert.Assert(t, free <= 4, "items would take the slots of requests not reported yet")
 	caller.set("a", 0)
 	eventually(t, "the runs are over", func() bool { return next()["a"].Orphans == 0 })
-	reads := caller.read("a")
+	reads := caller.reportCount("a")
 	time.Sleep(3 * DefaultOptions.ReportEvery)
-	assert.Assert(t, caller.read("a") <= reads+1, "a runner without such runs is read on")
+	assert.Assert(t, caller.reportCount("a") <= reads+1, "a runner without orphans is still read")
 }
 
-// TestWorkerThatStartedAloneTellsNothing has a worker start while the nodes that send requests live, and one that starts for the first
-// time: whatever the runners have is somebody's.
-func TestWorkerThatStartedAloneTellsNothing(t *testing.T) {
+// TestWorkerRestartedAloneReportsNoOrphans has a worker restart while the nodes that send requests are alive, and one that
+// starts for the first time: all runs at the runners are accounted for.
+func TestWorkerRestartedAloneReportsNoOrphans(t *testing.T) {
 	for name, c := range map[string]struct {
 		again bool
 		age   time.Duration
 	}{
-		"alone":                       {again: true, age: 20 * time.Second},
-		"beside nodes that tell none": {again: true},
-		"for the first time":          {age: 50 * time.Millisecond},
+		"alone":                           {again: true, age: 20 * time.Second},
+		"beside nodes that report no age": {again: true},
+		"for the first time":              {age: 50 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, caller := startedWorker(t, c.again)
-			eventually(t, "the runners are known", func() bool { return len(told(w, "f", 1, c.age, 0)) == 2 })
+			eventually(t, "the runners are known", func() bool { return len(demandAnswer(w, "f", 1, c.age, 0)) == 2 })
 			time.Sleep(3 * DefaultOptions.ReportEvery)
-			shares := told(w, "f", 2, c.age, 0)
+			shares := demandAnswer(w, "f", 2, c.age, 0)
 			assert.Equal(t, len(shares), 2)
 			assert.Equal(t, shares["a"].Orphans, 0)
-			reads := caller.read("a")
+			reads := caller.reportCount("a")
 			time.Sleep(2 * DefaultOptions.ReportEvery)
-			assert.Equal(t, caller.read("a"), reads, "a runner is read though nothing was lost")
+			assert.Equal(t, caller.reportCount("a"), reads, "a runner is read although there are no orphans")
 		})
 	}
 }
 
-// TestRequestsOfTheLivingAreNoRunsOfTheDead has a worker read a runner that is full before any node told it of work, and then a node, which
-// started with it, tell of requests that it sent long before: these are taken out of the runs of dead nodes at once, and the rest stays.
-func TestRequestsOfTheLivingAreNoRunsOfTheDead(t *testing.T) {
+// TestRequestsOfLivingNodesAreNotOrphans has a worker read a full runner before any node reported work. A node that
+// restarted with it then reports requests that it sent long before: these are subtracted from the orphans at once, and the
+// rest stays.
+func TestRequestsOfLivingNodesAreNotOrphans(t *testing.T) {
 	w, _ := startedWorker(t, true)
-	eventually(t, "the runner is read", func() bool { return told(w, "early", 1, 50*time.Millisecond, 0)["a"].Orphans == 8 })
+	eventually(t, "the runner is read", func() bool { return demandAnswer(w, "early", 1, 50*time.Millisecond, 0)["a"].Orphans == 8 })
 	report := &demand.Report{Node: "late", Sequence: 1, AgeMs: 400, Counts: []demand.Count{{Runner: "a", Online: 6, Old: 5}}}
 	for _, share := range w.Demand(report).Shares {
 		assert.Assert(t, share.Runner != "a" || share.Orphans == 3, "%+v", share)
 	}
-	early := told(w, "early", 2, 50*time.Millisecond, 0)["a"]
+	early := demandAnswer(w, "early", 2, 50*time.Millisecond, 0)["a"]
 	assert.Equal(t, early.Others, 6)
 	assert.Equal(t, early.Orphans, 3)
-	// It is told once: what grows old since then was known as the runner was read.
+	// This is subtracted only once: requests that have become old since then were known when the runner was read.
 	report.Sequence, report.Counts[0].Old = 2, 6
 	w.Demand(report)
-	assert.Equal(t, told(w, "early", 3, 50*time.Millisecond, 0)["a"].Orphans, 3)
+	assert.Equal(t, demandAnswer(w, "early", 3, 50*time.Millisecond, 0)["a"].Orphans, 3)
 }
--- a/internal/jobworker/outage.go
+++ b/internal/jobworker/outage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// outage remembers when the store was away. The zero outage says that it never was.
+// outage tracks when the store was unreachable. The zero value means never.
 type outage struct {
-	// failingSince is when the calls began to fail, or zero.
+	// failingSince is when the calls started to fail, or zero.
 	failingSince time.Time
 	// ended is when the last outage ended.
 	ended time.Time
 }
 
-// note takes in how a call ended. Failures count as an outage from the given time on.
-func (o *outage) note(failed bool, after time.Duration, now time.Time) {
+// record records the outcome of a call. Failures count as an outage once they have lasted longer than after.
+func (o *outage) record(failed bool, after time.Duration, now time.Time) {
 	switch {
 	case !failed:
-		if o.lasts(after, now) {
+		if o.ongoing(after, now) {
 			o.ended = now
 		}
 		o.failingSince = time.Time{}
@@ -23,12 +23,12 @@
 	}
 }
 
-// lasts says whether the store is away now.
-func (o *outage) lasts(after time.Duration, now time.Time) bool {
+// ongoing reports whether the store is unreachable now.
+func (o *outage) ongoing(after time.Duration, now time.Time) bool {
 	return !o.failingSince.IsZero() && now.Sub(o.failingSince) > after
 }
 
-// justEnded says whether the last outage ended within the time before now, or still lasts.
-func (o *outage) justEnded(within, after time.Duration, now time.Time) bool {
-	return o.lasts(after, now) || (!o.ended.IsZero() && now.Sub(o.ended) < within)
+// recent reports whether the last outage ended within the given time before now, or is still ongoing.
+func (o *outage) recent(within, after time.Duration, now time.Time) bool {
+	return o.ongoing(after, now) || (!o.ended.IsZero() && now.Sub(o.ended) < within)
 }
--- a/internal/jobworker/pace_test.go
+++ b/internal/jobworker/pace_test.go
@@ -13,21 +13,21 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// paceTold is what an owner tells a node of a runner's pace.
-func paceTold(w *Worker, node ident.Node, sequence int64) demand.Share {
+// paceShare returns what an owner sends a node about a runner's pace.
+func paceShare(w *Worker, node ident.Node, sequence int64) demand.Share {
 	return w.Demand(&demand.Report{Node: node, Sequence: sequence}).Shares[0]
 }
 
-// TestOwnerTellsNodesWhatOthersAndItemsHeard has one node hear that a runner is slow, and an item that it is no more. A second node hears of both, in
-// that order, and the older word does not come back.
-func TestOwnerTellsNodesWhatOthersAndItemsHeard(t *testing.T) {
+// TestOwnerPassesOnPaceOfRequestsAndItems has a node report that a runner is slow, and an item show that it no longer is.
+// A second node is sent the newer state, and the older one does not return.
+func TestOwnerPassesOnPaceOfRequestsAndItems(t *testing.T) {
 	w, _ := demandWorker(t)
 	now := time.Unix(1000, 0)
 	w.Now = func() time.Time { return now }
-	assert.Equal(t, paceTold(w, "second", 1).Pace, work.Pace(0), "nothing is known, and nothing told")
+	assert.Equal(t, paceShare(w, "second", 1).Pace, work.Pace(0), "nothing is known and nothing is sent")
 	w.Demand(&demand.Report{Node: "first", Sequence: 1, Counts: []demand.Count{{Runner: "r", Pace: 2.5, PaceAgeMs: 40}}})
 	now = now.Add(60 * time.Millisecond)
-	share := paceTold(w, "second", 2)
+	share := paceShare(w, "second", 2)
 	assert.Equal(t, share.Pace, work.Pace(2.5))
 	assert.Equal(t, share.PaceAgeMs, int64(100))
 	item, err := w.Runners.StartAt("r", runnertable.Wish{Service: "s", Class: runnertable.Batch}, now)
@@ -35,16 +35,16 @@
 	item.Answered(&work.Load{Slots: 4, Pace: 1}, now)
 	item.End()
 	w.Demand(&demand.Report{Node: "first", Sequence: 2, Counts: []demand.Count{{Runner: "r", Pace: 2.5, PaceAgeMs: 100}}})
-	share = paceTold(w, "second", 3)
+	share = paceShare(w, "second", 3)
 	assert.Equal(t, share.Pace, work.Pace(1))
 	assert.Equal(t, share.PaceAgeMs, int64(0))
 	now = now.Add(5 * time.Second)
-	share = paceTold(w, "second", 4)
-	assert.Equal(t, share.Pace, work.Pace(0), "nobody can believe in the slow phase any more")
+	share = paceShare(w, "second", 4)
+	assert.Equal(t, share.Pace, work.Pace(0), "the slow phase is outdated for every node")
 }
 
-// TestOlderBuildsTellAndReadNoPace looks at what passes where nothing is known, and at a report of a build that tells none.
-func TestOlderBuildsTellAndReadNoPace(t *testing.T) {
+// TestOlderBuildsExchangeNoPace checks what is sent when nothing is known, and the report of a build that sends no pace.
+func TestOlderBuildsExchangeNoPace(t *testing.T) {
 	w, _ := demandWorker(t)
 	var report demand.Report
 	assert.NilError(t, json.Unmarshal([]byte(`{"node":"old","sequence":1,"counts":[{"runner":"r","online":1}]}`), &report))
@@ -57,8 +57,8 @@
 	assert.Equal(t, string(encoded), `{"runner":"r","online":1}`)
 }
 
-// TestItemsAreBegunAtRunnersOfTheUsualPaceFirst has two runners with as much room, one of them slow: items go there only when the other has
-// less room by as much. Without a word the choice is that of before.
+// TestItemsAreBegunAtRunnersOfTheUsualPaceFirst has two runners with equal free slots, one of them slow: items start there
+// only when the other has correspondingly fewer free slots. Without pace data the choice is unchanged.
 func TestItemsAreBegunAtRunnersOfTheUsualPaceFirst(t *testing.T) {
 	w := idleWorker(t)
 	now := time.Now()
@@ -70,24 +70,24 @@
 	}
 	w.Runners.Replace(runners, now, true)
 	w.Demand(&demand.Report{Node: "front", Sequence: 1})
-	roomiest := func() ident.Incarnation {
+	pick := func() ident.Incarnation {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		id, found := w.roomiestOf(w.owned("s"), nil, now)
+		id, found := w.pickFrom(w.owned("s"), nil, now)
 		assert.Assert(t, found)
 		return id
 	}
-	begin := func() {
+	start := func() {
 		_, err := w.Runners.StartAt("b", runnertable.Wish{Service: "s", Class: runnertable.Batch}, now)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, roomiest(), ident.Incarnation("a"))
+	assert.Equal(t, pick(), ident.Incarnation("a"))
 	w.Demand(&demand.Report{Node: "front", Sequence: 2, Counts: []demand.Count{{Runner: "a", Pace: 3}}})
 	for range 6 {
-		assert.Equal(t, roomiest(), ident.Incarnation("b"))
-		begin()
+		assert.Equal(t, pick(), ident.Incarnation("b"))
+		start()
 	}
 	assert.Equal(t, w.Runners.Own("a", runnertable.Batch), 0)
-	begin()
-	assert.Equal(t, roomiest(), ident.Incarnation("a"), "a slow place is better than none")
+	start()
+	assert.Equal(t, pick(), ident.Incarnation("a"), "a slow slot is better than none")
 }
--- a/internal/jobworker/ration.go
+++ b/internal/jobworker/ration.go
@@ -9,33 +9,34 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// note takes in what waits for places at a node. Places are rationed only while orphans are looked for.
-func (l *commonLoss) note(report *demand.Report, now time.Time) {
-	if !l.watch.Open(now) {
-		l.ration = orphans.Ration{}
+// recordWaiting records the requests that wait for slots at a node. Slots are rationed only while orphans are looked for.
+func (s *orphanState) recordWaiting(report *demand.Report, now time.Time) {
+	if !s.watch.Open(now) {
+		s.ration = orphans.Ration{}
 		return
 	}
 	waits := make(map[string]orphans.Wait, len(report.Waiting))
-	for _, told := range report.Waiting {
-		until := now.Add(time.Duration(told.LeftMs) * time.Millisecond)
-		waits[told.Service] = orphans.Wait{OnTime: told.OnTime, Late: told.Late, Until: until}
+	for _, waiting := range report.Waiting {
+		until := now.Add(time.Duration(waiting.LeftMs) * time.Millisecond)
+		waits[waiting.Service] = orphans.Wait{OnTime: waiting.OnTime, Late: waiting.Late, Until: until}
 	}
-	l.ration.Take(report.Node, waits, now)
+	s.ration.Take(report.Node, waits, now)
 }
 
-// rationPlaces grants a node that has just told what waits there its part of the places that orphans leave. The caller holds the mutex.
-func (w *Worker) rationPlaces(shares []demand.Share, asking ident.Node, now time.Time) {
-	if !w.loss.watch.Open(now) {
+// rationSlots grants a node that has just reported its waiting requests its part of the slots not taken by orphans. The
+// caller must hold the mutex.
+func (w *Worker) rationSlots(shares []demand.Share, node ident.Node, now time.Time) {
+	if !w.orphanRuns.watch.Open(now) {
 		return
 	}
-	places := make([]orphans.Place, 0, len(shares))
+	slots := make([]orphans.Place, 0, len(shares))
 	for _, share := range shares {
 		if runner, known := w.Runners.Runner(share.Runner); known && !share.Silent {
 			free := runner.Slots - w.demand.Online(runner.ID, "", now) - share.Orphans
-			places = append(places, orphans.Place{Runner: runner.ID, Service: runner.Service, Free: free, Items: share.Batch, Orphans: share.Orphans})
+			slots = append(slots, orphans.Place{Runner: runner.ID, Service: runner.Service, Free: free, Items: share.Batch, Orphans: share.Orphans})
 		}
 	}
-	granted := w.loss.ration.Grant(asking, places, w.demand.Nodes(now), now)
+	granted := w.orphanRuns.ration.Grant(node, slots, w.demand.Nodes(now), now)
 	for position := range shares {
 		share := &shares[position]
 		given, rationed := granted[share.Runner]
@@ -43,54 +44,56 @@
 	}
 }
 
-// watchOrphans reads the runners that have orphans more often while nodes wait for their places, until none are looked for.
+// watchOrphans reads the runners with orphans more often while nodes wait for their slots, until no orphans are looked
+// for.
 func (w *Worker) watchOrphans() error {
 	for w.pause(orphans.PressedReadEvery) {
 		now := w.Now()
 		w.mutex.Lock()
-		open, pressed := w.loss.watch.Open(now), w.loss.ration.Pressed(now)
+		open, pressed := w.orphanRuns.watch.Open(now), w.orphanRuns.ration.Pressed(now)
 		var runners []work.Runner
 		if pressed {
-			w.followOrphans(now)
-			runners = w.unreadOrphaned(now)
+			w.updateOrphans(now)
+			runners = w.nextOrphanPolls(now)
 		}
 		w.mutex.Unlock()
 		if !open {
 			return nil
 		}
 		for _, runner := range runners {
-			w.tomb.Go(func() error { w.readOrphans(runner); return nil })
+			w.tomb.Go(func() error { w.pollOrphans(runner); return nil })
 		}
 	}
 	return nil
 }
 
-// unreadOrphaned returns the runners with orphans of which no reading is on its way, and notes that one is. The caller holds the mutex.
-func (w *Worker) unreadOrphaned(now time.Time) []work.Runner {
-	if w.loss.reading == nil {
-		w.loss.reading = map[ident.Incarnation]bool{}
+// nextOrphanPolls returns the runners with orphans that have no poll in flight, and marks them as being polled. The caller
+// must hold the mutex.
+func (w *Worker) nextOrphanPolls(now time.Time) []work.Runner {
+	if w.orphanRuns.polling == nil {
+		w.orphanRuns.polling = map[ident.Incarnation]bool{}
 	}
 	var runners []work.Runner
-	for _, runner := range w.orphaned(now) {
-		if !w.loss.reading[runner.ID] {
-			w.loss.reading[runner.ID] = true
+	for _, runner := range w.orphanedRunners(now) {
+		if !w.orphanRuns.polling[runner.ID] {
+			w.orphanRuns.polling[runner.ID] = true
 			runners = append(runners, runner)
 		}
 	}
 	return runners
 }
 
-// readOrphans reads a runner for its orphans alone: how items step aside depends on how often the gauges are read. A reading that fails is
-// followed by the next one.
-func (w *Worker) readOrphans(runner work.Runner) {
-	ctx, cancel := w.call()
+// pollOrphans reads a runner's report for its orphans only, and not for its gauge, because preemption depends on how often
+// the gauges are read. A failed poll is repeated by the next one.
+func (w *Worker) pollOrphans(runner work.Runner) {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	load, err := w.Caller.Report(ctx, runner)
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.loss.reading, runner.ID)
+	delete(w.orphanRuns.polling, runner.ID)
 	if err == nil {
-		w.loss.read(runner.ID, load, now)
+		w.orphanRuns.recordReport(runner.ID, load, now)
 	}
 }
--- a/internal/jobworker/granted_test.go
+++ b/internal/jobworker/rationfleet_test.go
@@ -27,17 +27,17 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// fullRunner has eight places, some of them with runs of dead nodes, and takes a moment for each request. It counts the most at once. Its
-// reports are as old as those of real runners.
+// fullRunner has eight slots, some of them taken by orphaned runs, and takes 100 ms for each request. It records the
+// highest number of concurrent requests. Its reports are as old as those of real runners.
 type fullRunner struct {
 	orphans int
 
-	mutex               sync.Mutex
-	running, most, sent int
-	changes             []change
+	mutex                     sync.Mutex
+	running, maxRunning, sent int
+	changes                   []change
 }
 
-// change is how many requests a runner had as of a moment.
+// change is the number of requests that a runner had from a point in time on.
 type change struct {
 	at      time.Time
 	running int
@@ -54,7 +54,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.running += by
-	r.most = max(r.most, r.running)
+	r.maxRunning = max(r.maxRunning, r.running)
 	r.sent += max(by, 0)
 	r.changes = append(r.changes, change{at: time.Now(), running: r.running})
 }
@@ -73,15 +73,15 @@
 
 func (r *fullRunner) Forget(work.Runner) {}
 
-// heldAnswer takes an answer.
-type heldAnswer struct{}
+// discardedAnswer accepts an answer and discards it.
+type discardedAnswer struct{}
 
-func (heldAnswer) Until(time.Time)              {}
-func (heldAnswer) Begin(work.Head, int64) error { return nil }
-func (heldAnswer) Write([]byte) error           { return nil }
+func (discardedAnswer) Until(time.Time)              {}
+func (discardedAnswer) Begin(work.Head, int64) error { return nil }
+func (discardedAnswer) Write([]byte) error           { return nil }
 
-// startAgain is a table of the one runner at a node that has just started again.
-func startAgain() *runnertable.Table {
+// restartedTable returns the table of a node that has just restarted, with the one runner.
+func restartedTable() *runnertable.Table {
 	table := runnertable.New("z")
 	table.StartsAgain()
 	table.Replace([]work.Runner{{ID: "a", Service: "s", Zone: "z", Slots: 8}}, time.Now(), true)
@@ -95,31 +95,32 @@
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: time.Now}
 	owner := &jobworker.Worker{
-		Node: "w", Zone: "z", Address: "w", Records: records, Store: store, Runners: startAgain(), Routes: routes, Caller: caller,
+		Node: "w", Zone: "z", Address: "w", Records: records, Store: store, Runners: restartedTable(), Routes: routes, Caller: caller,
 		Options: jobworker.DefaultOptions, StartsAgain: true, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	owner.Start(supervisor)
 	return owner
 }
 
-// startFront starts a node that tells the owner of its requests, as a front's process does, but for the network: messages pass as JSON.
+// startFront starts a node that reports its requests to the owner, as a front's process does except for the network:
+// messages are passed as JSON.
 func startFront(supervisor *tomb.Tomb, node ident.Node, owner *jobworker.Worker, caller work.Caller) *online.Forwarder {
-	forwarder := &online.Forwarder{Runners: startAgain(), Caller: caller, Logger: zerolog.Nop(), Now: time.Now}
+	forwarder := &online.Forwarder{Runners: restartedTable(), Caller: caller, Logger: zerolog.Nop(), Now: time.Now}
 	holders := &jobpeer.Holders{Zone: "z", Now: time.Now}
 	holders.Learn([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
-	teller := demand.NewTeller(node, &jobpeer.OnlineWork{
+	reporter := demand.NewTeller(node, &jobpeer.OnlineWork{
 		Holders: holders, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
 	}, time.Now)
-	teller.Tell = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
-		told, answer := &demand.Report{}, &demand.Answer{}
-		if err := passed(report, told); err != nil {
+	reporter.Tell = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
+		received, answer := &demand.Report{}, &demand.Answer{}
+		if err := passed(report, received); err != nil {
 			return nil, err
 		}
-		return answer, passed(owner.Demand(told), answer)
+		return answer, passed(owner.Demand(received), answer)
 	}
-	forwarder.Runners.OnOnlineChanged(teller.Changed)
-	forwarder.Asks = func() { teller.Changed(true) }
-	teller.Start(supervisor)
+	forwarder.Runners.OnOnlineChanged(reporter.Changed)
+	forwarder.Asks = func() { reporter.Changed(true) }
+	reporter.Start(supervisor)
 	return forwarder
 }
 
@@ -131,10 +132,10 @@
 	return json.Unmarshal(encoded, to)
 }
 
-// TestOnePlaceIsGivenToOneNodeAfterTheOther has runs of dead nodes at seven of the runner's eight places, and twelve nodes with two requests each
-// that come at once, by the way that they take in the product. All are answered, and the runner never has more than it has places for:
-// each that has to wait there would be late and hold the next place. The requests have
-// 10 s, four times what the runner takes for all.
+// TestOnePlaceIsGivenToOneNodeAfterTheOther has orphaned runs in seven of the runner's eight slots, and twelve nodes with
+// two requests each that arrive at once and use the product's code path. All are answered, and the runner never has more
+// requests than slots: a request that waits there would be late and occupy the next slot. The requests have 10 s, four
+// times what the runner takes for all.
 func TestOnePlaceIsGivenToOneNodeAfterTheOther(t *testing.T) {
 	supervisor, runner := new(tomb.Tomb), &fullRunner{orphans: 7}
 	t.Cleanup(func() {
@@ -147,7 +148,7 @@
 		fronts = append(fronts, startFront(supervisor, ident.Node(fmt.Sprint("f", index)), owner, runner))
 	}
 	for began := time.Now(); !fronts[0].Runners.Rations("s", time.Now()); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 10*time.Second, "the places are never rationed")
+		assert.Assert(t, time.Since(began) < 10*time.Second, "slots are not rationed")
 	}
 	time.Sleep(demand.IdleRefreshEvery)
 	route := &work.Route{Split: []work.WeightedService{{Service: "s", Weight: 1}}, MaximumAttempts: 1, Objective: 10 * time.Second}
@@ -156,11 +157,11 @@
 		for range 2 {
 			callers.Go(func() {
 				request := &work.Request{Arrived: time.Now(), Deadline: time.Now().Add(20 * time.Second)}
-				assert.Check(t, front.Serve(t.Context(), route, request, heldAnswer{}))
+				assert.Check(t, front.Serve(t.Context(), route, request, discardedAnswer{}))
 			})
 		}
 	}
 	callers.Wait()
 	assert.Equal(t, runner.sent, 24)
-	assert.Equal(t, runner.most, 1, "requests waited at the runner")
+	assert.Equal(t, runner.maxRunning, 1, "requests waited at the runner")
 }
--- a/internal/jobworker/release.go
+++ b/internal/jobworker/release.go
@@ -7,9 +7,9 @@
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 )
 
-// releaseResting gives up jobs that rest here, so that they do not lie while another worker could run them: this node
-// owns no runner for them, or reaches none.
-func (w *Worker) releaseResting(now time.Time) {
+// releaseIdleJobs releases jobs that make no progress here, because this node owns no runner for them or reaches none, so
+// that another worker can run them.
+func (w *Worker) releaseIdleJobs(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if len(w.workers) < 2 || w.draining {
@@ -18,21 +18,21 @@
 	busy := w.anyRunning()
 	for _, job := range w.jobs {
 		canRun := w.canRun(job.header.Route)
-		if job.running > 0 || len(job.unlisted) > 0 || (canRun && busy) || now.Sub(job.progressed) < w.restFor(canRun) {
+		if job.running > 0 || len(job.unrecorded) > 0 || (canRun && busy) || now.Sub(job.progressed) < w.idleLimit(canRun) {
 			continue
 		}
 		if known := w.open[job.header.ID]; known != nil {
 			known.notBefore = now.Add(w.Options.ReleaseAfter)
 		}
 		w.drop(job)
-		event.JobLeft.Log(w.Logger).Str("job", string(job.header.ID)).Str("why", "nothing of it could be run here").Send()
+		event.JobLeft.Log(w.Logger).Str("job", string(job.header.ID)).Str("why", "no item could be run here").Send()
 		claim := job.claim
 		w.tomb.Go(func() error { w.release(claim); return nil })
 	}
 }
 
-// anyRunning says whether any item runs: then this node reaches its runners, and a job that rests waits for its turn.
-// The caller holds the mutex.
+// anyRunning reports whether any item runs. If so, this node reaches its runners, and an idle job waits for its turn. The
+// caller must hold the mutex.
 func (w *Worker) anyRunning() bool {
 	for _, job := range w.jobs {
 		if job.running > 0 {
@@ -42,18 +42,19 @@
 	return false
 }
 
-// restFor is how long a job may rest: less where this node owns no runner for it.
-func (w *Worker) restFor(canRun bool) time.Duration {
+// idleLimit returns how long a job may be idle, which is shorter if this node owns no runner for it.
+func (w *Worker) idleLimit(canRun bool) time.Duration {
 	if canRun {
 		return w.Options.ReleaseAfter
 	}
 	return w.Options.ReleaseAfter / 4
 }
 
-// release gives a claim up. It tries until it knows the outcome: a claim that nobody serves lives as long as the lease.
+// release releases a claim. It retries until the outcome is known: a claim without a running job lasts as long as the
+// lease.
 func (w *Worker) release(claim jobrecord.Claim) {
 	for {
-		ctx, cancel := w.call()
+		ctx, cancel := w.callContext()
 		err := w.Records.Release(ctx, claim)
 		cancel()
 		if err == nil {
--- a/internal/jobworker/retire.go
+++ b/internal/jobworker/retire.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// retireEvery is the time between two looks at the workers to be emptied.
-	retireEvery = 300 * time.Millisecond
-	// retireShare of the time given may be used to end what runs.
-	retireShare = 0.5
-	// absentAfter is how long a worker must not be registered before another one reports it emptied.
+	// retirePollEvery is the time between two checks for workers to retire.
+	retirePollEvery = 300 * time.Millisecond
+	// drainFraction of the time given may be used to finish what runs.
+	drainFraction = 0.5
+	// absentAfter is how long a worker must be unregistered before another one reports it as emptied.
 	absentAfter = 1500 * time.Millisecond
 )
 
-// retirement is a worker to be emptied.
+// retirement is an order to empty a worker.
 type retirement struct {
-	within time.Duration
-	asked  time.Time
-	// begun says that this node drains, or told that another one is gone.
-	begun bool
-	// absent is since when the worker is not registered.
+	within    time.Duration
+	requested time.Time
+	// acting is set when this node drains, or has reported that another one is gone.
+	acting bool
+	// absent is since when the worker has been unregistered.
 	absent time.Time
 }
 
-// Retire takes an order to empty a worker. The same order may come again.
+// Retire accepts an order to empty a worker. The same order may be repeated.
 func (w *Worker) Retire(order work.Retirement) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.retirements[order.Node] != nil {
 		return
 	}
-	w.retirements[order.Node] = &retirement{within: order.Within, asked: w.Now()}
+	w.retirements[order.Node] = &retirement{within: order.Within, requested: w.Now()}
 }
 
-// retireLoop empties this node when that is asked. A worker keeps nothing on its disk, so that a node that is gone is
-// empty: any other one reports that.
+// retireLoop empties this node on request. A worker that is no longer registered counts as empty; any other worker reports
+// that.
 func (w *Worker) retireLoop() error {
-	for w.pause(retireEvery) {
+	for w.pause(retirePollEvery) {
 		for node, order := range w.dueRetirements() {
 			if node == w.Node {
 				w.tomb.Go(func() error { w.retireSelf(order); return nil })
 				continue
 			}
-			if !w.reportEmptied(node) {
+			if !w.reportRetired(node) {
 				w.mutex.Lock()
-				order.begun = false
+				order.acting = false
 				w.mutex.Unlock()
 			}
 		}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// dueRetirements returns the orders this node has to act on now, and marks them as begun.
+// dueRetirements returns the orders on which this node has to act now, and marks them as acted on.
 func (w *Worker) dueRetirements() map[ident.Node]*retirement {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -70,26 +70,26 @@
 			order.absent = now
 		}
 		gone := !order.absent.IsZero() && now.Sub(order.absent) > absentAfter
-		if !order.begun && (node == w.Node || gone) {
-			order.begun = true
+		if !order.acting && (node == w.Node || gone) {
+			order.acting = true
 			due[node] = order
 		}
 	}
 	return due
 }
 
-// retireSelf ends what runs, gives up the jobs and reports.
+// retireSelf drains this node, waits until its stored jobs are handed over, and reports it as emptied.
 func (w *Worker) retireSelf(order *retirement) {
-	w.Drain(time.Duration(retireShare * float64(order.within)))
-	for w.keepsJobs() || !w.reportEmptied(w.Node) {
+	w.Drain(time.Duration(drainFraction * float64(order.within)))
+	for w.hasPendingHandoffs() || !w.reportRetired(w.Node) {
 		if !w.pause(w.Options.RetryAfter) {
 			return
 		}
 	}
 }
 
-func (w *Worker) reportEmptied(node ident.Node) bool {
-	ctx, cancel := w.call()
+func (w *Worker) reportRetired(node ident.Node) bool {
+	ctx, cancel := w.callContext()
 	defer cancel()
 	if err := w.Registry.ReportRetired(ctx, node, true); err != nil {
 		w.logStore("reporting that "+string(node)+" is emptied", err)
--- a/internal/jobworker/run.go
+++ b/internal/jobworker/run.go
@@ -17,11 +17,11 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Ends of a run that leave the item to be tried again.
+// Outcomes of a run after which the item is tried again.
 const (
 	errRefused    = failure.Kind("job worker: runner refused the item")
-	errBroken     = failure.Kind("job worker: run broken off")
-	errUnexpected = failure.Kind("job worker: unexpected answer")
+	errBroken     = failure.Kind("job worker: run interrupted")
+	errUnexpected = failure.Kind("job worker: unexpected response")
 )
 
 // Pauses before an item is tried again.
@@ -31,20 +31,20 @@
 	pauseAfterBreak   = 20 * time.Millisecond
 )
 
-// longestBudget bounds the time given to a runner for one item.
-const longestBudget = 2 * time.Minute
+// maxRunTime bounds the time given to a runner for one item.
+const maxRunTime = 2 * time.Minute
 
-// meanWeight is the part a new run has in the means.
-const meanWeight = 0.1
+// meanSmoothing is the weight of a new run in the moving averages.
+const meanSmoothing = 0.1
 
-// run makes one run of an item and notes how it ended.
+// run makes one run of an item and records its outcome.
 func (w *Worker) run(ctx context.Context, item *itemRun, route *work.Route, flight *runnertable.Flight) {
 	defer flight.End()
 	resumed := item.lastEvent
-	w.nameRun(item)
+	w.assignRunID(item)
 	request := w.request(item)
 	status, err := w.stream(ctx, item, request, flight)
-	w.noteEnd(ctx, flight, request, status, err)
+	w.recordRunEnd(ctx, flight, request, status, err)
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -55,7 +55,7 @@
 	}
 	switch {
 	case err == nil && status == http.StatusOK:
-		w.noteWhole(item, now.Sub(item.started), resumed)
+		w.updateMeans(item, now.Sub(item.started), resumed)
 		item.job.finish(item, work.Completed)
 	case err == nil && status == http.StatusUnprocessableEntity:
 		w.giveUp(item, "no runner can do it")
@@ -65,7 +65,7 @@
 		flight.Failed(runnertable.Erred, now)
 		item.notBefore = now.Add(pauseAfterFailure)
 		if item.failures >= max(route.MaximumAttempts, 1) {
-			w.giveUp(item, "its attempts failed")
+			w.giveUp(item, "maximum number of attempts reached")
 		}
 	case errors.Is(err, errRefused):
 		item.notBefore = now.Add(pauseAfterRefusal)
@@ -75,18 +75,19 @@
 			item.notBefore = now.Add(pauseAfterFailure)
 			flight.Failed(failureOf(err), now)
 			event.ItemRunBroken.Log(w.Logger).Str("job", string(item.job.header.ID)).Str("item", string(item.item.ID)).
-				Str("print", string(w.Key.Of(request))).Str("runner", string(flight.Runner.ID)).Int64("last_event", item.lastEvent).Int("status", status).Err(err).Send()
+				Str("print", string(w.Key.Of(request))).Str("runner", string(flight.Runner.ID)).
+				Int64("last_event", item.lastEvent).Int("status", status).Err(err).Send()
 		}
 	}
 }
 
-// nameRun gives a run of an item that begins its id. Runs of other workers, and those of before a restart, are under other
-// claims.
-func (w *Worker) nameRun(item *itemRun) {
+// assignRunID assigns an id to a run that is about to start. Runs of other workers, and those before a restart, have other
+// claims in their ids.
+func (w *Worker) assignRunID(item *itemRun) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.runs++
-	item.begun = progress.RunID{Claim: item.job.claim.Revision, Number: w.runs}
+	item.currentRun = progress.RunID{Claim: item.job.claim.Revision, Number: w.runs}
 }
 
 func failureOf(err error) runnertable.Failure {
@@ -96,20 +97,20 @@
 	return runnertable.NoAnswer
 }
 
-// noteWhole keeps the means of whole runs. The caller holds the mutex.
-func (w *Worker) noteWhole(item *itemRun, took time.Duration, resumed int64) {
+// updateMeans updates the moving averages of complete runs. The caller must hold the mutex.
+func (w *Worker) updateMeans(item *itemRun, took time.Duration, resumed int64) {
 	events, tokens := float64(item.lastEvent), float64(item.item.Tokens)
 	if w.events == 0 {
 		w.events, w.tokens = events, tokens
 	}
-	w.events += meanWeight * (events - w.events)
-	w.tokens += meanWeight * (tokens - w.tokens)
+	w.events += meanSmoothing * (events - w.events)
+	w.tokens += meanSmoothing * (tokens - w.tokens)
 	if resumed == 0 {
-		w.duration += time.Duration(meanWeight * float64(took-w.duration))
+		w.duration += time.Duration(meanSmoothing * float64(took-w.duration))
 	}
 }
 
-// giveUp ends an item without its output. The caller holds the mutex.
+// giveUp finishes an item without its output. The caller must hold the mutex.
 func (w *Worker) giveUp(item *itemRun, why string) {
 	if item.finished {
 		return
@@ -119,10 +120,10 @@
 	item.job.finish(item, work.DeadLetter)
 }
 
-// stream sends the item to the runner and takes its events. It returns the status of an answer that was read whole.
+// stream sends the item to the runner and reads its events. It returns the status of an answer that was read completely.
 func (w *Worker) stream(ctx context.Context, item *itemRun, request *work.Request, flight *runnertable.Flight) (int, error) {
 	reply, err := w.Caller.Send(ctx, work.Attempt{
-		Request: request, Runner: flight.Runner, Budget: longestBudget, ResumeAfter: item.lastEvent,
+		Request: request, Runner: flight.Runner, Budget: maxRunTime, ResumeAfter: item.lastEvent,
 	})
 	if err != nil {
 		return 0, err
@@ -134,7 +135,7 @@
 	case reply.Replaced:
 		flight.Failed(runnertable.Replaced, now)
 		w.Caller.Forget(flight.Runner)
-		return 0, fmt.Errorf("%w: runner is replaced", errRefused)
+		return 0, fmt.Errorf("%w: runner was replaced", errRefused)
 	case reply.NotRun:
 		flight.Failed(runnertable.Refused, now)
 		return 0, errRefused
@@ -142,12 +143,12 @@
 		_, err := io.Copy(io.Discard, reply.Body)
 		return statusOf(reply, err)
 	case !reply.Sealed || reply.Encoded:
-		return 0, fmt.Errorf("%w: success without the runner's signature or bytes", errUnexpected)
+		return 0, fmt.Errorf("%w: success response is unsigned or content-encoded", errUnexpected)
 	}
-	return http.StatusOK, w.take(item, flight, reply)
+	return http.StatusOK, w.readEvents(item, flight, reply)
 }
 
-// statusOf returns the status of a failure that was read whole and is the runner's own.
+// statusOf returns the status of a failure that was read completely and comes from the runner itself.
 func statusOf(reply *work.Reply, err error) (int, error) {
 	if err != nil {
 		return reply.Head.Status, fmt.Errorf("%w: %w", errBroken, err)
@@ -171,21 +172,21 @@
 	return request
 }
 
-// requestOf is what a runner is asked to do, without headers. The caller holds the mutex.
+// requestOf returns the request for an item, without headers. The caller must hold the mutex.
 func (w *Worker) requestOf(item *itemRun) *work.Request {
 	return &work.Request{
 		ID: item.item.ID, Method: http.MethodPost, Path: item.item.Path, Host: item.job.header.Host, Body: item.body,
 	}
 }
 
-// take collects the events of a run. Only an end that the framing proves makes the output whole.
-func (w *Worker) take(item *itemRun, flight *runnertable.Flight, reply *work.Reply) error {
+// readEvents reads the events of a run. The output is complete only if the framing proves its end.
+func (w *Worker) readEvents(item *itemRun, flight *runnertable.Flight, reply *work.Reply) error {
 	reader := eventstream.NewReader(reply.Body)
 	for {
 		next, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			if !reply.Framed {
-				return fmt.Errorf("%w: stream without a proven end", errBroken)
+				return fmt.Errorf("%w: end of the stream not proven by the framing", errBroken)
 			}
 			return nil
 		}
@@ -197,27 +198,27 @@
 		}
 		now := w.Now()
 		flight.Began(now)
-		if err := w.append(item, next, now); err != nil {
+		if err := w.appendEvent(item, next, now); err != nil {
 			return err
 		}
 	}
 }
 
-// append adds one event that follows the last one.
-func (w *Worker) append(item *itemRun, next eventstream.Event, now time.Time) error {
+// appendEvent appends one event, which must directly follow the last one.
+func (w *Worker) appendEvent(item *itemRun, next eventstream.Event, now time.Time) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if next.ID != item.lastEvent+1 {
 		return fmt.Errorf("%w: event %d after %d", errBroken, next.ID, item.lastEvent)
 	}
 	if item.job.dropped || item.finished {
-		return fmt.Errorf("%w: the item is not run here any more", errBroken)
+		return fmt.Errorf("%w: this node no longer runs the item", errBroken)
 	}
 	if item.lastEvent > 0 {
 		item.text.WriteByte('\n')
 	}
 	item.text.Write(next.Data)
-	item.lastEvent, item.run = next.ID, item.begun
+	item.lastEvent, item.lastEventRun = next.ID, item.currentRun
 	item.progressed = now
 	item.job.progressed = now
 	return nil
--- a/internal/jobworker/suspect.go
+++ b/internal/jobworker/suspect.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// probeTimeout bounds the question to a runner under suspicion: its report needs no place, and a connection to it comes
-	// up in the same time.
+	// probeTimeout bounds a probe of a suspected runner: its report needs no slot, and a connection to it is established
+	// within the same time.
 	probeTimeout = 400 * time.Millisecond
-	// probePause parts two questions to a runner that does not answer: nodes hear within it that the runner is back.
-	probePause = 500 * time.Millisecond
-	// probeMemory is how long an answer clears a runner of further suspicion: nodes that are slow to hear of it, or reach it
-	// worse than this one, ask for no question each.
-	probeMemory = time.Second
+	// probeInterval is the pause between two probes of an unresponsive runner. Nodes are notified of its recovery within
+	// that time.
+	probeInterval = 500 * time.Millisecond
+	// probeClearPeriod is how long an answer clears a runner of further suspicion, so that nodes that receive the result
+	// late, or have a worse connection to the runner than this one, do not each cause a probe.
+	probeClearPeriod = time.Second
 )
 
-// suspicion is what this node knows of a runner that some node could not reach or got no answer from.
+// suspicion is the state of a runner that some node could not reach or got no answer from.
 type suspicion struct {
-	// asking says that questions to the runner are under way.
-	asking bool
-	// silent says that the last one got no answer.
-	silent bool
-	// cleared is when the runner last answered one.
-	cleared time.Time
+	// probing is set while the runner is being probed.
+	probing bool
+	// unresponsive is set if the last probe got no answer.
+	unresponsive bool
+	// clearedAt is when the runner last answered a probe.
+	clearedAt time.Time
 }
 
-// suspect asks a runner that a node suspects whether it lives. A runner counts as silent for all nodes once this one, its
-// owner, gets no answer either: one node's word alone may be the fault of its own path. The caller holds the mutex.
+// suspect probes a runner that a node suspects. The runner counts as unresponsive for all nodes once this node, its owner,
+// gets no answer either; the report of a single node may be due to that node's own connection. The caller must hold the
+// mutex.
 func (w *Worker) suspect(id ident.Incarnation, now time.Time) {
 	runner, known := w.Runners.Runner(id)
 	if !known || !w.owns(runner) || !w.tomb.Alive() {
@@ -40,38 +42,38 @@
 	if w.suspicions == nil {
 		w.suspicions = map[ident.Incarnation]*suspicion{}
 	}
-	held := w.suspicions[id]
-	if held == nil {
-		held = &suspicion{}
-		w.suspicions[id] = held
+	suspected := w.suspicions[id]
+	if suspected == nil {
+		suspected = &suspicion{}
+		w.suspicions[id] = suspected
 	}
-	if held.asking || now.Sub(held.cleared) < probeMemory {
+	if suspected.probing || now.Sub(suspected.clearedAt) < probeClearPeriod {
 		return
 	}
-	held.asking = true
-	w.tomb.Go(func() error { w.askWhetherAlive(runner, held); return nil })
+	suspected.probing = true
+	w.tomb.Go(func() error { w.probeUntilAnswered(runner, suspected); return nil })
 }
 
-// askWhetherAlive asks until the runner answers or is listed no more.
-func (w *Worker) askWhetherAlive(runner work.Runner, held *suspicion) {
+// probeUntilAnswered probes until the runner answers or is no longer listed.
+func (w *Worker) probeUntilAnswered(runner work.Runner, suspected *suspicion) {
 	for {
-		answered := w.answers(runner)
-		if w.noteAnswer(runner, held, answered) || !w.pause(probePause) {
+		answered := w.probe(runner)
+		if w.recordProbe(runner, suspected, answered) || !w.pause(probeInterval) {
 			return
 		}
 	}
 }
 
-func (w *Worker) answers(runner work.Runner) bool {
+func (w *Worker) probe(runner work.Runner) bool {
 	ctx, cancel := context.WithTimeout(w.ctx, probeTimeout)
 	defer cancel()
 	_, err := w.Caller.Report(ctx, runner)
 	return err == nil
 }
 
-// noteAnswer notes whether a runner answered, and has batch work leave one that falls silent. It returns true where nothing
-// more is to be asked.
-func (w *Worker) noteAnswer(runner work.Runner, held *suspicion, answered bool) bool {
+// recordProbe records whether a runner answered, and removes batch work from one that becomes unresponsive. It returns
+// true when no further probe is needed.
+func (w *Worker) recordProbe(runner work.Runner, suspected *suspicion, answered bool) bool {
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -81,18 +83,18 @@
 		delete(w.suspicions, runner.ID)
 		return true
 	case answered:
-		held.asking, held.silent, held.cleared = false, false, now
+		suspected.probing, suspected.unresponsive, suspected.clearedAt = false, false, now
 		return true
-	case !held.silent:
-		held.silent = true
+	case !suspected.unresponsive:
+		suspected.unresponsive = true
 		event.RunnerSilent.Log(w.Logger).Str("runner", string(runner.ID)).Str("address", runner.Address).Send()
-		w.yield(runner.ID, w.batchAt(runner.ID, now))
+		w.reclaimSlots(runner.ID, w.batchRunsAt(runner.ID, now))
 	}
 	return false
 }
 
-// silent says whether a runner answers neither some node nor this one, its owner. The caller holds the mutex.
-func (w *Worker) silent(id ident.Incarnation) bool {
-	held := w.suspicions[id]
-	return held != nil && held.silent
+// unresponsive reports whether a runner answers neither some node nor this one, its owner. The caller must hold the mutex.
+func (w *Worker) unresponsive(id ident.Incarnation) bool {
+	suspected := w.suspicions[id]
+	return suspected != nil && suspected.unresponsive
 }
--- a/internal/jobworker/suspect_test.go
+++ b/internal/jobworker/suspect_test.go
@@ -13,37 +13,37 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// reportCaller answers the questions for a report while it is not dark, and counts them.
+// reportCaller answers calls for a report unless it is set to be unresponsive, and counts them.
 type reportCaller struct {
 	work.Caller
-	mutex sync.Mutex
-	dark  bool
-	asked int
+	mutex        sync.Mutex
+	unresponsive bool
+	calls        int
 }
 
 func (c *reportCaller) Report(context.Context, work.Runner) (work.Load, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asked++
-	if c.dark {
+	c.calls++
+	if c.unresponsive {
 		return work.Load{}, connpool.ErrNoAnswer
 	}
 	return work.Load{Slots: 4}, nil
 }
 
-func (c *reportCaller) setDark(dark bool) {
+func (c *reportCaller) setUnresponsive(unresponsive bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.dark = dark
+	c.unresponsive = unresponsive
 }
 
-func (c *reportCaller) questions() int {
+func (c *reportCaller) callCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.asked
+	return c.calls
 }
 
-// suspectWorker is a worker whose runner is full of items, and what became of their runs.
+// suspectWorker returns a worker whose runner is full of items, and which of their runs were cancelled.
 func suspectWorker(t *testing.T) (*Worker, *reportCaller, []bool) {
 	t.Helper()
 	w, ended := demandWorker(t)
@@ -53,55 +53,55 @@
 	return w, caller, ended
 }
 
-func suspecting(sequence int64) *demand.Report {
-	report := tell("front", sequence, 0)
+func suspectReport(sequence int64) *demand.Report {
+	report := demandReport("front", sequence, 0)
 	report.Counts[0].Suspect = true
 	return report
 }
 
-// waitSilent waits until a worker counts its runner as silent, or as one that answers.
-func waitSilent(t *testing.T, w *Worker, silent bool) {
+// waitUnresponsive waits until a worker counts its runner as unresponsive, or as responsive.
+func waitUnresponsive(t *testing.T, w *Worker, unresponsive bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		w.mutex.Lock()
-		is := w.silent("r")
+		is := w.unresponsive("r")
 		w.mutex.Unlock()
-		if is == silent {
+		if is == unresponsive {
 			return
 		}
 	}
-	t.Fatalf("the runner never counted as silent: %v", silent)
+	t.Fatalf("the runner did not become unresponsive: %v", unresponsive)
 }
 
-// TestRunnerThatAnswersNobodyIsSilentForAll has one node suspect a runner that does not answer its owner either: all nodes
-// are told, its items go elsewhere, and it is given work again when it answers.
-func TestRunnerThatAnswersNobodyIsSilentForAll(t *testing.T) {
+// TestUnresponsiveRunnerIsSilentForAll has one node suspect a runner that does not answer its owner either: it is reported
+// to all nodes, its items are moved, and it gets work again when it answers.
+func TestUnresponsiveRunnerIsSilentForAll(t *testing.T) {
 	w, caller, ended := suspectWorker(t)
-	caller.setDark(true)
-	w.Demand(suspecting(1))
-	waitSilent(t, w, true)
-	answer := w.Demand(tell("other", 1, 0))
+	caller.setUnresponsive(true)
+	w.Demand(suspectReport(1))
+	waitUnresponsive(t, w, true)
+	answer := w.Demand(demandReport("other", 1, 0))
 	assert.Equal(t, len(answer.Shares), 1)
 	assert.Assert(t, answer.Shares[0].Silent)
 	w.mutex.Lock()
 	assert.DeepEqual(t, ended, []bool{true, true, true, true})
-	assert.Equal(t, w.spare(w.owned("s"), time.Now()), 0)
+	assert.Equal(t, w.spareSlots(w.owned("s"), time.Now()), 0)
 	w.mutex.Unlock()
-	caller.setDark(false)
-	waitSilent(t, w, false)
-	assert.Assert(t, !w.Demand(tell("other", 2, 0)).Shares[0].Silent)
+	caller.setUnresponsive(false)
+	waitUnresponsive(t, w, false)
+	assert.Assert(t, !w.Demand(demandReport("other", 2, 0)).Shares[0].Silent)
 }
 
-// TestOneNodesWordAloneSilencesNoRunner has nodes suspect a runner that answers its owner: it may be their own paths, and
-// they do not cause a question each.
-func TestOneNodesWordAloneSilencesNoRunner(t *testing.T) {
+// TestOneNodesSuspicionAloneIsIgnored has nodes suspect a runner that answers its owner: their own connections may be at
+// fault, and their reports together cause a single probe.
+func TestOneNodesSuspicionAloneIsIgnored(t *testing.T) {
 	w, caller, ended := suspectWorker(t)
 	for sequence := range 20 {
-		answer := w.Demand(suspecting(int64(sequence + 1)))
+		answer := w.Demand(suspectReport(int64(sequence + 1)))
 		assert.Assert(t, !answer.Shares[0].Silent)
 		time.Sleep(2 * time.Millisecond)
 	}
-	assert.Equal(t, caller.questions(), 1)
+	assert.Equal(t, caller.callCount(), 1)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	assert.DeepEqual(t, ended, []bool{false, false, false, false})
--- a/internal/jobworker/tokens.go
+++ b/internal/jobworker/tokens.go
@@ -7,21 +7,21 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// tellTokensFrom is the part of a runner's memory from which on nodes are told how much of it is taken: below, what one node sends in the
-// time of a report does not fill the rest.
-const tellTokensFrom = 0.5
+// tokenReportFraction is the fraction of a runner's memory from which on nodes are sent how much of it is taken. Below it,
+// what one node sends between two reports does not fill the rest.
+const tokenReportFraction = 0.5
 
-// fillTokens tells of a runner's memory where much of it is taken: by the requests of all nodes, by this node's items, and by those of
-// workers that borrowed places, which are thought to be as large. The caller holds the mutex.
-func (w *Worker) fillTokens(share *demand.Share, asking ident.Node, now time.Time) {
+// addTokens adds the memory use of a runner of which much is taken: by the requests of all nodes, by this node's items,
+// and by those of workers that borrowed slots, which are assumed to be of mean size. The caller must hold the mutex.
+func (w *Worker) addTokens(share *demand.Share, node ident.Node, now time.Time) {
 	own, memory := w.Runners.Tokens(share.Runner)
 	if memory == 0 {
 		return
 	}
 	lent, _ := w.lent.At(share.Runner, now)
 	batch := own + int(float64(lent)*w.tokens)
-	if float64(batch+w.demand.Tokens(share.Runner, "", now)) < tellTokensFrom*float64(memory) {
+	if float64(batch+w.demand.Tokens(share.Runner, "", now)) < tokenReportFraction*float64(memory) {
 		return
 	}
-	share.Tokens, share.Memory = batch+w.demand.Tokens(share.Runner, asking, now), memory
+	share.Tokens, share.Memory = batch+w.demand.Tokens(share.Runner, node, now), memory
 }
--- a/internal/jobworker/tokens_test.go
+++ b/internal/jobworker/tokens_test.go
@@ -10,7 +10,7 @@
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 )
 
-// shareOf returns what the worker tells a node of its runner.
+// shareOf returns what the worker sends a node about its runner.
 func shareOf(t *testing.T, w *Worker, report *demand.Report) demand.Share {
 	t.Helper()
 	for _, share := range w.Demand(report).Shares {
@@ -18,13 +18,13 @@
 			return share
 		}
 	}
-	t.Fatal("nothing is told of the runner")
+	t.Fatal("no share for the runner")
 	return demand.Share{}
 }
 
-// TestOwnerTellsOfTokensWhereTheyAreMuch has two nodes send long prompts to a runner with items: each is told what the others have there,
-// once all together are above half of the runner's memory.
-func TestOwnerTellsOfTokensWhereTheyAreMuch(t *testing.T) {
+// TestOwnerReportsTokensAboveHalfOfMemory has two nodes send long prompts to a runner with items: each is sent what the
+// others have there, once all together exceed half of the runner's memory.
+func TestOwnerReportsTokensAboveHalfOfMemory(t *testing.T) {
 	w, _ := demandWorker(t)
 	_, err := w.Runners.StartAt("r", runnertable.Wish{Service: "s", Class: runnertable.Batch, Tokens: 10_000}, w.Now())
 	assert.NilError(t, err)
@@ -33,9 +33,9 @@
 	}
 	assert.Equal(t, shareOf(t, w, long("a", 1, 20_000)).Memory, 0, "the memory is not known")
 	w.Runners.NoteMemory("r", 100_000)
-	assert.Equal(t, shareOf(t, w, long("a", 2, 20_000)).Tokens, 0, "30,000 of 100,000 are nothing to tell")
-	told := shareOf(t, w, long("b", 1, 40_000))
-	assert.Equal(t, told.Tokens, 30_000)
-	assert.Equal(t, told.Memory, 100_000)
+	assert.Equal(t, shareOf(t, w, long("a", 2, 20_000)).Tokens, 0, "30,000 of 100,000 are below the report threshold")
+	share := shareOf(t, w, long("b", 1, 40_000))
+	assert.Equal(t, share.Tokens, 30_000)
+	assert.Equal(t, share.Memory, 100_000)
 	assert.Equal(t, shareOf(t, w, long("a", 3, 20_000)).Tokens, 50_000)
 }
--- a/internal/jobworker/turns.go
+++ b/internal/jobworker/turns.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// turnsEvery is the time between two lines of the items that take turns, turnsTold how many tenants a line names.
-	turnsEvery = 10 * time.Second
-	turnsTold  = 8
+	// turnsLogEvery is the time between two log lines about waiting items of several tenants, turnsLogTenants the number
+	// of tenants named in a line.
+	turnsLogEvery   = 10 * time.Second
+	turnsLogTenants = 8
 )
 
-// inTurn returns the items that wait, which are in their order, in the order in which their tenants have their turns: each has tokens at
-// runners in proportion to its weight, so that one with many items holds up no other. When they are due orders the items of one tenant; those
-// that can't be in time stay behind those that can. With one tenant, or none, and while all will be in time, the order stays. The caller
-// holds the mutex.
-func (w *Worker) inTurn(ordered []prospect, now time.Time) []prospect {
-	if !ofSeveralTenants(ordered) {
+// inFairOrder reorders waiting items so that each tenant gets tokens at runners in proportion to its weight, and a tenant
+// with many items delays no other. Items of one tenant stay ordered by urgency, and items that can no longer be in time
+// stay behind those that can. The order does not change if there is at most one tenant, or while all items will be in
+// time. The caller must hold the mutex.
+func (w *Worker) inFairOrder(ordered []urgency, now time.Time) []urgency {
+	if !hasSeveralTenants(ordered) {
 		return ordered
 	}
-	hopeless := slices.IndexFunc(ordered, func(of prospect) bool { return of.hopeless })
-	if hopeless < 0 {
-		hopeless = len(ordered)
+	tooLate := slices.IndexFunc(ordered, func(entry urgency) bool { return entry.tooLate })
+	if tooLate < 0 {
+		tooLate = len(ordered)
 	}
-	if hopeless == len(ordered) && lateHere(ordered, w.places(now), w.duration, now) == 0 {
+	if tooLate == len(ordered) && countLate(ordered, w.ownedSlots(now), w.duration, now) == 0 {
 		return ordered
 	}
-	turns := fairshare.NewTurns(w.weight)
+	turns := fairshare.NewTurns(w.tenantWeight)
 	for _, job := range w.jobs {
 		for _, item := range job.items {
 			if item.running {
@@ -41,21 +42,21 @@
 			}
 		}
 	}
-	tenant := func(of prospect) ident.Tenant { return of.item.job.header.Tenant }
-	tokens := func(of prospect) int { return of.item.item.Tokens }
-	inTime := fairshare.InTurn(turns, ordered[:hopeless], tenant, tokens)
-	return append(slices.Clip(inTime), fairshare.InTurn(turns, ordered[hopeless:], tenant, tokens)...)
+	tenant := func(entry urgency) ident.Tenant { return entry.item.job.header.Tenant }
+	tokens := func(entry urgency) int { return entry.item.item.Tokens }
+	inTime := fairshare.InTurn(turns, ordered[:tooLate], tenant, tokens)
+	return append(slices.Clip(inTime), fairshare.InTurn(turns, ordered[tooLate:], tenant, tokens)...)
 }
 
-func ofSeveralTenants(ordered []prospect) bool {
-	return slices.ContainsFunc(ordered, func(of prospect) bool {
-		return of.item.job.header.Tenant != ordered[0].item.job.header.Tenant
+func hasSeveralTenants(ordered []urgency) bool {
+	return slices.ContainsFunc(ordered, func(entry urgency) bool {
+		return entry.item.job.header.Tenant != ordered[0].item.job.header.Tenant
 	})
 }
 
-// logTurns writes a line of the items of several tenants that wait, now and then. The caller holds the mutex.
+// logTurns periodically logs the waiting items if several tenants have some. The caller must hold the mutex.
 func (w *Worker) logTurns(now time.Time) {
-	if now.Sub(w.turnsLogged) < turnsEvery {
+	if now.Sub(w.turnsLogged) < turnsLogEvery {
 		return
 	}
 	counts := map[ident.Tenant][]int{}
@@ -88,8 +89,8 @@
 		return cmp.Or(cmp.Compare(counts[second][0], counts[first][0]), cmp.Compare(first, second))
 	})
 	named := zerolog.Dict()
-	for _, tenant := range tenants[:min(len(tenants), turnsTold)] {
+	for _, tenant := range tenants[:min(len(tenants), turnsLogTenants)] {
 		named.Ints(string(tenant), counts[tenant])
 	}
-	event.ItemsTakeTurns.Log(w.Logger).Dict("waiting_running", named).Int("others", max(len(tenants)-turnsTold, 0)).Send()
+	event.ItemsTakeTurns.Log(w.Logger).Dict("waiting_running", named).Int("others", max(len(tenants)-turnsLogTenants, 0)).Send()
 }
--- a/internal/jobworker/joined_test.go
+++ b/internal/jobworker/twoholders_test.go
@@ -20,35 +20,30 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// What was seen: a listed result whose text went on, after an event, with a run that had not been asked to go on there.
-//
-// How it came about: the store did writes without answering them, or did them seconds later. A worker's lease ran out while the
-// worker went on; another one claimed the job, and a third one after that. The third took over the output that it had kept
-// for both.
-//
-// Cause: a piece of kept output said at which length it follows and not of which run it is. The pieces of two runs of one item
-// have the same lengths, so that the piece of one run was put behind the text of the other.
-//
-// Proof: the lines of the three workers (job_claimed with four outputs taken over, while the first holder still ran them), and
-// the test below, in which nothing but the order of the pieces is arranged.
-
-// steppedRuns are the runs of all workers, whose events come one by one as the test lets them.
+// The test below guards against results whose text continues, after some event, with the events of a run that was not
+// started from there. The store did not answer writes or applied them seconds later, so that a worker's lease expired
+// while the worker continued. A second worker claimed the job, and later a third one, which used the output that it had
+// mirrored for both. A mirrored piece carried the length after which it follows but not the run that it continues. Pieces
+// of two runs of one item have the same lengths, so a piece of one run was appended to the text of the other. Only the
+// order of the pieces is arranged in the test.
+
+// steppedRuns are the runs of all workers, whose events are released one by one by the test.
 type steppedRuns struct {
 	mutex sync.Mutex
 	runs  []*steppedRun
 }
 
-// steppedRun is one run of an item. Its events' data is its number.
+// steppedRun is one run of an item. The data of its events is its number.
 type steppedRun struct {
 	node    ident.Node
 	resumed int64
 	allowed chan struct{}
 }
 
-// steppedEvents are the events of each item.
+// steppedEvents is the number of events of each item.
 const steppedEvents = 6
 
-// step lets the newest run of a node make that many events.
+// step lets the newest run of a node produce a number of events.
 func (s *steppedRuns) step(t *testing.T, node ident.Node, events int) {
 	t.Helper()
 	s.mutex.Lock()
@@ -64,7 +59,7 @@
 	t.Fatalf("no run of %s", node)
 }
 
-// count returns how many runs a node began.
+// count returns how many runs a node started.
 func (s *steppedRuns) count(node ident.Node) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,8 +72,8 @@
 	return count
 }
 
-// checkJoints fails where a text goes on with a run that was not asked to go on there.
-func (s *steppedRuns) checkJoints(t *testing.T, text string) {
+// checkResumes fails if a text continues with a run that was not resumed at that event.
+func (s *steppedRuns) checkResumes(t *testing.T, text string) {
 	t.Helper()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,13 +82,13 @@
 		number, err := strconv.Atoi(data)
 		assert.NilError(t, err)
 		if number != before {
-			assert.Equal(t, s.runs[number].resumed, int64(event), "text %q: run %d was not asked to go on after event %d", text, number, event)
+			assert.Equal(t, s.runs[number].resumed, int64(event), "text %q: run %d was not resumed after event %d", text, number, event)
 		}
 		before = number
 	}
 }
 
-// steppedCaller makes the runs of one node.
+// steppedCaller starts the runs of one node.
 type steppedCaller struct {
 	fakeCaller
 	node ident.Node
@@ -123,10 +118,10 @@
 	return &work.Reply{Head: work.Head{Status: http.StatusOK}, Sealed: true, Framed: true, Body: body}, nil
 }
 
-// mirrorRounds is long enough for several rounds of sending output to its second place.
+// mirrorRounds is long enough for several transfers of output to the mirror peer.
 const mirrorRounds = 15 * mirrorEvery
 
-// runnerOwnedBy returns a runner that a worker owns among all of them.
+// runnerOwnedBy returns a runner that the given one of all workers owns.
 func runnerOwnedBy(t *testing.T, owner ident.Node, workers ...ident.Node) work.Runner {
 	t.Helper()
 	known := map[ident.Node]jobrecord.Worker{}
@@ -142,45 +137,45 @@
 	return work.Runner{}
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("%s never came", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestOutputOfTwoHoldersIsNeverJoined has two workers run one item at once: the lease of the first ran out at the store, which
-// does not answer it. A third one keeps the output of both, and takes the job over in the end.
-func TestOutputOfTwoHoldersIsNeverJoined(t *testing.T) {
+// TestOutputsOfTwoRunsAreNotJoined has two workers run one item at the same time: the lease of the first expired at the
+// store, which does not answer it. A third one mirrors the output of both, and finally takes the job over.
+func TestOutputsOfTwoRunsAreNotJoined(t *testing.T) {
 	g, all, mirrors := newGroup(t), &steppedRuns{}, &localMirrors{workers: map[string]*jobworker.Worker{}}
 	nodes := []ident.Node{"n0", "n1", "n2"}
 	runners := []work.Runner{runnerOwnedBy(t, "n0", nodes...), runnerOwnedBy(t, "n1", nodes...)}
-	// Without a runner of its own the third takes no job.
+	// The third worker owns no runner and therefore takes no job.
 	third := g.start("n2", kvtest.NewPaged(g.data), &steppedCaller{node: "n2", all: all}, mirrors)
 	storeOfFirst := kvtest.NewPaged(g.data)
 	g.start("n0", storeOfFirst, &steppedCaller{node: "n0", all: all}, mirrors, runners...)
 	job := ident.Job("j")
 	g.submit(string(job), 1)
-	waitFor(t, "the first run", func() bool { return all.count("n0") == 1 })
+	waitUntil(t, "the first run", func() bool { return all.count("n0") == 1 })
 	g.start("n1", kvtest.NewPaged(g.data), &steppedCaller{node: "n1", all: all}, mirrors, runners...)
-	keptEvents := func() int64 {
-		kept := third.Mirrored(job)
-		if len(kept) == 0 {
+	mirroredEvents := func() int64 {
+		mirrored := third.Mirrored(job)
+		if len(mirrored) == 0 {
 			return 0
 		}
-		return kept[0].LastEvent
+		return mirrored[0].LastEvent
 	}
 	all.step(t, "n0", 2)
-	waitFor(t, "the output of the first", func() bool { return keptEvents() == 2 })
-	time.Sleep(1500 * time.Millisecond) // A job that is younger is not asked for output.
+	waitUntil(t, "the output of the first", func() bool { return mirroredEvents() == 2 })
+	time.Sleep(1500 * time.Millisecond) // No output is fetched for a younger job.
 
 	storeOfFirst.SetFaults(kvtest.PagedFaults{Down: true})
-	waitFor(t, "the run of the second", func() bool { return all.count("n1") == 1 })
+	waitUntil(t, "the run of the second", func() bool { return all.count("n1") == 1 })
 	all.step(t, "n0", 1)
-	waitFor(t, "the third event of the first", func() bool { return keptEvents() == 3 })
+	waitUntil(t, "the third event of the first", func() bool { return mirroredEvents() == 3 })
 	all.step(t, "n1", 1)
 	time.Sleep(mirrorRounds)
 	all.step(t, "n0", 1)
@@ -189,14 +184,14 @@
 	g.end("n0")
 	g.end("n1")
 	g.tables["n2"].Replace([]work.Runner{runnerOwnedBy(t, "n2", "n2")}, time.Now(), true)
-	waitFor(t, "the run of the third", func() bool { return all.count("n2") == 1 })
+	waitUntil(t, "the run of the third", func() bool { return all.count("n2") == 1 })
 	all.step(t, "n2", steppedEvents)
 	var results []work.Result
-	waitFor(t, "the result", func() bool {
+	waitUntil(t, "the result", func() bool {
 		var err error
 		results, err = g.records.AllResults(context.Background(), job)
 		return err == nil && len(results) == 1
 	})
 	assert.Equal(t, len(strings.Split(results[0].Text, "\n")), steppedEvents)
-	all.checkJoints(t, results[0].Text)
+	all.checkResumes(t, results[0].Text)
 }
--- a/internal/jobworker/foreign_test.go
+++ b/internal/jobworker/unowned_test.go
@@ -8,9 +8,9 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 )
 
-// TestWorkIsToldBackThoughTheRunnerIsAnothers has two fronts take this worker for the owner of a runner that it does not own: each hears of the
-// other's work there, which nobody else knows of.
-func TestWorkIsToldBackThoughTheRunnerIsAnothers(t *testing.T) {
+// TestWorkAtUnownedRunnersIsReported has two fronts take this worker for the owner of a runner that it does not own: each
+// is sent the other's work there, which no other worker knows.
+func TestWorkAtUnownedRunnersIsReported(t *testing.T) {
 	w, _ := demandWorker(t)
 	w.Demand(&demand.Report{Node: "front", Sequence: 1, Counts: []demand.Count{{Runner: "other", Online: 3}}})
 	answer := w.Demand(&demand.Report{Node: "second", Sequence: 1, Counts: []demand.Count{{Runner: "other", Online: 1}, {Runner: "unknown", Online: 1}}})
--- a/internal/jobworker/worker.go
+++ b/internal/jobworker/worker.go
@@ -1,5 +1,13 @@
-// Package jobworker runs the items of batch jobs. Each job is run by the one node that holds its claim; the claim goes
-// with the node's lease, so that another node goes on where a dead or frozen one stopped.
+// Package jobworker runs the items of batch jobs.
+//
+// Each job is run by the node that holds its claim. Claims are bound to the node's lease, so that another node takes the
+// job over when a node dies or freezes; partial output is mirrored to a second worker and resumed from there. Each runner
+// has one owner among the workers, which assigns the runner's batch slots beside its online work, preempts items when
+// online work needs their slots, and lends free slots to other workers.
+//
+// The package also divides slots fairly between tenants, bounds the memory for jobs, accepts jobs on disk while the store
+// is unreachable, holds accounts of the tokens waiting on bounded routes, looks for orphaned runs after a simultaneous
+// restart of all nodes, and drains workers that are retired.
 package jobworker
 
 import (
@@ -29,47 +37,48 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Options shape a worker.
+// Options configure a worker.
 type Options struct {
-	// LeaseTTL is how long the claims of a silent node live; they are renewed each third of it.
+	// LeaseTTL is how long the claims of an unresponsive node last; they are renewed three times in it.
 	LeaseTTL time.Duration
 	// CallTimeout bounds one call of the store.
 	CallTimeout time.Duration
-	// WatchWait is how long one call waits for changes of the open jobs, at the store or at the worker that reads for the others;
-	// it bounds how late the end of a job is seen.
+	// WatchWait is how long one call waits for changes of the open jobs, at the store or at the worker that reads for the
+	// others; it bounds how late the end of a job is seen.
 	WatchWait time.Duration
-	// WatchPause is the pause between two calls of the store for them, so that changes in quick succession cost one call.
+	// WatchPause is the pause between two such calls of the store, so that changes in quick succession cost one call.
 	WatchPause time.Duration
 	// RetryAfter is the pause after a failed call of the store.
 	RetryAfter time.Duration
-	// ClaimStep is how long a job is left to each worker whose turn comes before this one's, beside what a busy node
-	// leaves it to idler ones. It is longer than a claim takes to be seen by the others.
+	// ClaimStep is how long a job is left to each worker before this one in the job's order, in addition to the time for
+	// which a busy node leaves it to less busy ones. It is longer than it takes the others to see a claim.
 	ClaimStep time.Duration
-	// OutageAfter is how long the lease could not be renewed for it to count as an outage, in which leases may run out though
-	// their holders live.
+	// OutageAfter is how long renewals of the lease must fail to count as an outage, in which leases may expire although
+	// their holders are alive.
 	OutageAfter time.Duration
-	// HolderGrace is how long a claim that went in an outage is left to its former holder.
+	// HolderGrace is how long a claim that expired in an outage is left to its former holder.
 	HolderGrace time.Duration
-	// RecordDelay is how long results wait for others of their job, so that they cost one call together.
+	// RecordDelay is how long results wait for others of their job, to be recorded in one call.
 	RecordDelay time.Duration
-	// DispatchEvery is the time between two rounds of giving out items.
+	// DispatchEvery is the time between two dispatch rounds.
 	DispatchEvery time.Duration
 	// ReportEvery is the time between two reports read from a runner in use.
 	ReportEvery time.Duration
-	// StallAfter is how long a run may show no event before another runner goes on with it.
+	// StallAfter is how long a run may produce no event before another runner resumes it.
 	StallAfter time.Duration
-	// ReleaseAfter is how long a job may rest here, with nothing of it running and nothing recorded, before it is left to
+	// ReleaseAfter is how long a job may be idle here, with nothing running and nothing recorded, before it is left to
 	// another worker.
 	ReleaseAfter time.Duration
-	// MirrorEvery is the time between two sendings of output to its second place: what a worker's end costs at most.
+	// MirrorEvery is the time between two transfers of output to the mirror peer, which bounds the output lost with a
+	// worker.
 	MirrorEvery time.Duration
-	// BorrowEvery is the time between two rounds of asking other workers for places.
+	// BorrowEvery is the time between two rounds of asking other workers for slots.
 	BorrowEvery time.Duration
 	// ExpirySweep is the time between removals of jobs whose retention is over.
 	ExpirySweep time.Duration
 }
 
-// DefaultOptions suit items of some seconds that are due within some tens of seconds.
+// DefaultOptions suit items that take seconds and are due within tens of seconds.
 var DefaultOptions = Options{
 	LeaseTTL:      3 * time.Second,
 	CallTimeout:   time.Second,
@@ -89,7 +98,7 @@
 	ExpirySweep:   time.Minute,
 }
 
-// Worker runs jobs. Its exported fields are set before Start.
+// Worker runs jobs. Its exported fields must be set before Start.
 type Worker struct {
 	Node ident.Node
 	Zone ident.Zone
@@ -100,35 +109,36 @@
 	Runners *runnertable.Table
 	Routes  *routetable.Table
 	Caller  work.Caller
-	// Ends finds out which items end the runners that run them; nil lets each run.
+	// Ends tracks which items terminate the runners that run them; nil lets every item run.
 	Ends *endwatch.Watch
-	// Key is what the prints of items are made with.
+	// Key is used to compute the fingerprints of items.
 	Key     poison.Key
 	Options Options
-	// Handoff keeps jobs that the store did not take yet; nil keeps none.
+	// Handoff stores jobs that the store has not accepted yet; nil stores none.
 	Handoff *handoff.Log
-	// Mirrors carries the output of items to a second worker; nil keeps it here alone.
+	// Mirrors carries the output of items to a second worker; nil disables mirroring.
 	Mirrors Mirrors
-	// Lenders reaches the workers that lend places; nil uses the own runners alone.
+	// Lenders calls the workers that lend slots; nil restricts the worker to its own runners.
 	Lenders Lenders
-	// Readers reaches the workers that read the open jobs for the others; nil has each read for itself.
+	// Readers calls the workers that read the open jobs for the others; nil makes each worker read the store itself.
 	Readers Readers
-	// Followed is told of each change of the open jobs and the workers once it is taken over; nil is told nothing. It must not block.
+	// Followed is called after each change of the open jobs and the workers was applied; it may be nil and must not block.
 	Followed func()
-	// Accounts reaches the workers that keep the accounts of waiting tokens; nil tells them nothing.
+	// Accounts calls the workers that hold the accounts of waiting tokens; nil disables the reports to them.
 	Accounts Accounts
 	// Tolerance is how many workers may be lost at once with their disks.
 	Tolerance int
-	// Seeds are addresses of workers that may be asked before any is known, SeedsFor how long that is tried after the start.
+	// Seeds are addresses of workers that may be asked before any is known, SeedsFor how long that is tried after the
+	// start.
 	Seeds    []string
 	SeedsFor time.Duration
-	// StartsAgain says that the deployment had started before this process did.
+	// StartsAgain is set if the deployment had started before this process did.
 	StartsAgain bool
-	// Budget bounds what the worker holds of jobs; nil bounds nothing.
+	// Budget bounds the memory that the worker uses for jobs; nil sets no bound.
 	Budget *heldbytes.OfNode
-	// Outputs keeps the output of other workers' items on this node's disk too; nil keeps it in memory alone.
+	// Outputs also stores the output of other workers' items on this node's disk; nil stores it in memory only.
 	Outputs *progress.Journal
-	// Registry is told when a worker is emptied.
+	// Registry is notified when a worker is emptied.
 	Registry work.Registry
 	Logger   zerolog.Logger
 	Now      func() time.Time
@@ -138,97 +148,99 @@
 	mutex sync.Mutex
 	// started is when the worker was started.
 	started time.Time
-	// lease is the node's, or zero while it has none.
+	// lease is the node's lease, or zero while it has none.
 	lease kv.LeaseID
-	// leaseUntil is when the lease may lapse, counted from the sending of the last renewal that was answered.
+	// leaseUntil is when the lease may expire, counted from the sending of the last renewal that was answered.
 	leaseUntil time.Time
-	// registered is the revision of the node's entry among the workers; unlisted says that the entry is gone since.
-	registered int64
-	unlisted   bool
-	// live is what the node follows, avoidedReaders until when workers are not asked for it; only followLive touches them.
+	// registered is the revision of the node's entry among the workers; registrationGone is set if the entry has been
+	// missing since.
+	registered       int64
+	registrationGone bool
+	// live is the state of the open jobs that the node follows, avoidedReaders until when workers are not asked for it;
+	// only followLive accesses them.
 	live           *jobrecord.Live
 	avoidedReaders map[string]time.Time
-	// liveFeed passes it on.
+	// liveFeed publishes the live state.
 	liveFeed changefeed.Feed
-	// seedsAsked counts the questions to seeds.
-	seedsAsked int
-	// outage follows whether the store is away, by the renewals of the lease.
+	// seedCalls counts the calls to seeds.
+	seedCalls int
+	// outage tracks whether the store is unreachable, by the renewals of the lease.
 	outage outage
-	// workers are all that run jobs, open the open jobs of all nodes, jobs those that this node runs.
+	// workers are all registered workers, open the open jobs of all nodes, jobs those that this node runs.
 	workers map[ident.Node]jobrecord.Worker
 	open    map[ident.Job]*openJob
 	jobs    map[ident.Job]*jobRun
-	// runs counts the runs of items that this process began.
+	// runs counts the runs of items that this process started.
 	runs int64
-	// mirror keeps output for other workers.
+	// mirror stores output of other workers' items in memory.
 	mirror progress.Mirror
-	// demand is the online work that nodes tell of.
+	// demand is the online work that nodes report.
 	demand demand.Ledger
-	// tenants is what they tell of the places of tenants, of the services that this node keeps account of, overLogged when the log was
-	// last told of it, turnsLogged when of the items that take turns.
-	tenants                 fairshare.Account
-	overLogged, turnsLogged time.Time
-	// lent is what this node has lent to others, wanted when places of a service were last asked for.
-	lent   lending.Ledger
-	wanted map[string]time.Time
-	// borrowed is what this node may use at runners of other owners, lenders what is known of those.
+	// tenants is what nodes report of the slots of tenants, for the services whose account this node holds;
+	// overShareLogged and turnsLogged are when the respective log lines were last written.
+	tenants                      fairshare.Account
+	overShareLogged, turnsLogged time.Time
+	// lent is what this node has lent to others, lastWanted when slots of a service were last requested.
+	lent       lending.Ledger
+	lastWanted map[string]time.Time
+	// borrowed is what this node may use at runners of other owners, lenders the state of those owners.
 	borrowed map[ident.Incarnation]*borrowed
 	lenders  map[ident.Node]*lender
-	// owners holds the workers that own runners, as far as they were asked for since the workers changed: each report of
-	// online work asks for all.
+	// owners caches the owners of runners until the workers change, because each report of online work needs all of them.
 	owners map[ident.Incarnation]ident.Node
 	// ownedRunners are the runners that this node owned at ownedAt.
 	ownedRunners []work.Runner
 	ownedAt      time.Time
-	// found is the batch work that the last round of giving out items found.
+	// found is the batch work found by the last dispatch round.
 	found batchLoad
-	// loadLogged is when the batch load was last written to the log.
+	// loadLogged is when the batch load was last logged.
 	loadLogged time.Time
-	// loss is what this node knows of runs of nodes that are gone.
-	loss commonLoss
+	// orphanRuns is what this node knows of runs of nodes that are gone.
+	orphanRuns orphanState
 	// suspicions are the runners that some node suspects.
 	suspicions map[ident.Incarnation]*suspicion
-	// gauges follow the runners that may take batch items.
-	gauges map[ident.Incarnation]*gauged
-	// duration is the mean time of a whole run, events the mean number of its events, tokens the mean of the items'
-	// counts.
+	// gauges track the load of the runners that may take batch items.
+	gauges map[ident.Incarnation]*runnerGauge
+	// duration is the mean duration of a complete run, events the mean number of its events, tokens the mean of the items'
+	// token counts.
 	duration time.Duration
 	events   float64
 	tokens   float64
 	draining bool
-	// retirements are the workers to be emptied.
+	// retirements are the orders to empty workers.
 	retirements map[ident.Node]*retirement
-	// finished holds the results of jobs that were finished here lately.
+	// finished caches the results of jobs that were recently finished here.
 	finished finishedJobs
-	// memory is what is known of the room for jobs.
+	// memory is the state of the memory for jobs.
 	memory memory
-	// account is that of the waiting tokens of routes.
+	// account is this worker's part in the accounts of waiting tokens.
 	account account
 }
 
 // openJob is a job that is not finished.
 type openJob struct {
 	entry jobrecord.Open
-	// claimed says that some node holds it; otherwise unclaimed is since when none does.
+	// claimed is set if some node holds the job; otherwise unclaimed is since when none does.
 	claimed   bool
 	unclaimed time.Time
-	// own says that the claim is this node's, though it does not run the job: nobody else can claim it.
-	own bool
-	// claiming says that this node is about to claim it.
+	// ownClaim is set if the claim is this node's although it does not run the job, which keeps all other nodes from
+	// claiming it.
+	ownClaim bool
+	// claiming is set while this node is claiming the job.
 	claiming bool
-	// notBefore is when this node may claim it (again).
+	// notBefore is the earliest time at which this node may claim the job (again).
 	notBefore time.Time
 }
 
-// gauged is a runner's gauge, when it was last asked for a report, and whether it lacks places.
-type gauged struct {
-	gauge batchroom.Gauge
-	asked time.Time
-	short shortage
+// runnerGauge is a runner's gauge, the time of the last poll of its report, and its shortage of slots.
+type runnerGauge struct {
+	gauge  batchroom.Gauge
+	polled time.Time
+	short  shortage
 }
 
-// expectedDuration is the time of a run before any was seen.
-const expectedDuration = 5 * time.Second
+// initialRunTime is the assumed duration of a run before any was seen.
+const initialRunTime = 5 * time.Second
 
 // Start runs the worker's loops until the tomb dies.
 func (w *Worker) Start(parent *tomb.Tomb) {
@@ -237,12 +249,12 @@
 	w.live, w.avoidedReaders = &jobrecord.Live{}, map[string]time.Time{}
 	w.open = map[ident.Job]*openJob{}
 	w.jobs = map[ident.Job]*jobRun{}
-	w.gauges = map[ident.Incarnation]*gauged{}
+	w.gauges = map[ident.Incarnation]*runnerGauge{}
 	w.retirements = map[ident.Node]*retirement{}
-	w.duration = expectedDuration
+	w.duration = initialRunTime
 	w.started = w.Now()
 	if w.StartsAgain {
-		w.loss.watch.Begin(w.started)
+		w.orphanRuns.watch.Begin(w.started)
 		parent.Go(w.watchOrphans)
 	}
 	parent.Go(w.keepLease)
@@ -252,21 +264,21 @@
 	parent.Go(w.mirrorLoop)
 	parent.Go(w.borrowLoop)
 	parent.Go(w.retireLoop)
-	// What is on the disk counts from the first question on.
-	w.LearnRoom(&queueroom.News{Kept: w.keptJobs()})
+	// Jobs on the disk are counted before the first request for capacity is answered.
+	w.LearnRoom(&queueroom.News{Kept: w.handoffJobs()})
 	if w.Accounts != nil {
-		parent.Go(w.roomLoop)
+		parent.Go(w.accountLoop)
 	}
 }
 
-// Drain stops giving out items and waits until those in progress are recorded, at most until the wait is over. Then it
-// gives up the lease, so that other nodes take the jobs at once.
+// Drain stops dispatching items and waits until those in progress are recorded, at most for the given time. It then
+// revokes the lease, so that other nodes take over the jobs at once.
 func (w *Worker) Drain(wait time.Duration) {
 	w.mutex.Lock()
 	w.draining = true
 	w.mutex.Unlock()
 	end := w.Now().Add(wait)
-	for w.Now().Before(end) && w.busy() {
+	for w.Now().Before(end) && w.hasWork() {
 		time.Sleep(w.Options.DispatchEvery)
 	}
 	w.mutex.Lock()
@@ -281,27 +293,27 @@
 	_ = w.Store.Revoke(ctx, lease)
 }
 
-// busy says whether items run, results wait to be recorded, or jobs wait to be handed over.
-func (w *Worker) busy() bool {
-	if w.keepsJobs() {
+// hasWork reports whether items run, results wait to be recorded, or stored jobs wait to be handed over.
+func (w *Worker) hasWork() bool {
+	if w.hasPendingHandoffs() {
 		return true
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, job := range w.jobs {
-		if job.running > 0 || len(job.unlisted) > 0 {
+		if job.running > 0 || len(job.unrecorded) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// call returns a context for one call of the store.
-func (w *Worker) call() (context.Context, context.CancelFunc) {
+// callContext returns a context for one call of the store or of a runner.
+func (w *Worker) callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(w.ctx, w.Options.CallTimeout)
 }
 
-// pause waits, or returns false when the worker ends.
+// pause waits, and returns false if the worker stops.
 func (w *Worker) pause(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -313,24 +325,24 @@
 	}
 }
 
-// longestStorePause bounds the pause after a failed call of the store.
-const longestStorePause = time.Second
+// maxStoreBackoff bounds the pause after a failed call of the store.
+const maxStoreBackoff = time.Second
 
-// pauseForStore waits after a failed call, while the renewals of the lease fail too: one loop that tries is enough to see
-// that the store is back. It returns false when the worker ends.
-func (w *Worker) pauseForStore() bool {
-	for waited := time.Duration(0); waited < longestStorePause; waited += w.Options.RetryAfter {
+// waitForStore waits after a failed call while the renewals of the lease fail too: one loop that retries is enough to see
+// that the store is back. It returns false if the worker stops.
+func (w *Worker) waitForStore() bool {
+	for waited := time.Duration(0); waited < maxStoreBackoff; waited += w.Options.RetryAfter {
 		if !w.pause(w.Options.RetryAfter) {
 			return false
 		}
-		if !w.storeFails() {
+		if !w.renewalsFail() {
 			return true
 		}
 	}
 	return true
 }
 
-func (w *Worker) storeFails() bool {
+func (w *Worker) renewalsFail() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return !w.outage.failingSince.IsZero()
@@ -338,7 +350,7 @@
 
 func (w *Worker) expireLoop() error {
 	for w.pause(w.Options.ExpirySweep) {
-		ctx, cancel := w.call()
+		ctx, cancel := w.callContext()
 		_, err := w.Records.RemoveExpired(ctx)
 		cancel()
 		if err != nil {
@@ -348,7 +360,7 @@
 	return nil
 }
 
-// callWithin returns a context for a call of the store that waits.
-func (w *Worker) callWithin(wait time.Duration) (context.Context, context.CancelFunc) {
+// callContextFor returns a context for a call of the store or of a reader that may wait for changes.
+func (w *Worker) callContextFor(wait time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(w.ctx, wait)
 }
--- a/internal/jobworker/worker_test.go
+++ b/internal/jobworker/worker_test.go
@@ -30,15 +30,15 @@
 
 const eventsEach = 3
 
-// fakeCaller answers each item whole. Nodes that are cut off reach no runner.
+// fakeCaller answers each item completely. A node that is cut off reaches no runner.
 type fakeCaller struct {
 	mutex sync.Mutex
 	cut   bool
-	// held makes every item wait until it is false.
+	// held blocks every item while it is set.
 	held bool
-	// takes is how long each run takes; running counts those in progress, most is the most that were.
-	takes         time.Duration
-	running, most int
+	// takes is the duration of each run; running counts those in progress, maxRunning is the highest count seen.
+	takes               time.Duration
+	running, maxRunning int
 	// failing is the runner that answers every item with a failure.
 	failing ident.Incarnation
 }
@@ -53,7 +53,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.running += change
-	c.most = max(c.most, c.running)
+	c.maxRunning = max(c.maxRunning, c.running)
 }
 
 func (c *fakeCaller) isHeld() bool {
@@ -108,7 +108,7 @@
 	c.cut = cut
 }
 
-// group is a set of workers over one store, in one zone.
+// group is a set of workers on one store, in one zone.
 type group struct {
 	t       *testing.T
 	data    *kvtest.Data
@@ -118,15 +118,15 @@
 	stores  map[ident.Node]*kvtest.Paged
 	tables  map[ident.Node]*runnertable.Table
 	tombs   map[ident.Node]*tomb.Tomb
-	// budget bounds what each worker holds, if it is set; logger takes their lines.
+	// budget bounds the memory of each worker, if it is set; logger receives their log lines.
 	budget *heldbytes.OfNode
 	logger zerolog.Logger
-	// asleep is for how long the machines of the workers were suspended: the world is ahead by that, their timers are not.
-	asleep atomic.Int64
+	// suspended is for how long the workers' machines were suspended: real time is ahead by that, their timers are not.
+	suspended atomic.Int64
 }
 
-// now is the time of the world, and of workers that count the time asleep.
-func (g *group) now() time.Time { return time.Now().Add(time.Duration(g.asleep.Load())) }
+// now is the real time, and the time of workers whose clock includes suspension.
+func (g *group) now() time.Time { return time.Now().Add(time.Duration(g.suspended.Load())) }
 
 func newGroup(t *testing.T) *group {
 	g := &group{
@@ -152,7 +152,8 @@
 	g.start(node, g.stores[node], g.callers[node], nil, runners...)
 }
 
-// start starts a worker that knows the runners, on its client of the store. With mirrors its output is kept at a second one.
+// start starts a worker that knows the runners, with its own client of the store. With mirrors, its output is mirrored to
+// a second worker.
 func (g *group) start(node ident.Node, store *kvtest.Paged, caller work.Caller, mirrors *localMirrors, runners ...work.Runner) *jobworker.Worker {
 	return g.startOn(node, store, caller, mirrors, runners...)
 }
@@ -178,13 +179,13 @@
 	return worker
 }
 
-// end ends a worker and waits until it has ended. Further calls do nothing.
+// end stops a worker and waits until it has stopped. Further calls do nothing.
 func (g *group) end(node ident.Node) {
 	g.tombs[node].Kill(nil)
 	_ = g.tombs[node].Wait()
 }
 
-// waitClaimed waits until a worker holds the claim of a job, and fails where another one does.
+// waitClaimed waits until a worker holds the claim of a job, and fails if another one does.
 func (g *group) waitClaimed(id string, node ident.Node) {
 	g.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -206,7 +207,7 @@
 	assert.NilError(g.t, g.records.Accept(context.Background(), submission))
 }
 
-// waitWhole waits until every item of a job has its whole output; the bound only ends a test that hangs.
+// waitWhole waits until every item of a job has its complete output; the time limit only ends a test that hangs.
 func (g *group) waitWhole(id string, items int) {
 	g.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -221,14 +222,14 @@
 		}
 		return
 	}
-	g.t.Fatalf("job %s was left lying", id)
+	g.t.Fatalf("job %s was not finished", id)
 }
 
 func oneRunner(id string) work.Runner {
 	return work.Runner{ID: ident.Incarnation(id), Service: "s", Address: id, Zone: "z", Slots: 8}
 }
 
-// TestEveryJobIsRunThoughSomeWorkersOwnNoRunner has more workers than runners: none may keep a job it cannot run.
+// TestEveryJobIsRunThoughSomeWorkersOwnNoRunner has more workers than runners: none may hold a job it cannot run.
 func TestEveryJobIsRunThoughSomeWorkersOwnNoRunner(t *testing.T) {
 	g := newGroup(t)
 	for node := range 4 {
@@ -242,7 +243,7 @@
 	}
 }
 
-// TestJobLeavesAWorkerThatReachesNoRunner cuts the worker that runs the job off from the runners.
+// TestJobLeavesAWorkerThatReachesNoRunner partitions the worker that runs the job from the runners.
 func TestJobLeavesAWorkerThatReachesNoRunner(t *testing.T) {
 	g := newGroup(t)
 	runners := []work.Runner{oneRunner("i-1"), oneRunner("i-2"), oneRunner("i-3"), oneRunner("i-4"), oneRunner("i-5"), oneRunner("i-6")}
@@ -258,7 +259,7 @@
 	}
 }
 
-// TestJobOfADeadWorkerIsTakenOver ends a worker without a word, and later its lease.
+// TestJobOfADeadWorkerIsTakenOver stops a worker without a drain, and later expires its lease.
 func TestJobOfADeadWorkerIsTakenOver(t *testing.T) {
 	g := newGroup(t)
 	g.add("n0", oneRunner("i-1"))
@@ -271,8 +272,8 @@
 	g.waitWhole("j", 3)
 }
 
-// TestClaimWhoseAnswerWasLostIsServed loses the answers of a claim that took effect and of its repetitions: the claim lives as long as the
-// worker does, so nobody else will run the job.
+// TestClaimWhoseAnswerWasLostIsServed loses the answers of a claim that took effect and of its retries: the claim lasts as
+// long as the worker's lease, so nobody else will run the job.
 func TestClaimWhoseAnswerWasLostIsServed(t *testing.T) {
 	g := newGroup(t)
 	g.add("n0", oneRunner("i-1"))
@@ -283,8 +284,8 @@
 	g.waitWhole("second", 2)
 }
 
-// TestFailingRunnerDoesNotUseUpTheAttempts has one of two runners fail every item at once, so that its places are always
-// free: each item still gets its output from the other one.
+// TestFailingRunnerDoesNotUseUpTheAttempts has one of two runners fail every item at once, so that it always has free
+// slots: each item still gets its output from the other one.
 func TestFailingRunnerDoesNotUseUpTheAttempts(t *testing.T) {
 	g := newGroup(t)
 	g.add("n0", oneRunner("i-1"), oneRunner("i-2"))
@@ -293,8 +294,8 @@
 	g.waitWhole("j", 24)
 }
 
-// TestClaimThatLapsedInAnOutageIsLeftToItsHolder lets the lease of a living worker run out while the store is away: the
-// other worker sees the job unclaimed first, and still leaves it to the one that has its results.
+// TestClaimThatLapsedInAnOutageIsLeftToItsHolder lets the lease of a living worker expire while the store is unreachable:
+// the other worker sees the unclaimed job first, and still leaves it to the one that has its results.
 func TestClaimThatLapsedInAnOutageIsLeftToItsHolder(t *testing.T) {
 	g := newGroup(t)
 	g.add("n0", oneRunner("i-1"))
@@ -315,8 +316,9 @@
 	g.waitWhole("j", 2)
 }
 
-// TestWorkerCallsAStoreThatIsAwayLittle has results of several jobs wait for the store: the worker must not call it for each.
-func TestWorkerCallsAStoreThatIsAwayLittle(t *testing.T) {
+// TestWorkerRarelyCallsAnUnreachableStore has results of several jobs wait for the store: the worker must not call it for
+// each of them.
+func TestWorkerRarelyCallsAnUnreachableStore(t *testing.T) {
 	g := newGroup(t)
 	g.add("n0", oneRunner("i-1"))
 	g.callers["n0"].hold(true)
@@ -332,20 +334,21 @@
 	time.Sleep(time.Second)
 	before, began := g.stores["n0"].Calls(), time.Now()
 	time.Sleep(2 * time.Second)
-	// Each of the writers tries about once a second, and the lease is renewed five times a second.
+	// Each writer retries about once a second, and the lease is renewed five times a second.
 	calls := g.stores["n0"].Calls() - before
 	rate := float64(calls) / time.Since(began).Seconds()
-	assert.Assert(t, rate <= 20, "%.0f calls a second", rate)
+	assert.Assert(t, rate <= 20, "%.0f calls per second", rate)
 	g.stores["n0"].SetFaults(kvtest.PagedFaults{})
 	for job := range 6 {
 		g.waitWhole(fmt.Sprint("j", job), 1)
 	}
 }
 
-// TestWorkerWhoseMachineSleptIsNotSureOfItsJobs suspends a worker's machine for longer than its lease: the store has given its claims
-// up and another worker may have recorded more, while no timer of the worker has run. It answers nothing from memory and is given no
-// job before it has renewed, and serves its job again then. With a clock that stands still in the sleep it was sure at once.
-func TestWorkerWhoseMachineSleptIsNotSureOfItsJobs(t *testing.T) {
+// TestWorkerIsNotSureOfItsJobsAfterSuspension suspends a worker's machine for longer than its lease: the store has expired
+// its claims and another worker may have recorded more, while no timer of the worker has run. Until it has renewed its
+// lease it answers nothing from memory and is assigned no job; then it serves its job again. With a clock that stops
+// during suspension it was sure at once.
+func TestWorkerIsNotSureOfItsJobsAfterSuspension(t *testing.T) {
 	g := newGroup(t)
 	runner := work.Runner{ID: "i-1", Service: "s", Address: "a", Zone: "z", Slots: 4}
 	caller, store := &fakeCaller{held: true}, kvtest.NewPaged(g.data)
@@ -358,16 +361,16 @@
 	awaitSure := func() {
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); !isSure(); time.Sleep(20 * time.Millisecond) {
-			assert.Assert(t, time.Now().Before(end), "never sure of its job")
+			assert.Assert(t, time.Now().Before(end), "not sure of its job")
 		}
 	}
 	g.submit("job", 2)
 	awaitSure()
 
-	// Whatever the worker asks the store right after waking is not answered yet.
+	// No call of the worker right after waking is answered.
 	store.SetFaults(kvtest.PagedFaults{Down: true})
-	g.asleep.Store(int64(5 * time.Second))
-	assert.Assert(t, !isSure(), "sure of a job whose claim has lapsed")
+	g.suspended.Store(int64(5 * time.Second))
+	assert.Assert(t, !isSure(), "sure of a job whose claim has expired")
 	assert.Equal(t, worker.Demand(&demand.Report{Node: "front", Incarnation: 1, Sequence: 1}).Batch.Lease, int64(0))
 
 	store.SetFaults(kvtest.PagedFaults{})
