--- a/internal/handoff/deliver.go
+++ b/internal/handoff/deliver.go
@@ -16,39 +16,41 @@
 )
 
 const (
-	// deliverEvery is the time between two rounds of handing over.
-	deliverEvery = 250 * time.Millisecond
-	// deliverTimeout bounds one call of the store.
+	// deliverInterval is the time between two delivery rounds.
+	deliverInterval = 250 * time.Millisecond
+	// deliverTimeout bounds the store calls for one entry.
 	deliverTimeout = time.Second
-	// longestPause bounds the pause after failures, which doubles with each: calls of a store that is away have their price.
-	longestPause = time.Second
+	// maxBackoff bounds the extra delay after failures, which doubles with each failure: calls to an unavailable store
+	// are expensive.
+	maxBackoff = time.Second
 )
 
-// Store is where the jobs are to be; see jobrecord.Records.
+// Store is the job store that entries are delivered to; see jobrecord.Records.
 type Store interface {
 	Exists(ctx context.Context, job ident.Job) (bool, error)
 	Accept(ctx context.Context, submission *jobrecord.Submission) error
 }
 
-// Deliverer hands the entries of a log over to the store.
+// Deliverer delivers the entries of a log to the store.
 type Deliverer struct {
 	Log   *Log
 	Store Store
-	// Lifetime is how long after its acceptance a job is handed over at most. The store forgets jobs later than that, and
-	// must not take one again that it has forgotten.
+	// Lifetime is how long after its acceptance a job may still be delivered. The store forgets a job later than that,
+	// and must not accept a job again that it has forgotten.
 	Lifetime time.Duration
-	// Taken says whether a job is known to be in the store without a call of it; nil knows none.
+	// Taken reports whether a job is known to be in the store without calling it; nil means that no job is known to be.
 	Taken  func(job ident.Job) bool
 	Logger zerolog.Logger
 	Now    func() time.Time
-	// Held counts the entry that is being handed over; nil counts nothing. It refuses none: a job that was accepted is to reach the store.
+	// Held accounts for the memory of the entry being delivered; nil accounts for nothing. It does not refuse an entry: a
+	// job that was accepted must reach the store.
 	Held *heldbytes.OfNode
 
 	mutex sync.Mutex
-	// seen counts the rounds since an entry came or a call failed, whichever was later: an entry waits for as many as its
-	// turn says.
-	seen  map[ident.Job]int
-	pause time.Duration
+	// rounds counts for each entry the rounds since it was added or since the last failed call, whichever was later: an
+	// entry is skipped for the number of rounds given by its turn.
+	rounds       map[ident.Job]int
+	backoffDelay time.Duration
 }
 
 // Start runs the deliverer until the tomb dies.
@@ -56,7 +58,7 @@
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
 		for {
-			timer := time.NewTimer(deliverEvery + d.backoff())
+			timer := time.NewTimer(deliverInterval + d.backoff())
 			select {
 			case <-parent.Dying():
 				timer.Stop()
@@ -71,10 +73,10 @@
 func (d *Deliverer) backoff() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.pause
+	return d.backoffDelay
 }
 
-// Round hands over the entries whose turn it is. After a failure the rounds are counted anew.
+// Round delivers the entries whose turn has come. After a failure the rounds are counted from zero.
 func (d *Deliverer) Round(ctx context.Context) {
 	entries := d.Log.Entries()
 	var failed error
@@ -84,38 +86,38 @@
 			break
 		}
 	}
-	d.note(failed)
+	d.setBackoff(failed)
 }
 
-// due counts the round for each entry and returns those whose turn it is.
+// due counts the round for each entry and returns the entries whose turn has come.
 func (d *Deliverer) due(entries []Summary) []Summary {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	seen := make(map[ident.Job]int, len(entries))
+	rounds := make(map[ident.Job]int, len(entries))
 	var due []Summary
 	for _, entry := range entries {
-		seen[entry.Job] = d.seen[entry.Job] + 1
-		if seen[entry.Job] > entry.Turn {
+		rounds[entry.Job] = d.rounds[entry.Job] + 1
+		if rounds[entry.Job] > entry.Turn {
 			due = append(due, entry)
 		}
 	}
-	d.seen = seen
+	d.rounds = rounds
 	return due
 }
 
-// note sets the pause before the next round.
-func (d *Deliverer) note(failed error) {
+// setBackoff sets the extra delay before the next round.
+func (d *Deliverer) setBackoff(failed error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if failed == nil {
-		d.pause = 0
+		d.backoffDelay = 0
 		return
 	}
-	d.seen = nil
-	d.pause = min(max(2*d.pause, deliverEvery), longestPause)
+	d.rounds = nil
+	d.backoffDelay = min(max(2*d.backoffDelay, deliverInterval), maxBackoff)
 }
 
-// deliver hands one job over. An entry that cannot be handed over any more is dropped, so that it does not hold up others.
+// deliver delivers one job. An entry that can no longer be delivered is removed, so that it does not block others.
 func (d *Deliverer) deliver(ctx context.Context, summary Summary) error {
 	job := summary.Job
 	if d.Taken != nil && d.Taken(job) {
--- a/internal/handoff/entry.go
+++ b/internal/handoff/entry.go
@@ -1,11 +1,11 @@
-// Package handoff keeps accepted batch jobs on the disks of workers while the store that is to hold them does not answer,
-// and hands them over as soon as it does (hinted handoff). A job is acknowledged once enough workers have it on disk, so
-// that losing as many disks as the deployment tolerates loses no job.
+// Package handoff stores accepted batch jobs on the disks of workers while the job store does not answer, and delivers
+// them as soon as it does (hinted handoff). A job is acknowledged once enough workers have it on disk, so that losing as
+// many disks as the deployment tolerates loses no job.
 //
 // Invariants:
 //   - an entry is synced, file and folder, before it is acknowledged;
-//   - an entry is removed only after the store was seen to hold the job, or once the job may be given up anyway;
-//   - handing over is idempotent: the store takes a job once, however many workers bring it and however often.
+//   - an entry is removed only once the store is seen to have the job, or once the job may be given up anyway;
+//   - delivery is idempotent: the store accepts a job once, however many workers deliver it and however often.
 package handoff
 
 import (
@@ -17,29 +17,30 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Failures of the log.
+// Errors of the log.
 const (
-	// ErrFull means that the entry does not fit within the folder's bound. It was not kept.
+	// ErrFull means that the entry does not fit within the folder's size limit. It was not stored.
 	ErrFull = failure.Kind("handoff: no room on the disk")
-	// ErrDisk means that the disk failed. The entry may have been kept.
+	// ErrDisk means that the disk failed. The entry may have been stored.
 	ErrDisk = failure.Kind("handoff: disk failed")
-	// ErrDamaged means that a file is not a whole entry. It was never acknowledged.
+	// ErrDamaged means that a file is not a complete entry. It was never acknowledged.
 	ErrDamaged = failure.Kind("handoff: damaged entry")
-	// ErrNobodyAnswers means that none of the workers that were asked to keep a job said anything, for as long as one may take.
+	// ErrNobodyAnswers means that none of the workers that were asked to store a job answered within the time limit.
 	ErrNobodyAnswers = failure.Kind("handoff: no worker answers")
 )
 
-// Entry is an accepted job on its way to the store.
+// Entry is an accepted job that has yet to be delivered to the store.
 type Entry struct {
 	Job   ident.Job  `json:"job"`
 	Route string     `json:"route"`
 	Host  string     `json:"host"`
 	Zone  ident.Zone `json:"zone"`
-	// Tenant is whose job it is, if anybody's.
+	// Tenant is the tenant of the job, empty if it has none.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
 	// SubmittedMs is when the job was accepted, in milliseconds of Unix time.
 	SubmittedMs int64 `json:"submitted_ms"`
-	// Turn is the position among the workers that keep the job: later ones leave it to the earlier ones for a while.
+	// Turn is the position among the workers that store the job: later ones leave the delivery to the earlier ones for
+	// some rounds.
 	Turn  int    `json:"turn"`
 	Items []Item `json:"items"`
 }
@@ -64,7 +65,7 @@
 	return entry
 }
 
-// Submission is what the store is to take.
+// Submission returns the submission that is written to the store.
 func (e *Entry) Submission() *jobrecord.Submission {
 	submission := &jobrecord.Submission{
 		ID: e.Job, Route: e.Route, Host: e.Host, Zone: e.Zone, Tenant: e.Tenant, Accepted: time.UnixMilli(e.SubmittedMs),
@@ -77,10 +78,10 @@
 	return submission
 }
 
-// Queue is where the job waits.
+// Queue returns the queue in which the job waits.
 func (e *Entry) Queue() jobrecord.Queue { return jobrecord.Queue{Route: e.Route, Tenant: e.Tenant} }
 
-// Bytes is the size of the bodies.
+// Bytes returns the total size of the bodies.
 func (e *Entry) Bytes() int64 {
 	bytes := int64(0)
 	for index := range e.Items {
@@ -89,7 +90,7 @@
 	return bytes
 }
 
-// Tokens are those of all items.
+// Tokens returns the total tokens of all items.
 func (e *Entry) Tokens() int {
 	tokens := 0
 	for _, item := range e.Items {
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -15,20 +15,21 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// countedStore notes what is held while a job is handed over.
+// countedStore records how many bytes are accounted for while a job is delivered.
 type countedStore struct {
 	handoff.Store
-	budget *heldbytes.OfNode
-	most   int64
+	budget  *heldbytes.OfNode
+	maxHeld int64
 }
 
 func (s *countedStore) Accept(ctx context.Context, submission *jobrecord.Submission) error {
-	s.most, _ = s.budget.Load()
+	s.maxHeld, _ = s.budget.Load()
 	return s.Store.Accept(ctx, submission)
 }
 
-// TestEntryThatIsHandedOverIsCounted has a worker whose memory is taken, a fifth of 136 MB, hand over a job of ten items of 60 kB: they
-// count while they are in memory, and the job reaches the store all the same, since it was accepted.
+// TestEntryThatIsHandedOverIsCounted has a worker with no free memory, a fifth of 136 MB, deliver a job of ten items of
+// 60 kB: the items are accounted for while they are in memory, and the job reaches the store nevertheless, because it was
+// accepted.
 func TestEntryThatIsHandedOverIsCounted(t *testing.T) {
 	d := newDelivery(t, kvtest.NewData(time.Now))
 	budget := heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(136 << 20))
@@ -45,7 +46,7 @@
 	assert.NilError(t, d.Log.Put(handoff.NewEntry(submission, accepted, 0)))
 	d.Round(context.Background())
 	assert.Assert(t, !d.Log.Has("large"))
-	assert.Assert(t, store.most >= all+600_000, "%d bytes were held beside %d", store.most-all, all)
+	assert.Assert(t, store.maxHeld >= all+600_000, "%d bytes were held beside %d", store.maxHeld-all, all)
 	held, _ := budget.Load()
 	assert.Equal(t, held, all)
 }
--- a/internal/handoff/log.go
+++ b/internal/handoff/log.go
@@ -24,7 +24,7 @@
 	folderPerm  = 0o700
 )
 
-// Summary is what the log remembers of an entry without reading its file.
+// Summary is the part of an entry that the log has in memory, without its file.
 type Summary struct {
 	Job    ident.Job
 	Route  string
@@ -34,15 +34,15 @@
 	bytes  int64
 }
 
-// Queue is where the job waits.
+// Queue returns the queue in which the job waits.
 func (s Summary) Queue() jobrecord.Queue { return jobrecord.Queue{Route: s.Route, Tenant: s.Tenant} }
 
-// Log is a folder with one file for each entry. It is safe for concurrent use.
+// Log is a folder with one file per entry. It is safe for concurrent use.
 type Log struct {
 	folder string
-	// most is the bound of all files together, in bytes.
-	most int64
-	// reopened says that the folder was there before.
+	// maxBytes is the limit of the total size of all files.
+	maxBytes int64
+	// reopened is true if the folder existed before.
 	reopened bool
 
 	mutex   sync.Mutex
@@ -50,9 +50,9 @@
 	bytes   int64
 }
 
-// Open reads the folder, which is made where it is missing. Files that are not whole entries are removed: their sync was
-// not over, so that they were not acknowledged. The error wraps ErrDisk.
-func Open(folder string, most int64) (*Log, error) {
+// Open reads the folder and creates it if it is missing. Files that are not complete entries are removed: their sync had
+// not completed, so they were never acknowledged. The error wraps ErrDisk.
+func Open(folder string, maxBytes int64) (*Log, error) {
 	_, missing := os.Stat(folder)
 	if err := os.MkdirAll(folder, folderPerm); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDisk, err)
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	log := &Log{folder: folder, most: most, reopened: missing == nil, entries: map[ident.Job]Summary{}}
+	log := &Log{folder: folder, maxBytes: maxBytes, reopened: missing == nil, entries: map[ident.Job]Summary{}}
 	for _, file := range files {
 		if err := log.recover(file.Name()); err != nil {
 			return nil, err
@@ -70,10 +70,10 @@
 	return log, nil
 }
 
-// Reopened says whether an earlier process had the folder: this one was started again.
+// Reopened reports whether the folder existed before, which means that this process is a restart.
 func (l *Log) Reopened() bool { return l.reopened }
 
-// recover takes over one file of an earlier process.
+// recover loads one file of an earlier process.
 func (l *Log) recover(name string) error {
 	path := filepath.Join(l.folder, name)
 	content, err := os.ReadFile(path)
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// add notes an entry. The caller holds the mutex or is the only user.
+// add adds an entry to the index. The caller holds the mutex or is the only user.
 func (l *Log) add(entry *Entry, size int64) {
 	l.entries[entry.Job] = Summary{Job: entry.Job, Route: entry.Route, Tenant: entry.Tenant, Tokens: entry.Tokens(), Turn: entry.Turn, bytes: size}
 	l.bytes += size
 }
 
-// Put makes an entry durable. One that is there already is left as it is. The error wraps ErrFull or ErrDisk.
+// Put makes an entry durable. An entry that exists already is left unchanged. The error wraps ErrFull or ErrDisk.
 func (l *Log) Put(entry *Entry) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -107,8 +107,8 @@
 		return err
 	}
 	size := int64(len(content))
-	if l.bytes+size > l.most {
-		return fmt.Errorf("%w: %d bytes are kept and the entry has %d, at most %d", ErrFull, l.bytes, size, l.most)
+	if l.bytes+size > l.maxBytes {
+		return fmt.Errorf("%w: %d bytes are kept and the entry has %d, at most %d", ErrFull, l.bytes, size, l.maxBytes)
 	}
 	if err := durable.Write(l.path(entry.Job), content); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
@@ -126,7 +126,7 @@
 	return decodeEntry(content)
 }
 
-// Remove drops an entry. A name that comes back after a loss of power does no harm: the job is handed over once more.
+// Remove removes an entry. A file that reappears after a power loss is harmless: the job is delivered once more.
 func (l *Log) Remove(job ident.Job) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -139,7 +139,7 @@
 	l.bytes -= known.bytes
 }
 
-// Has says whether the log has an entry of the job.
+// Has reports whether the log has an entry of the job.
 func (l *Log) Has(job ident.Job) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -147,7 +147,7 @@
 	return known
 }
 
-// Entries returns what the log has, ordered by turn and name.
+// Entries returns the summaries of all entries, ordered by turn and job ID.
 func (l *Log) Entries() []Summary {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -164,7 +164,7 @@
 	return kept
 }
 
-// Tokens returns the tokens of a queue's entries.
+// Tokens returns the total tokens of a queue's entries.
 func (l *Log) Tokens(queue jobrecord.Queue) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -177,7 +177,7 @@
 	return tokens
 }
 
-// path names the file of a job by a digest, because ids are the client's.
+// path returns the file name of a job. It is a digest, because job IDs are chosen by clients.
 func (l *Log) path(job ident.Job) string {
 	return filepath.Join(l.folder, fmt.Sprintf("%016x%s", xxhash.Sum64String(string(job)), suffixEntry))
 }
--- a/internal/handoff/log_test.go
+++ b/internal/handoff/log_test.go
@@ -18,7 +18,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-const room = 1 << 20
+const logCapacity = 1 << 20
 
 var accepted = time.UnixMilli(1_000_000)
 
@@ -32,12 +32,12 @@
 
 func openLog(t *testing.T, folder string) *handoff.Log {
 	t.Helper()
-	log, err := handoff.Open(folder, room)
+	log, err := handoff.Open(folder, logCapacity)
 	assert.NilError(t, err)
 	return log
 }
 
-// TestEntriesOutliveTheProcess opens the folder again after entries were put, and finds them as they were.
+// TestEntriesOutliveTheProcess opens the folder again after entries were put, and expects them unchanged.
 func TestEntriesOutliveTheProcess(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "handoff")
 	log := openLog(t, folder)
@@ -55,7 +55,7 @@
 	assert.DeepEqual(t, loaded.Submission().Items[1].Body, []byte{0, 255})
 }
 
-// TestTornFilesAreNoEntries cuts a file short and leaves one that was never renamed: neither was acknowledged.
+// TestTornFilesAreNoEntries truncates a file, and leaves one that was never renamed: neither was acknowledged.
 func TestTornFilesAreNoEntries(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, openLog(t, folder).Put(entry("a", 0)))
@@ -82,7 +82,7 @@
 	assert.NilError(t, log.Put(entry("b", 0)))
 }
 
-// delivery is a deliverer before a store with faults.
+// delivery is a deliverer with a store that can fail.
 type delivery struct {
 	*handoff.Deliverer
 	store   *kvtest.Paged
@@ -100,7 +100,8 @@
 	return d
 }
 
-// TestJobIsHandedOverOnceTheStoreIsBack keeps a job through an outage and through a write whose answer was lost.
+// TestJobIsHandedOverOnceTheStoreIsBack has an entry retained through an outage and through a write whose answer was
+// lost.
 func TestJobIsHandedOverOnceTheStoreIsBack(t *testing.T) {
 	ctx := context.Background()
 	d := newDelivery(t, kvtest.NewData(time.Now))
@@ -120,7 +121,7 @@
 	assert.Equal(t, header.SubmittedMs, accepted.UnixMilli(), "the job is due by its acceptance, not by its delivery")
 }
 
-// TestLaterTurnsLeaveTheJobToEarlierOnes has three workers keep a job: one of them writes it.
+// TestLaterTurnsLeaveTheJobToEarlierOnes has three workers store a job: only one of them writes it to the store.
 func TestLaterTurnsLeaveTheJobToEarlierOnes(t *testing.T) {
 	ctx := context.Background()
 	data := kvtest.NewData(time.Now)
@@ -147,8 +148,9 @@
 
 // TestJobThatIsKnownToBeTakenCostsNoCall
 //
-// The load is one job that four workers keep, as many as are asked at once where two disks may be lost. The aim is that only the one that
-// hands it over calls the store, where the others have seen the job among the open ones before their turn; one that has not still asks.
+// The load is one job that four workers store, the number that is asked at once if two disks may be lost. The aim is that
+// only the worker that delivers the job calls the store if the others have seen the job among the open ones before their
+// turn; a worker that has not seen it still asks.
 func TestJobThatIsKnownToBeTakenCostsNoCall(t *testing.T) {
 	ctx := context.Background()
 	data := kvtest.NewData(time.Now)
@@ -173,7 +175,7 @@
 	assert.Equal(t, unaware.store.Calls(), 1)
 }
 
-// TestLastCopyIsHandedOverToo removes the workers whose turn comes first.
+// TestLastCopyIsHandedOverToo has only the worker with the last turn left.
 func TestLastCopyIsHandedOverToo(t *testing.T) {
 	d := newDelivery(t, kvtest.NewData(time.Now))
 	assert.NilError(t, d.Log.Put(entry("a", 2)))
@@ -184,7 +186,7 @@
 	assert.Assert(t, !d.Log.Has("a"))
 }
 
-// TestOldJobIsNotBroughtBack drops a job that the store may have had and forgotten since.
+// TestOldJobIsNotBroughtBack drops a job that the store may have had and since forgotten.
 func TestOldJobIsNotBroughtBack(t *testing.T) {
 	ctx := context.Background()
 	d := newDelivery(t, kvtest.NewData(time.Now))
@@ -196,7 +198,7 @@
 	assert.ErrorIs(t, err, jobrecord.ErrNoSuchJob)
 }
 
-// TestEndedJobIsNotBroughtBack ends a job that one worker handed over while another one still keeps it.
+// TestEndedJobIsNotBroughtBack ends a job that one worker delivered while another one still stores it.
 func TestEndedJobIsNotBroughtBack(t *testing.T) {
 	ctx := context.Background()
 	data := kvtest.NewData(time.Now)
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -17,37 +17,39 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// acceptance is the taking of one job. The store is asked first; where it does not answer soon, workers are asked to keep
-// the job as well, and whichever makes it durable first decides. Both may: the store takes a job once.
+// acceptance is one submission of a job while it is being made durable. The store is asked first; if it does not answer
+// soon, workers are asked to store the job on their disks as well, and the first of the two to succeed decides. Both may
+// succeed: the store accepts a job only once.
 type acceptance struct {
 	desk       *Desk
 	route      *work.Route
 	submission *jobrecord.Submission
-	// name tells this acceptance from others of the job; room is what is reserved for it, or nil where there is no bound.
-	name  string
-	room  *queueroom.Reservation
-	tries int
-	// handedOff says that workers keep the job until the store takes it.
+	// attemptID distinguishes this acceptance from others of the same job. reservation is the queue capacity reserved for
+	// the job, nil if the route has no limit.
+	attemptID   string
+	reservation *queueroom.Reservation
+	tries       int
+	// handedOff is true if workers store the job until the job store accepts it.
 	handedOff bool
-	// waiting are the tokens that were counted beside the job.
-	waiting int
-	// told is Unknown once a try may have made the job durable without having said so.
-	told outcome.Outcome
-	last error
-	// unheard says that neither the store nor any worker said anything in a whole try.
-	unheard bool
+	// waitingTokens is the number of tokens already queued when the job was admitted.
+	waitingTokens int
+	// jobOutcome is Unknown once a try may have made the job durable without confirming it.
+	jobOutcome outcome.Outcome
+	last       error
+	// noAnswer is true if neither the store nor any worker answered during a whole try.
+	noAnswer bool
 }
 
-// run tries until the job is durable, and returns false where it is given up. A job that exists is left as it is, so that
-// every try may be repeated by any node.
+// run tries until the job is durable and returns false if it gives up. A job that exists already is left unchanged, so
+// any node may repeat any try.
 func (a *acceptance) run(ctx context.Context) bool {
 	if err := a.desk.Records.Check(a.submission); err != nil {
-		a.note(tooLarge(err))
+		a.recordFailure(tooLarge(err))
 		return false
 	}
 	taken := a.tryAll(ctx)
-	if !taken && a.room != nil && a.told == outcome.NotRun {
-		a.room.Release()
+	if !taken && a.reservation != nil && a.jobOutcome == outcome.NotRun {
+		a.reservation.Release()
 	}
 	return taken
 }
@@ -60,24 +62,24 @@
 		if a.try(ctx) {
 			return true
 		}
-		// A node that hears nobody is cut off: the caller's time is better spent at another one.
-		if a.final() || a.unheard || !pause(ctx, submitPause) {
+		// A node that gets no answers is partitioned: the caller should use the remaining time at another node.
+		if a.final() || a.noAnswer || !pause(ctx, submitPause) {
 			return false
 		}
 	}
 	return false
 }
 
-// reserve asks for room for the job, until it is known whether there is. It returns false where there is none.
+// reserve asks for queue capacity for the job until the answer is known. It returns false if there is none.
 func (a *acceptance) reserve(ctx context.Context) bool {
-	if a.counted() || a.desk.Holders == nil {
+	if a.admitted() || a.desk.Holders == nil {
 		return true
 	}
-	a.ask(ctx)
-	count := a.room.Count
-	switch a.room.Verdict {
+	a.requestReservation(ctx)
+	count := a.reservation.Count
+	switch a.reservation.Verdict {
 	case queueroom.Unheard:
-		a.note(failure.New(failure.CodeShardUnavailable, "no worker tells what waits on the route").WithRetryAfter(retryAfter))
+		a.recordFailure(failure.New(failure.CodeShardUnavailable, "no worker tells what waits on the route").WithRetryAfter(retryAfter))
 		return false
 	case queueroom.Unsure:
 		event.JobUnaccounted.Log(a.desk.Logger).Str("job", string(a.submission.ID)).Int("answers", count.Answers).Int("sure", count.Sure).Send()
@@ -88,106 +90,112 @@
 }
 
 const (
-	// askAgainFor is how long keepers that say nothing yet are asked again: those that were started again learn first what is on disks.
-	askAgainFor = time.Second
-	// askAgainEvery is the time between two such questions.
-	askAgainEvery = 100 * time.Millisecond
+	// reserveRetryPeriod is how long account holders that cannot answer yet are asked again: after a restart they first
+	// have to find out which jobs are on disks.
+	reserveRetryPeriod = time.Second
+	// reserveRetryInterval is the time between two such requests.
+	reserveRetryInterval = 100 * time.Millisecond
 )
 
-// ask asks the keepers, again where none says anything.
-func (a *acceptance) ask(ctx context.Context) {
-	end := a.desk.now().Add(askAgainFor)
+// requestReservation asks the account holders for a reservation, and asks again while none of them can answer.
+func (a *acceptance) requestReservation(ctx context.Context) {
+	end := a.desk.now().Add(reserveRetryPeriod)
 	for {
-		a.room = a.desk.Holders.Reserve(ctx, a.route, a.submission, a.name)
-		if a.room.Verdict != queueroom.Unheard || !a.desk.now().Before(end) || !pause(ctx, askAgainEvery) {
+		a.reservation = a.desk.Holders.Reserve(ctx, a.route, a.submission, a.attemptID)
+		if a.reservation.Verdict != queueroom.Unheard || !a.desk.now().Before(end) || !pause(ctx, reserveRetryInterval) {
 			return
 		}
 	}
 }
 
-// refuse notes that there is no room for the job, and returns true where it was taken before.
+// refuse records that there is no capacity for the job. It returns true if the job was accepted before.
 func (a *acceptance) refuse(ctx context.Context) bool {
 	if a.desk.exists(ctx, a.submission.ID) {
-		// The store has it: writing it again changes nothing.
-		a.room.Verdict = queueroom.Fits
+		// The store has the job: writing it again changes nothing.
+		a.reservation.Verdict = queueroom.Fits
 		return true
 	}
-	count, tokens, bound := a.room.Count, a.submission.Tokens(), a.route.MaximumQueuedTokens
+	count, tokens, bound := a.reservation.Count, a.submission.Tokens(), a.route.MaximumQueuedTokens
 	if count.Asked {
-		a.note(failure.New(failure.CodeOutcomeUnknown, "an earlier submission of the job is on its way").WithOutcome(outcome.Unknown))
-		a.room.Release()
+		a.recordFailure(failure.New(failure.CodeOutcomeUnknown, "an earlier submission of the job is on its way").WithOutcome(outcome.Unknown))
+		a.reservation.Release()
 		return false
 	}
-	a.note(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait", count.Waiting, tokens, bound).
+	a.recordFailure(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait", count.Waiting, tokens, bound).
 		WithRetryAfter(queueroom.ReturnAfter(count, tokens, bound, rand.Float64())))
 	return false
 }
 
-// counted says whether the job needs no further count: its room is reserved, or there is no bound.
-func (a *acceptance) counted() bool {
-	return a.route.MaximumQueuedTokens <= 0 || (a.room != nil && a.room.Verdict == queueroom.Fits)
+// admitted reports whether the job needs no further check against the queue limit: its capacity is reserved, or there is
+// no limit.
+func (a *acceptance) admitted() bool {
+	return a.route.MaximumQueuedTokens <= 0 || (a.reservation != nil && a.reservation.Verdict == queueroom.Fits)
 }
 
-// reservedBeside is what waited beside the job as its room was reserved; zero where none had to be.
-func (a *acceptance) reservedBeside() int {
-	if a.room == nil {
+// reservedWaitingTokens is the number of tokens queued when the job's capacity was reserved; zero if no reservation was
+// needed.
+func (a *acceptance) reservedWaitingTokens() int {
+	if a.reservation == nil {
 		return 0
 	}
-	return a.room.Count.Waiting
+	return a.reservation.Count.Waiting
 }
 
 const (
-	// guardedShare of a route's bound may wait before jobs that workers keep no account of are taken one after the other: below it, jobs
-	// that several nodes take at the same moment do not fill the queue.
-	guardedShare = 0.5
-	// unsureShare of a route's bound may wait by the store's count where too few keepers of its account are sure: what is on its
-	// way is known in part.
-	unsureShare = 0.85
+	// serializeAboveShare is the share of a route's limit above which jobs that no account holder accounts for are
+	// accepted one after the other. Below it, jobs accepted by several nodes at the same moment do not fill the queue.
+	serializeAboveShare = 0.5
+	// unsureLimitShare is the share of a route's limit that may be queued by the store's count if too few account holders
+	// are sure of the account: what is still on its way to the store is then known only in part.
+	unsureLimitShare = 0.85
 )
 
-// unaccounted says that the route has an account that too few keepers are sure of.
-func (a *acceptance) unaccounted() bool { return a.room != nil && a.room.Verdict == queueroom.Unsure }
+// accountUnsure reports whether the route has an account that too few account holders are sure of.
+func (a *acceptance) accountUnsure() bool {
+	return a.reservation != nil && a.reservation.Verdict == queueroom.Unsure
+}
 
-// storeBound is what may wait by the store's count.
-func (a *acceptance) storeBound() int {
-	if a.unaccounted() {
-		return int(unsureShare*float64(a.route.MaximumQueuedTokens)) - a.room.Count.Unlisted
+// storeLimit is the number of tokens that may be queued by the store's count.
+func (a *acceptance) storeLimit() int {
+	if a.accountUnsure() {
+		return int(unsureLimitShare*float64(a.route.MaximumQueuedTokens)) - a.reservation.Count.Unlisted
 	}
 	return a.route.MaximumQueuedTokens
 }
 
-// unguarded is the part of that bound up to which several jobs may be written at once.
-func (a *acceptance) unguarded() float64 {
-	if a.unaccounted() {
+// serializeAbove is the share of that limit up to which several jobs may be written concurrently.
+func (a *acceptance) serializeAbove() float64 {
+	if a.accountUnsure() {
 		return 0
 	}
-	return guardedShare
+	return serializeAboveShare
 }
 
-// keptBound is what may wait by the count of workers that keep the job on their disks; zero asks for none.
-func (a *acceptance) keptBound() int {
-	if a.counted() {
+// holderLimit is the number of tokens that may be queued by the count of the workers that store the job on their disks;
+// zero turns the check off.
+func (a *acceptance) holderLimit() int {
+	if a.admitted() {
 		return 0
 	}
 	return a.route.MaximumQueuedTokens
 }
 
-// attempt is how one of the two ways to make a job durable ended.
-type attempt struct {
-	handedOff bool
-	waiting   int
-	err       error
+// attemptResult is the result of one of the two ways to make a job durable.
+type attemptResult struct {
+	handedOff     bool
+	waitingTokens int
+	err           error
 }
 
-// try asks the store, and the workers when it does not answer soon or fails.
+// try asks the store, and also the workers if the store fails or does not answer soon.
 func (a *acceptance) try(ctx context.Context) bool {
-	ended := make(chan attempt, 2)
-	// Each call has a tomb of its own: one whose calls all ended takes no more.
+	ended := make(chan attemptResult, 2)
+	// Each call has its own tomb: a tomb whose goroutines have all ended accepts no more.
 	a.submission.Hold()
 	new(tomb.Tomb).Go(func() error {
 		defer a.submission.LetGo()
-		waiting, err := a.desk.accept(ctx, a)
-		ended <- attempt{waiting: waiting, err: err}
+		waitingTokens, err := a.desk.accept(ctx, a)
+		ended <- attemptResult{waitingTokens: waitingTokens, err: err}
 		return nil
 	})
 	hedge := time.NewTimer(a.desk.hedgeDelay(a.submission))
@@ -198,18 +206,18 @@
 		case one := <-ended:
 			open--
 			if one.err == nil {
-				a.handedOff, a.waiting = one.handedOff, one.waiting
+				a.handedOff, a.waitingTokens = one.handedOff, one.waitingTokens
 				return true
 			}
-			a.note(one.err)
-			a.unheard = a.unheard || one.handedOff && errors.Is(one.err, handoff.ErrNobodyAnswers)
+			a.recordFailure(one.err)
+			a.noAnswer = a.noAnswer || one.handedOff && errors.Is(one.err, handoff.ErrNobodyAnswers)
 			if errors.Is(one.err, jobrecord.ErrRaced) {
-				// The store answers: the next try counts anew.
-				a.unheard = false
+				// The store answers: the next try counts again.
+				a.noAnswer = false
 				continue
 			}
 			if !one.handedOff && !a.final() {
-				a.desk.doubtStore()
+				a.desk.suspectStore()
 			}
 		}
 		if !asked && !a.final() {
@@ -218,7 +226,7 @@
 			a.submission.Hold()
 			new(tomb.Tomb).Go(func() error {
 				defer a.submission.LetGo()
-				ended <- attempt{handedOff: true, err: a.desk.Holders.Keep(ctx, a.keptBound(), a.submission)}
+				ended <- attemptResult{handedOff: true, err: a.desk.Holders.Keep(ctx, a.holderLimit(), a.submission)}
 				return nil
 			})
 		}
@@ -226,18 +234,19 @@
 	return false
 }
 
-// note takes over what a failed try may have done. A failure of the job itself says more than one of the way to a node.
-func (a *acceptance) note(err error) {
+// recordFailure records what a failed try may have done. A failure that concerns the job itself takes precedence over a
+// failure to reach a node.
+func (a *acceptance) recordFailure(err error) {
 	if !a.final() {
 		a.last = err
 	}
 	var typed *failure.Error
 	if jobrecord.Unknown(err) || (errors.As(err, &typed) && typed.Outcome != outcome.NotRun) {
-		a.told = outcome.Unknown
+		a.jobOutcome = outcome.Unknown
 	}
 }
 
-// final says whether the last failure is of the job itself, so that no other node would take it.
+// final reports whether the last failure concerns the job itself, so that no other node would accept it.
 func (a *acceptance) final() bool {
 	var typed *failure.Error
 	if !errors.As(a.last, &typed) {
@@ -246,10 +255,10 @@
 	return typed.Code == failure.CodeJobQuota || typed.Code == failure.CodeBodyTooLarge
 }
 
-// hedgeDelay is how long the store is waited for before workers are asked: longer for a job that takes long to be sent,
-// because copies of it would take the same link.
+// hedgeDelay is how long to wait for the store before workers are asked. It is longer for a job that takes long to send,
+// because copies of it would use the same link.
 func (d *Desk) hedgeDelay(submission *jobrecord.Submission) time.Duration {
-	if d.doubtsStore() {
+	if d.suspectsStore() {
 		return 0
 	}
 	if d.LinkBytes <= 0 {
--- a/internal/jobentry/acceptance_test.go
+++ b/internal/jobentry/acceptance_test.go
@@ -25,7 +25,7 @@
 
 const bound = 100
 
-// fakeHolders is a set of workers that keep jobs or do not.
+// fakeHolders is a set of workers that store jobs, or fail to, as the test sets.
 type fakeHolders struct {
 	mutex    sync.Mutex
 	keepErr  error
@@ -37,14 +37,15 @@
 	assignee    jobrecord.Assignee
 	assigned    []jobrecord.Assigned
 	refusesJobs bool
-	// held is what a worker has of each job; without items none has.
+	// held is what a worker has of each job; without items no worker has any.
 	held work.Held
-	// room is what the keepers of the route's account say; nil has them keep none. attempts are the tries that asked, released how many
-	// gave their room back, keepBound the bound that workers were told last.
-	room      *queueroom.Reservation
-	attempts  []string
-	released  int
-	keepBound int
+	// reservation is the answer of the account holders of the route; nil means that the route has none. attempts are the
+	// IDs of the attempts that asked, released counts the reservations that were given back, and keepBound is the last
+	// limit passed to Keep.
+	reservation *queueroom.Reservation
+	attempts    []string
+	released    int
+	keepBound   int
 }
 
 func (h *fakeHolders) Results(context.Context, ident.Job, int, time.Duration) (work.Held, bool) {
@@ -55,21 +56,21 @@
 	return []byte("body"), h.held.Tenant, h.held.Total > 0
 }
 
-// Reserve answers as workers do of which no account is known, unless the test says otherwise.
+// Reserve answers like workers that keep no account of the route, unless the test sets a reservation.
 func (h *fakeHolders) Reserve(_ context.Context, _ *work.Route, _ *jobrecord.Submission, attempt string) *queueroom.Reservation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.attempts = append(h.attempts, attempt)
-	room := queueroom.Reservation{Verdict: queueroom.Unkept}
-	if h.room != nil {
-		room = *h.room
+	reservation := queueroom.Reservation{Verdict: queueroom.Unkept}
+	if h.reservation != nil {
+		reservation = *h.reservation
 	}
-	room.Release = func() {
+	reservation.Release = func() {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
 		h.released++
 	}
-	return &room
+	return &reservation
 }
 
 func (h *fakeHolders) Keep(_ context.Context, bound int, _ *jobrecord.Submission) error {
@@ -98,7 +99,7 @@
 	return !h.refusesJobs
 }
 
-// newDesk returns a desk before a store and workers.
+// newDesk returns a desk with a store and workers.
 func newDesk(holders *fakeHolders) (*jobentry.Desk, *kvtest.Paged) {
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: time.Now}
@@ -112,7 +113,8 @@
 	return desk.Accept(context.Background(), &work.Route{Name: "r", MaximumQueuedTokens: bound}, submission)
 }
 
-// TestRouteWithoutABoundAsksForNoRoom guards against a front that ends itself over a job of a route on which any number of tokens may wait.
+// TestRouteWithoutABoundAsksForNoRoom guards against a front that crashes on a job of a route without a limit of queued
+// tokens.
 func TestRouteWithoutABoundAsksForNoRoom(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
@@ -121,15 +123,15 @@
 	assert.Equal(t, len(holders.attempts), 0)
 }
 
-// fits is the answer of keepers that have room.
+// fits is the answer of account holders that have free capacity.
 func fits() *queueroom.Reservation {
 	return &queueroom.Reservation{Verdict: queueroom.Fits, Count: queueroom.Count{Answers: 2, Sure: 2}}
 }
 
-// TestJobWhoseRoomIsReservedIsNotCountedAgain has the store away: workers are asked to keep the job without a bound of their own, and the room
-// stays where the outcome is not known.
+// TestJobWhoseRoomIsReservedIsNotCountedAgain runs with the store down: workers are asked to store the job without a
+// limit, and the reservation is retained if the outcome is unknown.
 func TestJobWhoseRoomIsReservedIsNotCountedAgain(t *testing.T) {
-	holders := &fakeHolders{room: fits(), keepBound: -1}
+	holders := &fakeHolders{reservation: fits(), keepBound: -1}
 	desk, store := newDesk(holders)
 	store.SetFaults(kvtest.PagedFaults{Down: true})
 	assert.NilError(t, submit(desk, "a", 10))
@@ -143,14 +145,15 @@
 	assert.Equal(t, holders.released, 1)
 }
 
-// TestFullQueueIsToldAtOnce has the keepers say that there is no room: the job is written nowhere, its room is given back, and the caller is
-// told when as much is finished as it lacks. One that the store has was taken; one that another attempt is about to write is not denied.
+// TestFullQueueIsToldAtOnce has the account holders answer that the queue is full: the job is written nowhere, its
+// reservation is released, and the caller is told when enough work will have finished. A job that the store has is
+// accepted; for one that another attempt is about to write, the outcome is reported as unknown.
 func TestFullQueueIsToldAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
 	assert.NilError(t, submit(desk, "taken", 10))
 	full := &queueroom.Reservation{Verdict: queueroom.Full, Count: queueroom.Count{Answers: 2, Sure: 2, Waiting: bound, Freed: 10}}
-	holders.room = full
+	holders.reservation = full
 	refused := mustRefuse(t, submit(desk, "a", 10))
 	assert.Equal(t, refused.Code, failure.CodeJobQuota)
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
@@ -162,10 +165,11 @@
 	assert.Equal(t, mustRefuse(t, submit(desk, "b", 10)).Outcome, outcome.Unknown)
 }
 
-// TestTooFewKeepersLeaveJobsToTheOtherCounts has no majority of keepers be sure: the store takes a job by its own count, less what they know of
-// and a reserve, and disks by that of their workers, who are told the bound. Where no keeper answers nothing is taken.
-func TestTooFewKeepersLeaveJobsToTheOtherCounts(t *testing.T) {
-	holders := &fakeHolders{room: &queueroom.Reservation{Verdict: queueroom.Unsure, Count: queueroom.Count{Answers: 1, Unlisted: 30}}}
+// TestUnsureAccountFallsBackToOtherCounts has no majority of account holders be sure: the store accepts a job by its
+// own count, less what the holders know of and a reserve, and workers accept it on their disks by their own count, for
+// which they are given the limit. If no account holder answers, nothing is accepted.
+func TestUnsureAccountFallsBackToOtherCounts(t *testing.T) {
+	holders := &fakeHolders{reservation: &queueroom.Reservation{Verdict: queueroom.Unsure, Count: queueroom.Count{Answers: 1, Unlisted: 30}}}
 	desk, store := newDesk(holders)
 	assert.NilError(t, submit(desk, "a", 50))
 	assert.Equal(t, mustRefuse(t, submit(desk, "b", 10)).Code, failure.CodeJobQuota)
@@ -174,13 +178,13 @@
 	assert.NilError(t, submit(desk, "c", 1))
 	assert.Equal(t, holders.keepBound, bound)
 	store.SetFaults(kvtest.PagedFaults{})
-	holders.room.Verdict = queueroom.Unheard
+	holders.reservation.Verdict = queueroom.Unheard
 	refused := mustRefuse(t, submit(desk, "d", 1))
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
 	assert.Assert(t, refused.RetryAfter > 0)
 }
 
-// mustRefuse returns the failure of a submission.
+// mustRefuse asserts that a submission failed and returns the failure.
 func mustRefuse(t *testing.T, err error) *failure.Error {
 	t.Helper()
 	assert.Assert(t, err != nil)
@@ -205,7 +209,7 @@
 	assert.Equal(t, holders.asked, 1)
 }
 
-// TestWorkersKeepAJobWhileTheStoreIsSilent leaves the write unanswered: the caller is not made to wait for its end.
+// TestWorkersKeepAJobWhileTheStoreIsSilent leaves the write unanswered: the caller does not have to wait for it to end.
 func TestWorkersKeepAJobWhileTheStoreIsSilent(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, store := newDesk(holders)
@@ -219,7 +223,7 @@
 	assert.Equal(t, len(open), 1)
 }
 
-// TestNoPromiseForAJobThatAWorkerMayKeep has too few workers keep the job: what is there may still be handed over.
+// TestNoPromiseForAJobThatAWorkerMayKeep has too few workers store the job: a stored copy may still be handed over.
 func TestNoPromiseForAJobThatAWorkerMayKeep(t *testing.T) {
 	holders := &fakeHolders{keepErr: failure.New(failure.CodeOutcomeUnknown, "1 of 2").WithOutcome(outcome.Unknown)}
 	desk, store := newDesk(holders)
@@ -228,9 +232,9 @@
 	assert.Equal(t, refused.Outcome, outcome.Unknown)
 }
 
-// TestNodeThatHearsNobodyRefusesAtOnce has neither the store nor a worker say anything: the caller is told after one try, in which
-// a job may have been taken, and can go to another node.
-func TestNodeThatHearsNobodyRefusesAtOnce(t *testing.T) {
+// TestUnreachableNodeRefusesAtOnce has neither the store nor a worker answer: the caller is refused after one try, in
+// which the job may have been accepted, and can go to another node.
+func TestUnreachableNodeRefusesAtOnce(t *testing.T) {
 	silent := fmt.Errorf("%w: 3 asked", handoff.ErrNobodyAnswers)
 	holders := &fakeHolders{keepErr: failure.New(failure.CodeOutcomeUnknown, "none").WithOutcome(outcome.Unknown).WithCause(silent)}
 	desk, store := newDesk(holders)
@@ -266,7 +270,7 @@
 	refused := mustRefuse(t, submit(desk, "b", 10))
 	assert.Equal(t, refused.Code, failure.CodeJobQuota)
 	assert.Equal(t, holders.asked, 0)
-	// One that comes again is known, also where it is still on its way.
+	// A job that is sent again is known, even if it is still on its way to the store.
 	assert.NilError(t, submit(desk, "a", bound))
 	holders.pending = true
 	holders.keepErr = failure.New(failure.CodeJobQuota, "full")
@@ -292,7 +296,7 @@
 	assert.Equal(t, failure.As(err).Code, failure.CodeNotFound)
 }
 
-// TestJobHandedOverWhileItIsReadIsFound has the store take the job between the first reading and the workers' answer.
+// TestJobHandedOverWhileItIsReadIsFound has the store accept the job between the first read and the workers' answer.
 func TestJobHandedOverWhileItIsReadIsFound(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
@@ -302,7 +306,7 @@
 	assert.Equal(t, listing.Total, 1)
 }
 
-// racingStore has something happen right before its first commit.
+// racingStore calls a function right before its first commit.
 type racingStore struct {
 	*kvtest.Paged
 	before func()
@@ -316,9 +320,9 @@
 	return s.Paged.Commit(ctx, compares, writes)
 }
 
-// TestQueueHoldsThoughNodesTakeJobsAtOnce has another node take a job between the count of the waiting tokens and the
-// write: both fit alone, and together they do not.
-func TestQueueHoldsThoughNodesTakeJobsAtOnce(t *testing.T) {
+// TestQueueLimitHoldsForConcurrentJobs has another node accept a job between the count of the queued tokens and the
+// write: each job fits alone, but not both.
+func TestQueueLimitHoldsForConcurrentJobs(t *testing.T) {
 	first, store := newDesk(&fakeHolders{})
 	second := &jobentry.Desk{Records: first.Records, Holders: &fakeHolders{}, Logger: zerolog.Nop()}
 	racing := &racingStore{Paged: store, before: func() { assert.NilError(t, submit(second, "b", bound*6/10)) }}
@@ -332,9 +336,10 @@
 	assert.Assert(t, waiting <= bound, "%d tokens wait", waiting)
 }
 
-// TestNodeThatIsCutOffRefusesAtOnce has a node that nobody has answered for a while be given a job, as a site's fronts were that
-// had been cut off for four seconds: each held it for 1.4 to 1.8 s and then could not say whether it had been taken, so that all its
-// items were late. Nothing is sent now, and the caller is told so and to go on at once. With the first answer jobs are taken again.
+// TestNodeThatIsCutOffRefusesAtOnce submits a job to a node that has had no answer for a while. It guards against fronts
+// that were partitioned for four seconds: each held the job for 1.4 to 1.8 s and then could not say whether it had been
+// accepted, so that all its items were late. Now nothing is sent and the caller is sent to another node at once. With the
+// first answer the node accepts jobs again.
 func TestNodeThatIsCutOffRefusesAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
@@ -345,7 +350,7 @@
 	refused := mustRefuse(t, submit(desk, "a", 10))
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
 	assert.Assert(t, refused.RetryAfter > 0 && refused.RetryAfter <= 100*time.Millisecond)
-	assert.ErrorIs(t, refused, jobentry.ErrDeaf)
+	assert.ErrorIs(t, refused, jobentry.ErrUnreachable)
 	assert.Equal(t, holders.asked, 0)
 	exists, err := desk.Records.Exists(context.Background(), "a")
 	assert.NilError(t, err)
@@ -355,8 +360,8 @@
 	assert.NilError(t, submit(desk, "a", 10))
 }
 
-// TestNodeThatIsCutOffSendsReadersOnAtOnce has it asked for results, for the body of an item and for the end of a job: it would ask
-// workers and the store, each in vain, while any other node can answer.
+// TestNodeThatIsCutOffSendsReadersOnAtOnce asks a partitioned node for results, for the body of an item and to end a job:
+// without the check it would ask workers and the store, each in vain, while any other node can answer.
 func TestNodeThatIsCutOffSendsReadersOnAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
@@ -387,7 +392,7 @@
 	return desk.Accept(context.Background(), &work.Route{Name: "r", MaximumQueuedTokens: bound}, submission)
 }
 
-// TestTokensWaitByTenant fills the queue of one tenant; that of another is its own.
+// TestTokensWaitByTenant fills the queue of one tenant; that of another tenant is separate.
 func TestTokensWaitByTenant(t *testing.T) {
 	desk, _ := newDesk(&fakeHolders{})
 	assert.NilError(t, submitOf(desk, "a", "a-1", bound))
@@ -396,7 +401,8 @@
 	assert.Equal(t, mustRefuse(t, submitOf(desk, "b", "b-2", 1)).Code, failure.CodeJobQuota)
 }
 
-// TestJobOfNobodyCountsForEachTenant has a job in the queue that a build without tenants took: whose it is is not known.
+// TestJobOfNobodyCountsForEachTenant has a job in the queue that was accepted by a build without tenants: its tenant is
+// not known.
 func TestJobOfNobodyCountsForEachTenant(t *testing.T) {
 	desk, _ := newDesk(&fakeHolders{})
 	assert.NilError(t, submitOf(desk, "", "old", bound/2+1))
@@ -404,8 +410,8 @@
 	assert.NilError(t, submitOf(desk, "a", "a-2", bound/4))
 }
 
-// TestJobOfAnotherTenantIsNotThere asks for a job by its own tenant and by another, from the records, from a worker that tells whose it
-// is, and from one of a build that does not.
+// TestJobOfAnotherTenantIsNotThere asks for a job as its own tenant and as another one, with the answer from the records,
+// from a worker that reports the tenant, and from a worker of an older build that does not.
 func TestJobOfAnotherTenantIsNotThere(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
@@ -428,29 +434,29 @@
 	assert.NilError(t, desk.End(ctx, "a", "job"))
 }
 
-// lastingHolders are workers whose answer to a job does not come until they are let go.
-type lastingHolders struct {
+// blockingHolders are workers whose answer to a job does not come until unblock is closed.
+type blockingHolders struct {
 	*fakeHolders
-	letGo chan struct{}
+	unblock chan struct{}
 }
 
-func (h *lastingHolders) Keep(context.Context, int, *jobrecord.Submission) error {
-	<-h.letGo
+func (h *blockingHolders) Keep(context.Context, int, *jobrecord.Submission) error {
+	<-h.unblock
 	return handoff.ErrNobodyAnswers
 }
 
-// TestItemsAreHeldUntilTheLastCallWithThemEnds has the store take a job while workers are still asked to keep it: the caller is answered,
-// and the items are there as long as that call is.
+// TestItemsAreHeldUntilTheLastCallWithThemEnds has the store accept a job while workers are still being asked to store
+// it: the caller is answered, and the items stay in memory until that call ends.
 func TestItemsAreHeldUntilTheLastCallWithThemEnds(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, store := newDesk(holders)
 	store.SetFaults(kvtest.PagedFaults{Down: true})
 	assert.NilError(t, submit(desk, "a", 10))
 	store.SetFaults(kvtest.PagedFaults{})
-	lasting := &lastingHolders{fakeHolders: holders, letGo: make(chan struct{})}
-	desk.Holders = lasting
+	blocking := &blockingHolders{fakeHolders: holders, unblock: make(chan struct{})}
+	desk.Holders = blocking
 	released := make(chan struct{})
-	// The store is doubted, so that the workers are asked at once.
+	// The store is suspected, so that the workers are asked at once.
 	submission := &jobrecord.Submission{
 		ID: "b", Route: "r", Host: "h", Zone: "z", Items: []work.Item{{ID: "b-0", Path: "/p/x", Tokens: 1, Body: []byte("b")}},
 		Released: func() { close(released) },
@@ -461,6 +467,6 @@
 		t.Fatal("the items are still held")
 	default:
 	}
-	close(lasting.letGo)
+	close(blocking.unblock)
 	<-released
 }
--- a/internal/jobentry/assign.go
+++ b/internal/jobentry/assign.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// assignTimeout bounds the telling of a worker that a job is its own, and each try to give the claim up.
+	// assignTimeout bounds the call that assigns a job to a worker, and each try to release the claim.
 	assignTimeout = 500 * time.Millisecond
-	// releaseTries bounds the tries to give up the claim of a worker that does not run the job. After them the claim goes
-	// with the worker's lease, or the worker finds it.
+	// releaseTries bounds the tries to release the claim of a worker that does not run the job. After them the claim
+	// expires with the worker's lease, or the worker finds it.
 	releaseTries = 3
 )
 
-// put writes a job, under an admission unless it is nil. Where a worker would begin it at once, the job is claimed for that
-// worker in the same write: no worker has to find it, and no two call the store for it.
+// put writes a job, guarded by an admission unless it is nil. If a worker could start the job at once, the job is claimed
+// for that worker in the same write: no worker has to find it, and no two call the store for it.
 func (d *Desk) put(ctx context.Context, submission *jobrecord.Submission, admission *jobrecord.Admission) error {
 	if d.Holders != nil {
 		if assignee, found := d.Holders.Assignee(len(submission.Items)); found {
@@ -32,7 +32,7 @@
 			if !errors.Is(err, kv.ErrLeaseNotFound) {
 				return err
 			}
-			// The worker's lease is another one now, or it is gone: nothing was written.
+			// The worker's lease was replaced or is gone: nothing was written.
 		}
 	}
 	if admission != nil {
@@ -41,9 +41,10 @@
 	return d.Records.Accept(ctx, submission)
 }
 
-// assign tells the worker in the background. Where it does not run the job its claim is given up for the others.
+// assign sends the job to the worker in the background. If the worker does not run it, the claim is released for the
+// others.
 func (d *Desk) assign(assignee jobrecord.Assignee, assigned jobrecord.Assigned) {
-	// The telling has a tomb of its own: it outlives the request.
+	// The call has its own tomb: it outlives the request.
 	new(tomb.Tomb).Go(func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), assignTimeout)
 		defer cancel()
@@ -56,7 +57,7 @@
 	})
 }
 
-// release gives a claim up.
+// release releases a claim.
 func (d *Desk) release(claim jobrecord.Claim) {
 	for range releaseTries {
 		ctx, cancel := context.WithTimeout(context.Background(), assignTimeout)
@@ -65,7 +66,7 @@
 		if err == nil {
 			return
 		}
-		event.JobStoreFailed.Log(d.Logger).Str("doing", "giving up the claim of job "+string(claim.Job)).Err(err).Send()
+		event.JobStoreFailed.Log(d.Logger).Str("doing", "releasing the claim of job "+string(claim.Job)).Err(err).Send()
 		time.Sleep(submitPause)
 	}
 }
--- a/internal/jobentry/assign_test.go
+++ b/internal/jobentry/assign_test.go
@@ -11,7 +11,7 @@
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 )
 
-// claims returns who holds the claims of the open jobs.
+// claims returns the holders of the claims of the open jobs.
 func claims(t *testing.T, records *jobrecord.Records) map[ident.Job]ident.Node {
 	t.Helper()
 	live, err := records.ReadLive(context.Background())
@@ -19,7 +19,7 @@
 	return live.Claimed
 }
 
-// TestJobGoesToAnIdleWorkerAtOnce has the worker that would begin first told of the job, which is claimed for it.
+// TestJobGoesToAnIdleWorkerAtOnce has the job assigned to the worker that would start it first, and claimed for it.
 func TestJobGoesToAnIdleWorkerAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, store := newDesk(holders)
@@ -27,24 +27,24 @@
 	assert.NilError(t, err)
 	holders.assignee = jobrecord.Assignee{Node: "w", Lease: lease}
 	assert.NilError(t, submit(desk, "a", 10))
-	told := func() int {
+	assignments := func() int {
 		holders.mutex.Lock()
 		defer holders.mutex.Unlock()
 		return len(holders.assigned)
 	}
 	for range 1000 {
-		if told() == 1 {
+		if assignments() == 1 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	assert.Equal(t, told(), 1)
+	assert.Equal(t, assignments(), 1)
 	assert.DeepEqual(t, claims(t, desk.Records), map[ident.Job]ident.Node{"a": "w"})
 	assert.NilError(t, submit(desk, "a", 10))
-	assert.Equal(t, told(), 1, "a job that was sent again is not given out again")
+	assert.Equal(t, assignments(), 1, "a job that was sent again is not given out again")
 }
 
-// TestClaimOfAWorkerThatDoesNotRunTheJobIsGivenUp leaves the job to the others.
+// TestClaimOfAWorkerThatDoesNotRunTheJobIsGivenUp leaves the job to the other workers.
 func TestClaimOfAWorkerThatDoesNotRunTheJobIsGivenUp(t *testing.T) {
 	holders := &fakeHolders{refusesJobs: true}
 	desk, store := newDesk(holders)
--- a/internal/jobentry/desk.go
+++ b/internal/jobentry/desk.go
@@ -1,5 +1,6 @@
-// Package jobentry takes batch jobs in and reads them for callers, at any node. It answers from the records alone, so
-// that every node gives the same answer, and says of a submission that failed whether the job can still come to be.
+// Package jobentry accepts batch jobs and reads and ends them for callers, at any node. Results come from the worker that
+// runs the job if it answers for certain, else from the job records, so that every node gives the same answer. For a
+// submission that failed it says whether the job may still be run.
 package jobentry
 
 import (
@@ -24,108 +25,112 @@
 )
 
 const (
-	// callTimeout bounds one call of the store.
+	// callTimeout bounds one call to the store.
 	callTimeout = 900 * time.Millisecond
-	// submitTries bounds the tries of one submission, submitPause parts them.
+	// submitTries bounds the tries of one submission; submitPause is the time between two.
 	submitTries = 4
 	submitPause = 120 * time.Millisecond
-	// retryAfter is when a caller may come back after a refusal.
+	// retryAfter is when a caller may retry after a refusal.
 	retryAfter = 500 * time.Millisecond
-	// hedgeAfter is how long a submission waits for the store alone before workers are asked to keep it as well.
+	// hedgeAfter is how long a submission waits for the store alone before workers are asked to store it as well.
 	hedgeAfter = 120 * time.Millisecond
-	// sendingFactor times what the bodies of a job take on the node's link is added to it: they are sent in a text encoding,
-	// beside other traffic.
+	// sendingFactor is multiplied by the time the job's bodies take on the node's link, and the product is added to
+	// hedgeAfter: bodies are sent in a text encoding, beside other traffic.
 	sendingFactor = 4
-	// doubtFor is how long after a failed call the workers are asked at once.
-	doubtFor = 2 * time.Second
-	// deafRetryAfter is when a caller may come back to a node that hears nobody: it goes to another one, which can take the job now.
-	deafRetryAfter = 100 * time.Millisecond
-	// quotaRetryAfter is when a caller may come back to a queue that is full by the store's count.
+	// suspectPeriod is how long after a failed call to the store workers are asked without delay.
+	suspectPeriod = 2 * time.Second
+	// unreachableRetryAfter is when a caller refused by a node that gets no answers may retry: it goes to another node,
+	// which can accept the job now.
+	unreachableRetryAfter = 100 * time.Millisecond
+	// quotaRetryAfter is when a caller may retry if the queue is full by the store's count.
 	quotaRetryAfter = time.Second
-	// existsTimeout bounds the question whether a job that does not fit was taken before.
+	// existsTimeout bounds the check whether a job that does not fit was accepted before.
 	existsTimeout = 300 * time.Millisecond
-	// cachedHeaders bounds the headers kept in memory. A header never changes, so that any copy is good.
+	// cachedHeaders bounds the number of cached headers. A header never changes, so any copy is valid.
 	cachedHeaders = 256
-	// answerBytes bounds the results of one answer.
+	// answerBytes bounds the size of the results in one answer.
 	answerBytes = 900 << 10
-	// resultOverhead is what a result takes in an answer beside its text.
+	// resultOverhead is the size of a result in an answer without its text, in bytes.
 	resultOverhead = 128
 )
 
-// Holders reads from the memory of the worker that runs a job.
+// Holders are the workers as a front sees them: those that run a job and answer from memory, those that account for
+// queued tokens, and those that store a job on disk until the store accepts it.
 type Holders interface {
-	// Results returns results from a position on. sure is false where no worker answered for certain.
+	// Results returns results from a position on. sure is false if no worker answered for certain.
 	Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool)
-	// Reserve asks for room for a job beside all that waits on the route. attempt names the try to take the job; it may ask again.
+	// Reserve asks for queue capacity for a job beside everything that waits on the route. attempt identifies the attempt
+	// to accept the job; an attempt may ask again.
 	Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation
-	// Keep has workers keep a job on disk until the store takes it. bound is what may wait by their own count; zero asks for none. Its
-	// error is a *failure.Error.
+	// Keep asks workers to store a job on disk until the store accepts it. bound is the number of tokens that may be
+	// queued by their own count; zero turns that check off. The error is a *failure.Error.
 	Keep(ctx context.Context, bound int, submission *jobrecord.Submission) error
-	// Pending says whether a worker keeps a job that the store may not have yet; sure is false where one may and did not
-	// answer.
+	// Pending reports whether a worker stores a job that the store may not have yet; sure is false if a worker that may
+	// have it did not answer.
 	Pending(ctx context.Context, job ident.Job) (pending, sure bool)
-	// Assignee returns a worker that would begin a job of some items at once, if there is one.
+	// Assignee returns a worker that would start a job with that number of items at once, if there is one.
 	Assignee(items int) (jobrecord.Assignee, bool)
-	// Assign tells the worker of a job that was accepted with a claim for it, and says whether it runs the job.
+	// Assign sends a worker a job that was accepted with a claim for it, and reports whether the worker runs the job.
 	Assign(ctx context.Context, assignee jobrecord.Assignee, assigned jobrecord.Assigned) bool
-	// Body returns the body of an item without a result and whose job it is, if a worker has it.
+	// Body returns the body of an item without a result and the job's tenant, if a worker has it.
 	Body(ctx context.Context, job ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool)
 }
 
-// Desk takes jobs in and reads them. It is safe for concurrent use.
+// Desk accepts, reads and ends jobs. It is safe for concurrent use.
 type Desk struct {
 	Records *jobrecord.Records
-	// Holders answers readings from the memory of the worker that runs the job, where it is sure; nil reads the records
-	// alone.
+	// Holders answers reads from the memory of the worker that runs the job, if it is sure, and stores jobs on disk while
+	// the store does not answer; nil uses the records alone.
 	Holders Holders
-	// LinkBytes is what the node's link carries, in bytes a second; zero is not known.
+	// LinkBytes is the bandwidth of the node's link in bytes per second; zero means unknown.
 	LinkBytes float64
-	// Heard knows whether anybody answers this node; nil does not.
+	// Heard records whether other processes answer this node; nil disables the check.
 	Heard  *reach.Watch
 	Logger zerolog.Logger
 
-	// Now is the steady clock; nil is the machine's.
+	// Now is the monotonic clock; nil uses the machine's.
 	Now func() time.Time
 
 	mutex   sync.Mutex
 	headers map[ident.Job]*jobrecord.Header
-	// storeDoubted is until when workers are asked to keep a job without waiting for the store first.
-	storeDoubted time.Time
+	// suspectedUntil is the time until which workers are asked to store a job without waiting for the store first.
+	suspectedUntil time.Time
 }
 
 // Accept makes a job durable. A nil error means that it is, now or since an earlier submission. The error is a
-// *failure.Error; its outcome is NotRun only where the job was not written and never will be.
+// *failure.Error; its outcome is NotRun only if the job was not written and never will be.
 func (d *Desk) Accept(ctx context.Context, route *work.Route, submission *jobrecord.Submission) error {
 	attempt := &acceptance{
-		desk: d, route: route, submission: submission, name: strconv.FormatUint(rand.Uint64(), 36), told: outcome.NotRun,
+		desk: d, route: route, submission: submission, attemptID: strconv.FormatUint(rand.Uint64(), 36), jobOutcome: outcome.NotRun,
 	}
 	submission.Hold()
 	defer submission.LetGo()
-	if d.deaf() {
-		return d.refuseUnheard(submission)
+	if d.unreachable() {
+		return d.refuseUnreachable(submission)
 	}
 	if attempt.run(ctx) {
 		event.JobTaken.Log(d.Logger).Str("job", string(submission.ID)).Int("items", len(submission.Items)).
 			Int("tries", attempt.tries).Bool("handed_off", attempt.handedOff).
-			Int("tokens", submission.Tokens()).Int("waiting", attempt.waiting).Send()
+			Int("tokens", submission.Tokens()).Int("waiting", attempt.waitingTokens).Send()
 		return nil
 	}
-	refused := refusal(attempt.last, attempt.told)
+	refused := refusal(attempt.last, attempt.jobOutcome)
 	event.JobRefused.Log(d.Logger).Str("job", string(submission.ID)).Str("not_run", refused.Outcome.String()).Err(attempt.last).Send()
 	return refused
 }
 
-// ErrDeaf means that neither the store nor any worker has answered this node for a while.
-const ErrDeaf = failure.Kind("job entry: nobody answers this node")
+// ErrUnreachable means that neither the store nor any worker has answered this node for a while.
+const ErrUnreachable = failure.Kind("job entry: nobody answers this node")
 
-// deaf says that this node can neither take a job nor tell of one.
-func (d *Desk) deaf() bool { return d.Heard.Deaf(d.now()) }
+// unreachable reports whether this node can neither accept nor read jobs.
+func (d *Desk) unreachable() bool { return d.Heard.Deaf(d.now()) }
 
-// refuseUnheard refuses a job that was sent nowhere: another node can take it now, and this one would hold it until its caller had gone.
-func (d *Desk) refuseUnheard(submission *jobrecord.Submission) *failure.Error {
+// refuseUnreachable refuses a job without sending it anywhere: another node can accept it now, while this one would hold
+// it until the caller gave up.
+func (d *Desk) refuseUnreachable(submission *jobrecord.Submission) *failure.Error {
 	refused := failure.New(failure.CodeShardUnavailable, "this node reaches nobody who could take the job").
-		WithRetryAfter(deafRetryAfter).WithCause(ErrDeaf)
-	event.JobRefused.Log(d.Logger).Str("job", string(submission.ID)).Str("not_run", refused.Outcome.String()).Err(ErrDeaf).Send()
+		WithRetryAfter(unreachableRetryAfter).WithCause(ErrUnreachable)
+	event.JobRefused.Log(d.Logger).Str("job", string(submission.ID)).Str("not_run", refused.Outcome.String()).Err(ErrUnreachable).Send()
 	return refused
 }
 
@@ -136,40 +141,40 @@
 	return d.Now()
 }
 
-func (d *Desk) doubtsStore() bool {
+func (d *Desk) suspectsStore() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.now().Before(d.storeDoubted)
+	return d.now().Before(d.suspectedUntil)
 }
 
-func (d *Desk) doubtStore() {
+func (d *Desk) suspectStore() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.storeDoubted = d.now().Add(doubtFor)
+	d.suspectedUntil = d.now().Add(suspectPeriod)
 }
 
-// refusal is the final answer of a submission that failed.
-func refusal(last error, told outcome.Outcome) *failure.Error {
+// refusal returns the final error of a submission that failed.
+func refusal(last error, jobOutcome outcome.Outcome) *failure.Error {
 	var final *failure.Error
 	switch {
-	case errors.As(last, &final) && told == outcome.NotRun && final.RetryAfter > 0:
+	case errors.As(last, &final) && jobOutcome == outcome.NotRun && final.RetryAfter > 0:
 		return final
 	case errors.As(last, &final) && final.Code == failure.CodeBodyTooLarge:
 		return final
 	case errors.Is(last, jobrecord.ErrOthersJob):
 		return failure.New(failure.CodeConflict, "another job has this id").WithCause(last)
-	case told != outcome.NotRun:
-		return failure.New(failure.CodeOutcomeUnknown, "the job may have been taken; send it again").WithOutcome(told).WithCause(last)
+	case jobOutcome != outcome.NotRun:
+		return failure.New(failure.CodeOutcomeUnknown, "the job may have been taken; send it again").WithOutcome(jobOutcome).WithCause(last)
 	}
 	return failure.New(failure.CodeShardUnavailable, "the job could not be written").WithRetryAfter(retryAfter).WithCause(last)
 }
 
-// accept makes one try of an acceptance. It returns the tokens that were counted beside the job.
+// accept makes one try at the store. It returns the number of tokens already queued.
 func (d *Desk) accept(ctx context.Context, attempt *acceptance) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	waiting, err := d.write(ctx, attempt)
-	for race := 1; race < racesEach && errors.Is(err, jobrecord.ErrRaced); race++ {
+	for race := 1; race < maxWriteRaces && errors.Is(err, jobrecord.ErrRaced); race++ {
 		waiting, err = d.write(ctx, attempt)
 	}
 	if errors.Is(err, jobrecord.ErrTooLarge) {
@@ -178,22 +183,22 @@
 	return waiting, err
 }
 
-// racesEach bounds the writes of one try that another job may forestall.
-const racesEach = 4
+// maxWriteRaces bounds the writes of one try that may fail because another job was written first.
+const maxWriteRaces = 4
 
-// write writes a job whose room is reserved. Of any other one the waiting tokens are counted in the store, and where the queue may become
-// full, nothing else is taken between the two.
+// write writes a job whose capacity is reserved. For any other job it counts the queued tokens in the store; if the queue
+// may become full, the write fails if another job was accepted since the count.
 func (d *Desk) write(ctx context.Context, attempt *acceptance) (int, error) {
 	submission := attempt.submission
-	if attempt.counted() {
-		return attempt.reservedBeside(), d.put(ctx, submission, nil)
+	if attempt.admitted() {
+		return attempt.reservedWaitingTokens(), d.put(ctx, submission, nil)
 	}
-	bound := attempt.storeBound()
+	bound := attempt.storeLimit()
 	waiting, err := d.checkQuota(ctx, bound, submission)
 	if err != nil {
 		return waiting, err
 	}
-	if float64(waiting+submission.Tokens()) <= attempt.unguarded()*float64(bound) {
+	if float64(waiting+submission.Tokens()) <= attempt.serializeAbove()*float64(bound) {
 		return waiting, d.put(ctx, submission, nil)
 	}
 	admission, err := d.Records.Admission(ctx, attempt.route.Name)
@@ -206,16 +211,16 @@
 	return waiting, d.put(ctx, submission, &admission)
 }
 
-// exists says whether the store is known to have a job.
+// exists reports whether the store is known to have a job.
 func (d *Desk) exists(ctx context.Context, job ident.Job) bool {
-	if d.doubtsStore() {
+	if d.suspectsStore() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, existsTimeout)
 	defer cancel()
 	exists, err := d.Records.Exists(ctx, job)
 	if err != nil {
-		event.JobStoreFailed.Log(d.Logger).Str("doing", "asking for job "+string(job)).Err(err).Send()
+		event.JobStoreFailed.Log(d.Logger).Str("doing", "checking for job "+string(job)).Err(err).Send()
 	}
 	return exists
 }
@@ -224,8 +229,8 @@
 	return failure.New(failure.CodeBodyTooLarge, "the job is too large to be kept").WithCause(err)
 }
 
-// checkQuota counts the tokens that wait on the route in the store, and refuses a job that does not fit beside them. A
-// job that was accepted before is not refused.
+// checkQuota counts the route's queued tokens in the store and refuses a job that does not fit. A job that was accepted
+// before is not refused.
 func (d *Desk) checkQuota(ctx context.Context, bound int, submission *jobrecord.Submission) (int, error) {
 	tokens := submission.Tokens()
 	waiting, err := d.Records.WaitingTokens(ctx, submission.Queue(), bound-tokens)
@@ -252,18 +257,18 @@
 // ErrNotChecked means that the records could not be read before anything was written.
 const ErrNotChecked = failure.Kind("job entry: the records could not be read")
 
-// errNotWritten hides the outcome of a reading call: whatever became of it, nothing was written.
+// errNotWritten hides the outcome of a failed read: whatever the read did, nothing was written.
 func errNotWritten(err error) error { return readError{cause: err} }
 
-// readError is a failed reading before a write.
+// readError is a failed read before a write.
 type readError struct{ cause error }
 
 func (e readError) Error() string { return string(ErrNotChecked) + ": " + e.cause.Error() }
 
-// Is makes the error an ErrNotChecked, and not what the reading call failed with.
+// Is makes the error match ErrNotChecked only, not the error of the read.
 func (e readError) Is(target error) bool { return target == ErrNotChecked }
 
-// pause waits, or returns false when ctx ends first.
+// pause waits for a duration. It returns false if ctx ends first.
 func pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/jobentry/read.go
+++ b/internal/jobentry/read.go
@@ -13,37 +13,37 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// longestWait bounds how long a reading is held.
-const longestWait = time.Second
+// maxWait bounds how long a read waits for the next result.
+const maxWait = time.Second
 
 // Listing is a part of a job's results.
 type Listing struct {
 	// Total is the number of the job's items.
 	Total int
-	// Results stand at successive positions from the one asked for.
+	// Results are at consecutive positions from the requested one.
 	Results []work.Result
 }
 
-// Results reads results of a tenant's job from a position on. Without any it waits for the next one, at most for the wait. The error
-// is a *failure.Error.
+// Results reads results of a tenant's job from a position on. If there are none, it waits for the next one, for wait at
+// most. The error is a *failure.Error.
 func (d *Desk) Results(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
-	wait = min(wait, longestWait)
-	if d.deaf() {
-		return Listing{}, d.readFailure(job, ErrDeaf)
+	wait = min(wait, maxWait)
+	if d.unreachable() {
+		return Listing{}, d.readFailure(job, ErrUnreachable)
 	}
 	if d.Holders != nil {
 		if held, sure := d.Holders.Results(ctx, job, from, wait); sure {
 			if err := d.checkTenant(ctx, tenant, held.Tenant, job); err != nil {
 				return Listing{}, d.readFailure(job, err)
 			}
-			return Listing{Total: held.Total, Results: cut(held.Results)}, nil
+			return Listing{Total: held.Total, Results: truncate(held.Results)}, nil
 		}
 	}
 	return d.recordedResults(ctx, tenant, job, from, wait)
 }
 
-// checkTenant returns nil where a tenant may read a job, given whose it is as the worker told that holds it. One that told of nobody
-// may be of an older build: then the records say.
+// checkTenant returns nil if a tenant may read a job, given the tenant that the worker holding the job reported. A worker
+// that reported no tenant may be of an older build: then the records decide.
 func (d *Desk) checkTenant(ctx context.Context, tenant, holder ident.Tenant, job ident.Job) error {
 	if holder == tenant {
 		return nil
@@ -55,7 +55,7 @@
 	return fmt.Errorf("%w: %s is another tenant's", jobrecord.ErrNoSuchJob, job)
 }
 
-// headerFor returns the header of a tenant's job. To another tenant there is no such job.
+// headerFor returns the header of a tenant's job. For other tenants the job does not exist.
 func (d *Desk) headerFor(ctx context.Context, tenant ident.Tenant, job ident.Job) (*jobrecord.Header, error) {
 	header, err := d.header(ctx, job)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return header, nil
 }
 
-// recordedResults reads the records themselves.
+// recordedResults reads results from the records.
 func (d *Desk) recordedResults(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
 	read, err := d.list(ctx, tenant, job, from)
 	if err != nil {
@@ -75,17 +75,18 @@
 	}
 	results := read.Results
 	if len(results) == 0 && from < read.Total && wait > 0 {
-		// A wait that fails is an empty answer: the list was read before it.
+		// A failed wait gives an empty answer: the list was read before it.
 		results, _ = d.next(ctx, job, from, read.Revision, wait)
 	}
-	return Listing{Total: read.Total, Results: cut(results)}, nil
+	return Listing{Total: read.Total, Results: truncate(results)}, nil
 }
 
-// list reads results of a tenant's job. Where they do not tell of the job, its header does.
+// list reads results of a tenant's job. If the results do not contain the job's total and tenant, they are read from its
+// header.
 func (d *Desk) list(ctx context.Context, tenant ident.Tenant, job ident.Job, from int) (jobrecord.Listing, error) {
-	known := d.known(job)
-	if known != nil && from >= len(known.Items) && known.BelongsTo(tenant) {
-		return jobrecord.Listing{Total: len(known.Items)}, nil
+	cachedHeader := d.cachedHeader(job)
+	if cachedHeader != nil && from >= len(cachedHeader.Items) && cachedHeader.BelongsTo(tenant) {
+		return jobrecord.Listing{Total: len(cachedHeader.Items)}, nil
 	}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -113,8 +114,8 @@
 	return d.Records.NextResults(ctx, job, from, after, wait)
 }
 
-// cut keeps an answer within its bound, with one result at least.
-func cut(results []work.Result) []work.Result {
+// truncate cuts an answer to its maximum size, but retains at least one result.
+func truncate(results []work.Result) []work.Result {
 	size := 0
 	for index, result := range results {
 		size += len(result.Text) + resultOverhead
@@ -127,8 +128,8 @@
 
 // Body reads the body of an item of a tenant's job that is not listed yet. The error is a *failure.Error.
 func (d *Desk) Body(ctx context.Context, tenant ident.Tenant, job ident.Job, item ident.Request) ([]byte, error) {
-	if d.deaf() {
-		return nil, d.readFailure(job, ErrDeaf)
+	if d.unreachable() {
+		return nil, d.readFailure(job, ErrUnreachable)
 	}
 	if d.Holders != nil {
 		if body, holder, found := d.Holders.Body(ctx, job, item); found {
@@ -153,8 +154,8 @@
 
 // End ends a tenant's job. The error is a *failure.Error.
 func (d *Desk) End(ctx context.Context, tenant ident.Tenant, job ident.Job) error {
-	if d.deaf() {
-		return d.readFailure(job, ErrDeaf)
+	if d.unreachable() {
+		return d.readFailure(job, ErrUnreachable)
 	}
 	header, err := d.headerFor(ctx, tenant, job)
 	if err != nil {
@@ -178,17 +179,17 @@
 	return d.Records.End(ctx, header)
 }
 
-// known returns a job's header if it was read before, or nil.
-func (d *Desk) known(job ident.Job) *jobrecord.Header {
+// cachedHeader returns a job's header if it was read before, or nil.
+func (d *Desk) cachedHeader(job ident.Job) *jobrecord.Header {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.headers[job]
 }
 
-// header returns a job's header, from memory if it was read before.
+// header returns a job's header, from the cache if it was read before.
 func (d *Desk) header(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
-	if known := d.known(job); known != nil {
-		return known, nil
+	if cachedHeader := d.cachedHeader(job); cachedHeader != nil {
+		return cachedHeader, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -199,15 +200,15 @@
 	if err != nil {
 		return nil, err
 	}
-	d.remember(header)
+	d.cacheHeader(header)
 	return header, nil
 }
 
-// ErrPending means that a worker keeps the job, or may keep it, until the store takes it.
+// ErrPending means that a worker stores the job, or may store it, until the store accepts it.
 const ErrPending = failure.Kind("job entry: the job may be on its way to the store")
 
-// headerAfterHandoff reads the header of a job that the store did not have. An entry leaves a worker's disk only once the
-// store has the job: where no worker keeps it, a second reading finds what was handed over meanwhile.
+// headerAfterHandoff reads the header of a job that the store did not have. An entry is removed from a worker's disk only
+// once the store has the job: if no worker has an entry, a second read finds a job that was handed over in the meantime.
 func (d *Desk) headerAfterHandoff(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
 	if d.mayBePending(ctx, job) {
 		return nil, fmt.Errorf("%w: %s", ErrPending, job)
@@ -215,7 +216,7 @@
 	return d.Records.Header(ctx, job)
 }
 
-// mayBePending says whether a worker keeps the job, or did not answer and so may keep it.
+// mayBePending reports whether a worker stores the job, or may store it because it did not answer.
 func (d *Desk) mayBePending(ctx context.Context, job ident.Job) bool {
 	if d.Holders == nil {
 		return false
@@ -224,7 +225,7 @@
 	return pending || !sure
 }
 
-func (d *Desk) remember(header *jobrecord.Header) {
+func (d *Desk) cacheHeader(header *jobrecord.Header) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.headers == nil {
@@ -239,7 +240,8 @@
 	d.headers[header.ID] = header
 }
 
-// readFailure turns a failed reading into what the caller is told. Only what the records deny is not found.
+// readFailure returns the caller's error for a failed read. Not-found is reported only if the records deny the job or the
+// item.
 func (d *Desk) readFailure(job ident.Job, err error) *failure.Error {
 	switch {
 	case errors.Is(err, jobrecord.ErrNoSuchJob):
@@ -249,8 +251,8 @@
 	}
 	event.JobReadFailed.Log(d.Logger).Str("job", string(job)).Err(err).Send()
 	after := retryAfter
-	if errors.Is(err, ErrDeaf) {
-		after = deafRetryAfter
+	if errors.Is(err, ErrUnreachable) {
+		after = unreachableRetryAfter
 	}
 	return failure.New(failure.CodeShardUnavailable, "the job cannot be read now").WithRetryAfter(after).WithCause(err)
 }
--- a/internal/jobentry/read_test.go
+++ b/internal/jobentry/read_test.go
@@ -20,7 +20,7 @@
 
 const recordedItems = 3
 
-// recordJob puts a job of a tenant into a desk's store, with the results of its first items.
+// recordJob writes a job of a tenant to the store, with the results of its first items.
 func recordJob(t *testing.T, records *jobrecord.Records, id ident.Job, tenant ident.Tenant, finished int) {
 	t.Helper()
 	ctx := context.Background()
@@ -55,8 +55,9 @@
 
 // TestResultsThatNoWorkerHoldsAreReadInOneCall
 //
-// The load is what is asked for after a loss of all machines: finished jobs, each read once or twice at fronts that have not read it before,
-// from any position, the end too. The aim is one call for a reading: the store has all that the answer needs in one place.
+// The load is that after a simultaneous restart of all machines: finished jobs, each read once or twice at fronts that
+// have not read it before, from any position, including the end. The aim is one store call per read: the store has all
+// that the answer needs in one place.
 func TestResultsThatNoWorkerHoldsAreReadInOneCall(t *testing.T) {
 	const jobs = 20
 	for from := range recordedItems + 1 {
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestResultsTellOnlyTheirTenant reads jobs of a tenant and of nobody, whole and in part, as that tenant and as another one.
+// TestResultsTellOnlyTheirTenant reads jobs of a tenant and jobs without one, complete and partial, as that tenant and as
+// another one.
 func TestResultsTellOnlyTheirTenant(t *testing.T) {
 	for finished := range recordedItems + 1 {
 		for from := range recordedItems + 1 {
@@ -90,7 +92,7 @@
 	}
 }
 
-// olderStore keeps results as earlier builds did, without what readers need of the job.
+// olderStore stores results as earlier builds did, without the total and the tenant of the job.
 type olderStore struct{ kv.Paged }
 
 // Commit implements kv.Paged.
@@ -107,7 +109,7 @@
 	return s.Paged.Commit(ctx, compares, writes)
 }
 
-// TestResultsOfAnEarlierBuildAreRead has the header read for them.
+// TestResultsOfAnEarlierBuildAreRead has the header read for results that lack the job's total and tenant.
 func TestResultsOfAnEarlierBuildAreRead(t *testing.T) {
 	for finished := range recordedItems + 1 {
 		for from := range recordedItems + 1 {
@@ -123,11 +125,11 @@
 	}
 }
 
-// narrowStore has pages of one result, as a store has whose pages are bounded in bytes.
-type narrowStore struct{ *kvtest.Paged }
+// singleResultStore returns pages of one result, like a store whose pages are bounded in bytes.
+type singleResultStore struct{ *kvtest.Paged }
 
 // ListPage implements kv.Paged.
-func (s *narrowStore) ListPage(ctx context.Context, prefix string, options kv.PageOptions) (kv.Page, error) {
+func (s *singleResultStore) ListPage(ctx context.Context, prefix string, options kv.PageOptions) (kv.Page, error) {
 	page, err := s.Paged.ListPage(ctx, prefix, options)
 	if len(page.Pairs) > 1 {
 		page.Pairs, page.More = page.Pairs[:1], true
@@ -135,12 +137,12 @@
 	return page, err
 }
 
-// TestLargeResultDoesNotHideTheNextOne reads from each position where a page has room for one result: an answer has one at least, if
-// there is one.
+// TestLargeResultDoesNotHideTheNextOne reads from each position if a page fits only one result: an answer contains at
+// least one result if there is one.
 func TestLargeResultDoesNotHideTheNextOne(t *testing.T) {
 	desk, store := newDesk(&fakeHolders{})
 	recordJob(t, desk.Records, "job", "clinic", recordedItems)
-	desk.Records.Store = &narrowStore{Paged: store}
+	desk.Records.Store = &singleResultStore{Paged: store}
 	for from := range recordedItems {
 		listing, err := desk.Results(context.Background(), "clinic", "job", from, 0)
 		assert.NilError(t, err)
