--- a/internal/handoff/entry.go
+++ b/internal/handoff/entry.go
@@ -20,7 +20,7 @@
 // Errors of the log.
 const (
 	// ErrFull means that the entry does not fit within the folder's size limit. It was not stored.
-	ErrFull = failure.Kind("handoff: no room on the disk")
+	ErrFull = failure.Kind("handoff: size limit of the folder reached")
 	// ErrDisk means that the disk failed. The entry may have been stored.
 	ErrDisk = failure.Kind("handoff: disk failed")
 	// ErrDamaged means that a file is not a complete entry. It was never acknowledged.
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -46,7 +46,7 @@
 	assert.NilError(t, d.Log.Put(handoff.NewEntry(submission, accepted, 0)))
 	d.Round(context.Background())
 	assert.Assert(t, !d.Log.Has("large"))
-	assert.Assert(t, store.maxHeld >= all+600_000, "%d bytes were held beside %d", store.maxHeld-all, all)
+	assert.Assert(t, store.maxHeld >= all+600_000, "%d bytes were accounted for beside %d", store.maxHeld-all, all)
 	held, _ := budget.Load()
 	assert.Equal(t, held, all)
 }
--- a/internal/handoff/log.go
+++ b/internal/handoff/log.go
@@ -108,7 +108,7 @@
 	}
 	size := int64(len(content))
 	if l.bytes+size > l.maxBytes {
-		return fmt.Errorf("%w: %d bytes are kept and the entry has %d, at most %d", ErrFull, l.bytes, size, l.maxBytes)
+		return fmt.Errorf("%w: %d bytes are stored and the entry has %d, at most %d", ErrFull, l.bytes, size, l.maxBytes)
 	}
 	if err := durable.Write(l.path(entry.Job), content); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
--- a/internal/orphans/load_test.go
+++ b/internal/orphans/load_test.go
@@ -20,31 +20,33 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// The load of this file: every machine lost its power and all are back at once, with nothing known. Runners have eight places; some are
-// taken by requests of .7 s and items of 4.7 s that dead nodes left, in all states of completion. Requests come at once as usual,
-// each to a front by lot. A caller wants the first event within 300 ms and waits 5 s.
+// The load of this file is a simultaneous restart of all nodes: every machine lost power and all are back at once, with
+// nothing known. Runners have eight slots; some are taken by requests of 0.7 s and items of 4.7 s that dead nodes left,
+// in all states of completion. Requests arrive at the usual rate, each at a random front. A caller wants the first event
+// within 300 ms and waits 5 s.
 const (
-	places       = 8
-	requestTakes = 700 * time.Millisecond
-	itemTakes    = 4700 * time.Millisecond
-	objective    = 300 * time.Millisecond
-	patience     = 5 * time.Second
-	firstEvent   = 20 * time.Millisecond
-	tick         = 5 * time.Millisecond
-	// lookEvery is how often a front looks for a place while requests wait.
-	lookEvery = 20 * time.Millisecond
-	// window is the time after the power is back in which the requests that come are counted.
+	slotsPerRunner  = 8
+	requestDuration = 700 * time.Millisecond
+	itemDuration    = 4700 * time.Millisecond
+	objective       = 300 * time.Millisecond
+	callerTimeout   = 5 * time.Second
+	firstEvent      = 20 * time.Millisecond
+	tick            = 5 * time.Millisecond
+	// retryInterval is how often a front tries to find a slot while requests wait.
+	retryInterval = 20 * time.Millisecond
+	// window is the time after the restart in which arriving requests are counted.
 	window = 2 * time.Second
-	// way is how long a message takes between a front and an owner, and back.
-	way = 2 * time.Millisecond
-	// owners is how many workers own the runners, about as on the sites of that size.
+	// messageDelay is how long a message takes between a front and an owner, and back.
+	messageDelay = 2 * time.Millisecond
+	// owners is the number of workers that own the runners, about as on sites of that size.
 	owners = 10
-	// endTold is how long the end of a request waits to be told with other news, askEvery the least time between two questions for places.
-	endTold  = 10 * time.Millisecond
-	askEvery = 20 * time.Millisecond
-	// round is the time between two rounds of an owner, in each of which it reads the runners that are due.
-	round = 60 * time.Millisecond
-	// reportAge is how old a runner's report is.
+	// endReportDelay is how long the end of a request waits to be reported with other updates, minAskInterval the least
+	// time between two requests for slots.
+	endReportDelay = 10 * time.Millisecond
+	minAskInterval = 20 * time.Millisecond
+	// roundInterval is the time between two rounds of an owner, in each of which it reads the runners that are due.
+	roundInterval = 60 * time.Millisecond
+	// reportAge is the age of a runner's report.
 	reportAge = 100 * time.Millisecond
 )
 
@@ -54,57 +56,58 @@
 	runners, fronts       int
 	perSecond             float64
 	leftItems, leftOnline int
-	// at is how many of the runners have what was left; zero are all.
-	at int
-	// ownersLate is how much later than the fronts the owners start, tellsNone that they are of a build that tells no orphans.
-	ownersLate time.Duration
-	tellsNone  bool
+	// affectedRunners is the number of runners that have runs left by dead nodes; zero means all.
+	affectedRunners int
+	// ownersLate is how much later than the fronts the owners start; noOrphanReports means that they are of a build that
+	// does not report orphaned runs.
+	ownersLate      time.Duration
+	noOrphanReports bool
 }
 
-// runner is one of the model.
+// runner is a runner of the model.
 type runner struct {
 	id ident.Incarnation
-	// ends are when the runs end that have a place; waiting are those without one, oldest first.
+	// ends are the end times of the runs that have a slot; waiting are the requests without one, oldest first.
 	ends    []time.Duration
 	waiting []*request
 	// totals is the work at each tick until now.
 	totals []int
 }
 
-// request is one of the model.
+// request is a request of the model.
 type request struct {
-	came     time.Duration
-	waiter   *waitline.Waiter
-	flight   *runnertable.Flight
-	front    *front
-	answered time.Duration
-	waited   bool
+	arrivedAt time.Duration
+	waiter    *waitline.Waiter
+	flight    *runnertable.Flight
+	front     *front
+	answered  time.Duration
+	waited    bool
 }
 
-// front chooses with the real table and line. It does what online's room does.
+// front chooses runners with the real table and queue. It models the queueing of package online.
 type front struct {
 	node     ident.Node
 	table    *runnertable.Table
-	line     waitline.Line
+	queue    waitline.Line
 	requests map[*waitline.Waiter]*request
-	// told is what each owner was told; tellAt is when the owners are told that lack something.
-	told   [owners]told
-	tellAt time.Duration
-	// ending are the runs of this front, by when they end.
+	// reported is the state reported to each owner; reportAt is when owners that lack an update are called.
+	reported [owners]reported
+	reportAt time.Duration
+	// ending are the runs of this front that have not ended.
 	ending []*request
 }
 
-// told is what a front told one owner.
-type told struct {
+// reported is the state that a front reported to one owner.
+type reported struct {
 	at       time.Duration
 	sequence int64
 	counts   map[ident.Incarnation]int
-	// waits is what the owner knows to wait there, rationed whether it rations its places.
+	// waits is the waiting requests that the owner knows of; rationed is true if it rations its slots.
 	waits    demand.Waiting
 	rationed bool
 }
 
-// owner is a worker that owns each tenth of the runners.
+// owner is a worker that owns a tenth of the runners.
 type owner struct {
 	ledger  demand.Ledger
 	ration  orphans.Ration
@@ -133,16 +136,16 @@
 		r := &runner{id: ident.Incarnation(fmt.Sprintf("r-%02d", index))}
 		m.fleet, m.byID[r.id], m.counts[r.id] = append(m.fleet, r), r, &orphans.Count{}
 		m.owners[index%owners].runners = append(m.owners[index%owners].runners, r)
-		listed = append(listed, work.Runner{ID: r.id, Service: "s", Zone: "z", Slots: places})
+		listed = append(listed, work.Runner{ID: r.id, Service: "s", Zone: "z", Slots: slotsPerRunner})
 	}
-	m.leave(p.leftItems, itemTakes)
-	m.leave(p.leftOnline, requestTakes)
+	m.addLeftRuns(p.leftItems, itemDuration)
+	m.addLeftRuns(p.leftOnline, requestDuration)
 	for index := range p.fronts {
-		f := &front{node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{}, tellAt: time.Duration(m.random.Int64N(int64(demand.RefreshEvery)))}
-		for index := range f.told {
-			f.told[index].at = -time.Second
+		f := &front{node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{}, reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshEvery)))}
+		for index := range f.reported {
+			f.reported[index].at = -time.Second
 		}
-		f.table.OnOnlineChanged(func(rose bool) { f.tellWithin(m.now, rose) })
+		f.table.OnOnlineChanged(func(rose bool) { f.scheduleReport(m.now, rose) })
 		f.table.StartsAgain()
 		f.table.Replace(listed, start, true)
 		m.fronts = append(m.fronts, f)
@@ -151,12 +154,12 @@
 	return m
 }
 
-// leave has runs of dead nodes in free places by lot.
-func (m *model) leave(runs int, takes time.Duration) {
+// addLeftRuns adds runs of dead nodes to random free slots.
+func (m *model) addLeftRuns(runs int, takes time.Duration) {
 	for range runs {
 		for {
-			r := m.fleet[m.random.IntN(cmp.Or(m.pattern.at, len(m.fleet)))]
-			if len(r.ends) < places {
+			r := m.fleet[m.random.IntN(cmp.Or(m.pattern.affectedRunners, len(m.fleet)))]
+			if len(r.ends) < slotsPerRunner {
 				r.ends = append(r.ends, time.Duration(m.random.Int64N(int64(takes))))
 				break
 			}
@@ -164,23 +167,23 @@
 	}
 }
 
-// run plays the window, and the time in which the last of its requests can be in time.
+// run simulates the window, and the time in which the last of its requests can still be on time.
 func (m *model) run() {
 	for m.now = 0; m.now <= window+objective; m.now += tick {
 		m.endRuns()
 		if m.now < window {
 			for range m.arrivals() {
-				m.come(m.fronts[m.random.IntN(len(m.fronts))])
+				m.arrive(m.fronts[m.random.IntN(len(m.fronts))])
 			}
 		}
 		for index, f := range m.fronts {
-			if (m.now+time.Duration(index)*tick)%lookEvery == 0 {
-				m.look(f)
+			if (m.now+time.Duration(index)*tick)%retryInterval == 0 {
+				m.serveQueue(f)
 			}
 		}
-		m.own()
+		m.runOwners()
 		for _, f := range m.fronts {
-			m.tell(f)
+			m.reportToOwners(f)
 		}
 		for _, r := range m.fleet {
 			r.totals = append(r.totals, len(r.ends)+len(r.waiting))
@@ -197,22 +200,23 @@
 	return count
 }
 
-// endRuns ends what is done, and has the places taken by what waits at the runners. The fronts hear of the ends of their own.
+// endRuns ends the runs that are done, and starts requests that wait at the runners in their slots. The fronts are
+// notified of the ends of their own requests.
 func (m *model) endRuns() {
 	for _, r := range m.fleet {
 		r.ends = slices.DeleteFunc(r.ends, func(end time.Duration) bool { return end <= m.now })
-		for len(r.ends) < places && len(r.waiting) > 0 {
+		for len(r.ends) < slotsPerRunner && len(r.waiting) > 0 {
 			m.begin(r, r.waiting[0])
 			r.waiting = r.waiting[1:]
 		}
 	}
 	for _, f := range m.fronts {
 		f.ending = slices.DeleteFunc(f.ending, func(req *request) bool {
-			ended := req.answered > 0 && req.answered-firstEvent+requestTakes <= m.now
+			ended := req.answered > 0 && req.answered-firstEvent+requestDuration <= m.now
 			if ended {
 				req.flight.End()
-				f.line.Freed(requestTakes, m.moment())
-				m.wake(f)
+				f.queue.Freed(requestDuration, m.moment())
+				m.serveNext(f)
 			}
 			return ended
 		})
@@ -220,22 +224,22 @@
 }
 
 func (m *model) begin(r *runner, req *request) {
-	r.ends = append(r.ends, m.now+requestTakes)
+	r.ends = append(r.ends, m.now+requestDuration)
 	req.answered = m.now + firstEvent
 }
 
-func (m *model) come(f *front) {
-	req := &request{came: m.now, front: f}
+func (m *model) arrive(f *front) {
+	req := &request{arrivedAt: m.now, front: f}
 	m.all = append(m.all, req)
 	req.waiter = &waitline.Waiter{
-		OnTime: m.moment().Add(objective - firstEvent), Latest: m.moment().Add(patience - firstEvent),
+		OnTime: m.moment().Add(objective - firstEvent), Latest: m.moment().Add(callerTimeout - firstEvent),
 	}
-	if f.line.Len() == 0 && m.pick(f, req) {
+	if f.queue.Len() == 0 && m.pick(f, req) {
 		return
 	}
-	join := f.line.Join
+	join := f.queue.Join
 	if m.rations(f) {
-		join = f.line.JoinRationed
+		join = f.queue.JoinRationed
 	}
 	if join(req.waiter, m.moment()) {
 		req.waited = true
@@ -246,35 +250,35 @@
 
 func (m *model) rations(f *front) bool { return f.table.Rations("s", m.moment()) }
 
-// ask has the owners asked for places, where these are rationed.
+// ask schedules requests to the owners for slots, if these are rationed.
 func (m *model) ask(f *front) {
 	if m.rations(f) {
-		f.tellWithin(m.now, true)
+		f.scheduleReport(m.now, true)
 	}
 }
 
-// tellWithin has the owners told at once, or soon.
-func (f *front) tellWithin(now time.Duration, atOnce bool) {
+// scheduleReport schedules a call to the owners, at once or soon.
+func (f *front) scheduleReport(now time.Duration, atOnce bool) {
 	if !atOnce {
-		now += endTold
+		now += endReportDelay
 	}
-	f.tellAt = min(f.tellAt, now)
+	f.reportAt = min(f.reportAt, now)
 }
 
-// pick sends a request, if a runner may have it.
+// pick sends a request if a runner can accept it.
 func (m *model) pick(f *front, req *request) bool {
 	flight, err := f.table.Pick(runnertable.Wish{Service: "s", Class: runnertable.Online, Full: map[ident.Incarnation]bool{}, Late: m.moment().After(req.waiter.OnTime)}, m.moment(), m.random)
 	if errors.Is(err, runnertable.ErrFull) || errors.Is(err, runnertable.ErrNoRunner) {
 		return false
 	}
 	req.flight = flight
-	f.line.Taken()
+	f.queue.Taken()
 	if req.waited {
-		f.line.Served(req.waiter, m.moment())
+		f.queue.Served(req.waiter, m.moment())
 	}
 	f.ending = append(f.ending, req)
 	r := m.byID[flight.Runner.ID]
-	if len(r.ends) < places {
+	if len(r.ends) < slotsPerRunner {
 		m.begin(r, req)
 	} else {
 		r.waiting = append(r.waiting, req)
@@ -282,45 +286,46 @@
 	return true
 }
 
-// wake has the first in line look for a place, look all of them, one after the other, until one finds none.
-func (m *model) wake(f *front) bool {
+// serveNext tries to find a slot for the first request in the queue; serveQueue does so for one request after the other,
+// until one finds none.
+func (m *model) serveNext(f *front) bool {
 	if m.rations(f) {
-		f.line.LateLast(m.moment())
+		f.queue.LateLast(m.moment())
 	}
-	next := f.line.Next()
+	next := f.queue.Next()
 	if next == nil {
 		return false
 	}
 	if m.pick(f, f.requests[next]) {
 		return true
 	}
-	f.line.Again(next)
+	f.queue.Again(next)
 	m.ask(f)
 	return false
 }
 
-func (m *model) look(f *front) {
-	for m.wake(f) {
+func (m *model) serveQueue(f *front) {
+	for m.serveNext(f) {
 	}
 }
 
-// own has the owners note what they know of their runners and read reports: in their rounds, and more often while requests wait for places
-// that are rationed.
-func (m *model) own() {
+// runOwners has the owners record what they know of their runners and read reports: in their rounds, and more often while
+// requests wait for rationed slots.
+func (m *model) runOwners() {
 	if m.now < m.ownersLate || !m.watch.Open(m.moment()) {
 		return
 	}
 	age := m.now - m.ownersLate
 	readEvery := m.watch.ReadEvery(200*time.Millisecond, m.moment())
-	rounds := (readEvery + round - 1) / round
+	rounds := (readEvery + roundInterval - 1) / roundInterval
 	for index := range m.owners {
 		owner := &m.owners[index]
 		pressed := owner.ration.Pressed(m.moment()) && age%orphans.PressedReadEvery == 0
 		for _, r := range owner.runners {
-			if pressed || age%round == 0 {
+			if pressed || age%roundInterval == 0 {
 				m.counts[r.id].Know(owner.ledger.Online(r.id, "", m.moment()), m.moment())
 			}
-			if (pressed || age%(rounds*round) == 0) && !m.counts[r.id].Gone() {
+			if (pressed || age%(rounds*roundInterval) == 0) && !m.counts[r.id].Gone() {
 				m.read(r)
 			}
 		}
@@ -336,39 +341,40 @@
 	m.counts[r.id].Read(total, m.moment())
 }
 
-// tell has a front call the owners that lack something, and then take over the answers, as demand's teller does: changes of the work and
-// of what waits for rationed places, what did not change each 50 ms, or half a second where there is nothing.
-func (m *model) tell(f *front) {
-	if m.now < m.ownersLate+way || m.now < f.tellAt {
+// reportToOwners has a front call the owners that lack an update, and then applies the answers, as the sender of package
+// demand does: changes of the work and of what waits for rationed slots, and unchanged state every 50 ms, or every half
+// second if there is none.
+func (m *model) reportToOwners(f *front) {
+	if m.now < m.ownersLate+messageDelay || m.now < f.reportAt {
 		return
 	}
-	f.tellAt = m.now + demand.RefreshEvery
+	f.reportAt = m.now + demand.RefreshEvery
 	online := map[ident.Incarnation]int{}
 	for _, count := range f.table.Online(m.moment()) {
 		online[count.Runner] = count.Online
 	}
 	waits := m.waiting(f)
 	var shares []demand.Share
-	for index := range f.told {
-		known, counts, asked := &f.told[index], m.countsAt(index, online), demand.Waiting{}
+	for index := range f.reported {
+		known, counts, asked := &f.reported[index], m.countsAt(index, online), demand.Waiting{}
 		if known.rationed {
 			asked = waits
 		}
-		news := asked.OnTime != known.waits.OnTime || asked.Late != known.waits.Late
-		if m.lacks(known, counts, news) {
+		waitsChanged := asked.OnTime != known.waits.OnTime || asked.Late != known.waits.Late
+		if m.reportDue(known, counts, waitsChanged) {
 			shares = append(shares, m.report(f, index, counts, asked)...)
-		} else if news {
-			f.tellAt = m.now + askEvery
+		} else if waitsChanged {
+			f.reportAt = m.now + minAskInterval
 		}
 	}
-	f.table.TakeShares(shares, m.moment().Add(way/2))
-	if slices.ContainsFunc(shares, func(told demand.Share) bool { return told.Granted > 0 }) {
-		m.look(f)
+	f.table.TakeShares(shares, m.moment().Add(messageDelay/2))
+	if slices.ContainsFunc(shares, func(reported demand.Share) bool { return reported.Granted > 0 }) {
+		m.serveQueue(f)
 	}
 }
 
 func (m *model) waiting(f *front) demand.Waiting {
-	onTime, until, late := f.line.Waiting(m.moment())
+	onTime, until, late := f.queue.Waiting(m.moment())
 	return demand.Waiting{Service: "s", OnTime: onTime, LeftMs: until.Sub(m.moment()).Milliseconds(), Late: late}
 }
 
@@ -382,11 +388,11 @@
 	return counts
 }
 
-// lacks says whether an owner is to be called now.
-func (m *model) lacks(known *told, counts map[ident.Incarnation]int, news bool) bool {
+// reportDue reports whether an owner is to be called now.
+func (m *model) reportDue(known *reported, counts map[ident.Incarnation]int, waitsChanged bool) bool {
 	since := m.now - known.at
 	switch {
-	case !maps.Equal(counts, known.counts), news && since >= askEvery:
+	case !maps.Equal(counts, known.counts), waitsChanged && since >= minAskInterval:
 		return true
 	case len(counts) > 0 || known.waits.OnTime+known.waits.Late > 0:
 		return since >= demand.RefreshEvery
@@ -394,9 +400,9 @@
 	return since >= demand.IdleRefreshEvery
 }
 
-// report is one call of an owner. It returns the answer.
+// report makes one call to an owner and returns the answer.
 func (m *model) report(f *front, index int, counts map[ident.Incarnation]int, waits demand.Waiting) []demand.Share {
-	known, owner := &f.told[index], &m.owners[index]
+	known, owner := &f.reported[index], &m.owners[index]
 	known.at, known.counts, known.waits = m.now, counts, waits
 	known.sequence++
 	report := &demand.Report{Node: f.node, Incarnation: 1, Sequence: known.sequence, AgeMs: m.now.Milliseconds() + 1}
@@ -412,7 +418,7 @@
 	}
 	owner.ration.Take(f.node, asked, m.moment())
 	shares := m.sharesOf(owner, f.node)
-	known.rationed = slices.ContainsFunc(shares, func(told demand.Share) bool { return told.Rationed })
+	known.rationed = slices.ContainsFunc(shares, func(reported demand.Share) bool { return reported.Rationed })
 	return shares
 }
 
@@ -421,15 +427,15 @@
 	var listed []orphans.Place
 	for _, r := range owner.runners {
 		count := m.counts[r.id]
-		if !m.tellsNone && m.watch.Settling(m.moment()) && !count.WasRead() {
+		if !m.noOrphanReports && m.watch.Settling(m.moment()) && !count.WasRead() {
 			continue
 		}
 		share := demand.Share{Runner: r.id, Others: owner.ledger.Online(r.id, asking, m.moment())}
-		if !m.tellsNone {
+		if !m.noOrphanReports {
 			share.Orphans = count.Runs(m.moment())
 		}
 		shares = append(shares, share)
-		free := places - owner.ledger.Online(r.id, "", m.moment()) - share.Orphans
+		free := slotsPerRunner - owner.ledger.Online(r.id, "", m.moment()) - share.Orphans
 		listed = append(listed, orphans.Place{Runner: r.id, Service: "s", Free: free, Orphans: share.Orphans})
 	}
 	granted := owner.ration.Grant(asking, listed, owner.ledger.Nodes(m.moment()), m.moment())
@@ -441,92 +447,93 @@
 	return shares
 }
 
-// inTime counts the requests that were answered within the objective.
-func (m *model) inTime() int {
+// onTime counts the requests that were answered within the objective.
+func (m *model) onTime() int {
 	count := 0
 	for _, req := range m.all {
-		if req.answered > 0 && req.answered-req.came <= objective {
+		if req.answered > 0 && req.answered-req.arrivedAt <= objective {
 			count++
 		}
 	}
 	return count
 }
 
-// most is how many of the requests can be in time at all: one line for all, that knows every runner at every moment, serves the
-// oldest that can still be in time as a place comes free, and spends no place on another. All requests take as long, so that no
-// other order serves more.
-func most(p pattern, seed uint64, came []time.Duration) int {
+// bestPossible returns how many requests can be on time at all: with a single queue that knows every runner at every
+// moment, serves the oldest request that can still be on time as a slot becomes free, and uses no slot for another
+// request. All requests take the same time, so no other order serves more.
+func bestPossible(p pattern, seed uint64, arrivedAt []time.Duration) int {
 	m := newModel(p, seed)
 	var free []time.Duration
 	for _, r := range m.fleet {
 		free = append(free, r.ends...)
-		for range places - len(r.ends) {
+		for range slotsPerRunner - len(r.ends) {
 			free = append(free, 0)
 		}
 	}
 	served := 0
-	for _, arrival := range came {
+	for _, arrival := range arrivedAt {
 		slices.Sort(free)
 		begin := max(free[0], arrival)
 		if begin+firstEvent-arrival > objective {
 			continue
 		}
-		free[0] = begin + requestTakes
+		free[0] = begin + requestDuration
 		served++
 	}
 	return served
 }
 
 func (m *model) arrived() []time.Duration {
-	var came []time.Duration
+	var arrivedAt []time.Duration
 	for _, req := range m.all {
-		came = append(came, req.came)
+		arrivedAt = append(arrivedAt, req.arrivedAt)
 	}
-	return came
+	return arrivedAt
 }
 
-// fromKnowledge is the part of what can be in time that must be: what nodes know of each other is up to 50 ms old, and the objective
-// leaves 300 ms, so that a sixth may be lost by it.
-const fromKnowledge = 1 - float64(demand.RefreshEvery)/float64(objective)
+// requiredShare is the share of the best possible result that must be reached: what nodes know of each other is up to 50
+// ms old and the objective is 300 ms, so a sixth may be lost to that.
+const requiredShare = 1 - float64(demand.RefreshEvery)/float64(objective)
 
 var patterns = []pattern{
-	{name: "peak over items at a third of the runners", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, at: 24},
-	{name: "the same with 45 runners and 81 fronts", runners: 45, fronts: 81, perSecond: 330, leftItems: 100, leftOnline: 10, at: 15},
+	{name: "peak over items at a third of the runners", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, affectedRunners: 24},
+	{name: "the same with 45 runners and 81 fronts", runners: 45, fronts: 81, perSecond: 330, leftItems: 100, leftOnline: 10, affectedRunners: 15},
 	{name: "peak over requests and items everywhere", runners: 72, fronts: 58, perSecond: 485, leftItems: 150, leftOnline: 300},
 	{name: "calm over items everywhere", runners: 45, fronts: 81, perSecond: 80, leftItems: 250},
 	{name: "peak over nothing", runners: 72, fronts: 58, perSecond: 485},
-	{name: "the owners start .3 s late", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, at: 24, ownersLate: 300 * time.Millisecond},
+	{name: "the owners start .3 s late", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, affectedRunners: 24, ownersLate: 300 * time.Millisecond},
 }
 
-// scarce are those in which items have so many places that the rest is too little for the peak.
+// scarce are the patterns in which items use so many slots that the rest is too little for the peak.
 var scarce = []pattern{
 	{name: "peak over items everywhere", runners: 72, fronts: 58, perSecond: 485, leftItems: 390, leftOnline: 40},
 	{name: "every place is an item's", runners: 72, fronts: 58, perSecond: 485, leftItems: 576},
 	{name: "fewer runners, more fronts", runners: 45, fronts: 81, perSecond: 386, leftItems: 250, leftOnline: 60},
 }
 
-// TestWhatCanBeInTimeAfterACommonLossIs plays the load and holds it against the most that anybody could have answered in time.
-func TestWhatCanBeInTimeAfterACommonLossIs(t *testing.T) { holdAgainstMost(t, patterns) }
+// TestOnTimeAfterSimultaneousRestart simulates the load and compares the result with the best possible one.
+func TestOnTimeAfterSimultaneousRestart(t *testing.T) { compareWithBest(t, patterns) }
 
-// TestScarcePlacesAfterACommonLossAreUsed does the same where the places that orphans leave are too few.
-func TestScarcePlacesAfterACommonLossAreUsed(t *testing.T) { holdAgainstMost(t, scarce) }
+// TestOnTimeWithScarceSlotsAfterSimultaneousRestart does the same for patterns in which orphaned runs leave too few
+// slots.
+func TestOnTimeWithScarceSlotsAfterSimultaneousRestart(t *testing.T) { compareWithBest(t, scarce) }
 
-func holdAgainstMost(t *testing.T, patterns []pattern) {
+func compareWithBest(t *testing.T, patterns []pattern) {
 	t.Helper()
 	for _, p := range patterns {
 		t.Run(p.name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				inTime, bound := inTimeOf(p, seed)
-				t.Logf("seed %d: %d in time, %d possible", seed, inTime, bound)
-				assert.Assert(t, float64(inTime) >= fromKnowledge*float64(bound), "seed %d: %d in time, %d possible", seed, inTime, bound)
+				onTime, bound := onTimeOf(p, seed)
+				t.Logf("seed %d: %d on time, %d possible", seed, onTime, bound)
+				assert.Assert(t, float64(onTime) >= requiredShare*float64(bound), "seed %d: %d on time, %d possible", seed, onTime, bound)
 			}
 		})
 	}
 }
 
-// inTimeOf plays a pattern. It returns how many requests were in time, and how many could have been.
-func inTimeOf(p pattern, seed uint64) (inTime, bound int) {
+// onTimeOf simulates a pattern. It returns how many requests were on time, and how many could have been.
+func onTimeOf(p pattern, seed uint64) (onTime, bound int) {
 	m := newModel(p, seed)
 	m.run()
-	return m.inTime(), most(p, seed, m.arrived())
+	return m.onTime(), bestPossible(p, seed, m.arrived())
 }
--- a/internal/orphans/orphans_test.go
+++ b/internal/orphans/orphans_test.go
@@ -14,7 +14,7 @@
 
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestFirstReportCountsAllThatNobodyTold reads a runner before nodes sent it anything.
+// TestFirstReportCountsAllThatNobodyTold reads a runner before any node has sent it anything.
 func TestFirstReportCountsAllThatNobodyTold(t *testing.T) {
 	var count orphans.Count
 	assert.Equal(t, count.Runs(start), 0)
@@ -24,21 +24,23 @@
 	assert.Assert(t, !count.Gone())
 }
 
-// TestOldReportIsHeldAgainstWhatWasKnownThen has requests sent right before a report is read: they are not in it, and hide no orphan.
+// TestOldReportIsHeldAgainstWhatWasKnownThen has requests sent right before a report is read: the report does not contain
+// them, and they must not hide orphaned runs.
 func TestOldReportIsHeldAgainstWhatWasKnownThen(t *testing.T) {
 	var count orphans.Count
 	count.Know(0, start)
 	count.Read(6, start)
 	count.Know(2, after(150))
 	count.Read(6, after(200))
-	assert.Equal(t, count.Runs(after(200)), 6, "two requests of the last 50 ms hid orphans")
+	assert.Equal(t, count.Runs(after(200)), 6, "two requests of the last 50 ms hid orphaned runs")
 	count.Know(4, after(350))
 	count.Read(8, after(400))
 	assert.Equal(t, count.Runs(after(400)), 6)
 }
 
-// TestRequestsThatAreToldLateAreNoOrphans has nodes tell of six requests after they were read as orphans, for the first time: they are none
-// from then on, and the two readings after that, by reports that were made before, bring none of them back and hide none of the others.
+// TestRequestsThatAreToldLateAreNoOrphans has nodes report six requests for the first time after these were read as
+// orphaned: from then on they do not count as orphaned, and the two following readings, of reports made before, neither
+// bring any of them back nor hide the other orphaned runs.
 func TestRequestsThatAreToldLateAreNoOrphans(t *testing.T) {
 	for name, read := range map[string]bool{"after a reading": true, "before any": false} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +61,8 @@
 	}
 }
 
-// TestOneReportProvesNoEnd has a report that was made before the requests told of came to the runner. The count falls with the next one.
+// TestOneReportProvesNoEnd has a report that was made before the reported requests reached the runner. The count falls
+// with the next report.
 func TestOneReportProvesNoEnd(t *testing.T) {
 	var count orphans.Count
 	count.Read(6, start)
@@ -69,8 +72,8 @@
 	assert.Equal(t, count.Runs(after(400)), 4)
 }
 
-// TestOrphansNeverGrow draws reports and what is known: the count is never negative, never more than the first report showed, and never
-// rises; it is gone once two reports in a row show nothing beyond what is known.
+// TestOrphansNeverGrow draws reports and accounted work: the count is never negative and never exceeds the first report,
+// and it is gone once two reports in a row show nothing beyond the accounted work.
 func TestOrphansNeverGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var count orphans.Count
@@ -92,9 +95,10 @@
 			}
 			most := last
 			if runs > most {
-				t.Fatalf("%d orphans after %d", runs, last)
+				t.Fatalf("%d orphaned runs after %d", runs, last)
 			}
-			// Between readings the count fades, and the next one may show as many as before: the bound is the first report's.
+			// Between readings the count decays, and the next reading may restore it: the bound is that of the first
+			// report.
 		}
 		count.Know(3, now)
 		now = now.Add(time.Second)
@@ -105,18 +109,19 @@
 	})
 }
 
-// TestRunnerThatIsNotReadAnyMoreIsFreeAgain: a runner that cannot be read must not be passed over for longer than what a node told
-// counts.
+// TestRunnerThatIsNotReadAnyMoreIsFreeAgain guards against avoiding a runner that cannot be read for longer than a node's
+// report is valid.
 func TestRunnerThatIsNotReadAnyMoreIsFreeAgain(t *testing.T) {
 	var count orphans.Count
 	count.Read(8, start)
-	assert.Equal(t, count.Runs(after(400)), 8, "a single reading that fails frees nothing")
+	assert.Equal(t, count.Runs(after(400)), 8, "a single failed reading frees nothing")
 	assert.Equal(t, count.Runs(after(1000)), 4)
 	assert.Equal(t, count.Runs(after(1500)), 0)
 }
 
-// TestOneNodeThatLivedShowsThatNothingWasLost draws the ages that nodes tell to one that has just started. All of them within three
-// seconds of its own: it goes on looking. One that has lived longer, or does not say: it looks for nothing any more.
+// TestOneNodeThatLivedShowsThatNothingWasLost draws the uptimes that nodes report to one that has just started. While all
+// are at most three seconds above its own, it keeps looking for orphaned runs. Once a node has been up longer, or does
+// not say, it stops.
 func TestOneNodeThatLivedShowsThatNothingWasLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var watch orphans.Watch
@@ -133,16 +138,17 @@
 	})
 }
 
-// TestNothingIsLookedForLong: the longest run is over, and what is still there belongs to somebody who tells nothing.
-func TestNothingIsLookedForLong(t *testing.T) {
+// TestWatchEndsAfterPeriod guards against looking for orphaned runs for too long: by then the longest run has ended, and
+// what is still there belongs to a node that does not report.
+func TestWatchEndsAfterPeriod(t *testing.T) {
 	var watch orphans.Watch
 	assert.Assert(t, !watch.Open(start))
 	watch.Begin(start)
 	assert.Assert(t, watch.Open(after(9999)) && !watch.Settling(after(1000)) && !watch.Open(after(10000)))
 }
 
-// TestEndThatIsToldLateIsNoOrphans has a request end at the runner at 0 that is told at 40 ms, and the runner read each 15 ms: in several
-// readings in a row it has one less than is known.
+// TestEndThatIsToldLateIsNoOrphans has a request end at the runner at 0 and be reported at 40 ms, while the runner is
+// read every 15 ms: in several readings in a row it has one run less than is accounted for.
 func TestEndThatIsToldLateIsNoOrphans(t *testing.T) {
 	var count orphans.Count
 	for ms := -150; ms <= 300; ms += 15 {
--- a/internal/orphans/ration.go
+++ b/internal/orphans/ration.go
@@ -9,57 +9,61 @@
 )
 
 const (
-	// grantFor is how long a place is kept for a node that was granted it and tells nothing more: a node with requests that wait tells each
-	// 50 ms.
-	grantFor = 100 * time.Millisecond
-	// urgentPart of the nodes that wait may have less time left than one that is granted a place. Fewer would leave places idle until
-	// those ask again, more would let requests run out of time while younger ones are served. No single node holds up all others.
-	urgentPart = 0.5
+	// grantTTL is how long slots are reserved for a node that was granted them and does not report again: a node with
+	// waiting requests reports every 50 ms.
+	grantTTL = 100 * time.Millisecond
+	// urgentShare is the share of the waiting nodes that may have less time left than a node that is granted a slot. With
+	// a smaller share slots would be idle until those nodes ask again; with a larger one requests would miss their
+	// deadline while newer ones are served. No single node can block all others.
+	urgentShare = 0.5
 )
 
-// Wait is what a node tells of its requests for one service that have no place.
+// Wait is a node's report of its requests for one service that have no slot.
 type Wait struct {
-	// OnTime are those that can still be answered within their objective, Late the others.
+	// OnTime is the number of requests that can still be answered within their objective, Late that of the others.
 	OnTime, Late int
-	// Until is the moment at which the first of OnTime runs out of time.
+	// Until is the earliest deadline of the OnTime requests.
 	Until time.Time
 }
 
-// Place is a runner of the owner. Free are its places without requests and orphans, Items the owner's items there, which step aside.
+// Place is a runner of the owner. Free is its number of slots without requests and orphaned runs, Items the number of the
+// owner's items there, which can be preempted.
 type Place struct {
 	Runner               ident.Incarnation
 	Service              string
 	Free, Items, Orphans int
 }
 
-// Granted is what a node may begin at a runner: so many requests, also such that are late where Late is set.
+// Granted is what a node may start at a runner: the number of requests, including late ones if Late is set.
 type Granted struct {
 	Places int
 	Late   bool
 }
 
-// waiter is one node and what it last told.
+// waiter is the last report of one node.
 type waiter struct {
 	at    time.Time
 	waits map[string]Wait
 }
 
-// grant are places of a runner that are kept for a node.
+// grant is a number of slots of a runner that are reserved for a node.
 type grant struct {
 	node   ident.Node
 	runner ident.Incarnation
-	places int
+	slots  int
 	until  time.Time
 }
 
-// Ration gives out the free places of an owner's runners where orphans leave fewer than there are nodes: each place is granted to one node, which
-// asks for it with its report. Without it all nodes send to the same place as it comes free. The zero Ration has granted nothing.
+// Ration distributes the free slots of an owner's runners while orphaned runs leave fewer slots than there are nodes:
+// each slot is granted to one node, which asks for it with its report. Without it all nodes would send a request to the
+// same slot as soon as it is free. The zero Ration has no grants.
 type Ration struct {
 	waiters map[ident.Node]waiter
 	grants  []grant
 }
 
-// Take notes what a node tells. Its grants end: what it sent on them is part of the work that it tells, and what it did not is asked for anew.
+// Take records a node's report. Its earlier grants end: requests that it sent on them are part of the work that it
+// reports, and unused ones are requested again.
 func (r *Ration) Take(node ident.Node, waits map[string]Wait, now time.Time) {
 	if r.waiters == nil {
 		r.waiters = map[ident.Node]waiter{}
@@ -68,45 +72,47 @@
 	if len(waits) > 0 {
 		r.waiters[node] = waiter{at: now, waits: waits}
 	}
-	kept := r.grants[:0]
+	reserved := r.grants[:0]
 	for _, given := range r.grants {
 		if given.node != node && given.until.After(now) {
-			kept = append(kept, given)
+			reserved = append(reserved, given)
 		}
 	}
-	r.grants = kept
+	r.grants = reserved
 }
 
-// Grant gives a node that has just told what waits there its part of some runners' places, given how many nodes tell of work. It returns how
-// many requests the node may begin at each runner that is rationed; the others it chooses among as always.
-func (r *Ration) Grant(node ident.Node, places []Place, nodes int, now time.Time) map[ident.Incarnation]Granted {
-	scarce := scarceAt(places, nodes)
+// Grant grants a node that has just reported its waiting requests its share of the slots of some runners, given the
+// number of nodes that report work. It returns how many requests the node may start at each rationed runner; it chooses
+// among the other runners as usual.
+func (r *Ration) Grant(node ident.Node, slots []Place, nodes int, now time.Time) map[ident.Incarnation]Granted {
+	scarce := scarceServices(slots, nodes)
 	if len(scarce) == 0 {
 		return nil
 	}
-	kept, left, late := r.keptFor(now), map[string]int{}, map[string]bool{}
+	reserved, left, late := r.reservedSlots(now), map[string]int{}, map[string]bool{}
 	for service, wait := range r.waiters[node].waits {
-		left[service], late[service] = r.entitled(node, service, wait, now)
+		left[service], late[service] = r.entitlement(node, service, wait, now)
 	}
 	granted := map[ident.Incarnation]Granted{}
-	for _, place := range emptiestFirst(places) {
+	for _, place := range byIdleSlots(slots) {
 		if !scarce[place.Service] {
 			continue
 		}
-		given := max(min(place.Free-kept[place.Runner], left[place.Service]), 0)
+		given := max(min(place.Free-reserved[place.Runner], left[place.Service]), 0)
 		granted[place.Runner] = Granted{Places: given, Late: given > 0 && late[place.Service]}
 		if given > 0 {
 			left[place.Service] -= given
-			r.grants = append(r.grants, grant{node: node, runner: place.Runner, places: given, until: now.Add(grantFor)})
+			r.grants = append(r.grants, grant{node: node, runner: place.Runner, slots: given, until: now.Add(grantTTL)})
 		}
 	}
 	return granted
 }
 
-// scarceAt returns the services of which runners have orphans and all together fewer free places than there are nodes.
-func scarceAt(places []Place, nodes int) map[string]bool {
+// scarceServices returns the services whose runners have orphaned runs and together fewer free slots than there are
+// nodes.
+func scarceServices(slots []Place, nodes int) map[string]bool {
 	free, orphans := map[string]int{}, map[string]int{}
-	for _, place := range places {
+	for _, place := range slots {
 		free[place.Service] += max(place.Free, 0)
 		orphans[place.Service] += place.Orphans
 	}
@@ -119,18 +125,18 @@
 	return scarce
 }
 
-// emptiestFirst orders runners by the places that neither requests nor items have.
-func emptiestFirst(places []Place) []Place {
-	return slices.SortedStableFunc(slices.Values(places), func(first, second Place) int {
+// byIdleSlots orders runners by the number of slots used by neither requests nor items, largest first.
+func byIdleSlots(slots []Place) []Place {
+	return slices.SortedStableFunc(slices.Values(slots), func(first, second Place) int {
 		return cmp.Compare(second.Free-second.Items, first.Free-first.Items)
 	})
 }
 
-// Pressed says whether requests wait at any node that can be on time.
+// Pressed reports whether requests that can still be on time wait at any node.
 func (r *Ration) Pressed(now time.Time) bool {
-	for _, told := range r.waiters {
-		for service := range told.waits {
-			if told.waitsOnTime(service, now) {
+	for _, waiter := range r.waiters {
+		for service := range waiter.waits {
+			if waiter.hasOnTimeRequests(service, now) {
 				return true
 			}
 		}
@@ -138,38 +144,39 @@
 	return false
 }
 
-// waitsOnTime says whether requests for a service that can be on time wait at the node, as far as it told lately.
-func (w waiter) waitsOnTime(service string, now time.Time) bool {
+// hasOnTimeRequests reports whether requests for a service that can still be on time wait at the node, by a recent
+// report.
+func (w waiter) hasOnTimeRequests(service string, now time.Time) bool {
 	wait := w.waits[service]
-	return wait.OnTime > 0 && now.Sub(w.at) <= grantFor && (wait.OnTime > 1 || !now.After(wait.Until))
+	return wait.OnTime > 0 && now.Sub(w.at) <= grantTTL && (wait.OnTime > 1 || !now.After(wait.Until))
 }
 
-// keptFor is how many places of each runner are granted.
-func (r *Ration) keptFor(now time.Time) map[ident.Incarnation]int {
-	kept := map[ident.Incarnation]int{}
+// reservedSlots returns how many slots of each runner are granted.
+func (r *Ration) reservedSlots(now time.Time) map[ident.Incarnation]int {
+	reserved := map[ident.Incarnation]int{}
 	for _, given := range r.grants {
 		if given.until.After(now) {
-			kept[given.runner] += given.places
+			reserved[given.runner] += given.slots
 		}
 	}
-	return kept
+	return reserved
 }
 
-// entitled is how many places a node may have: for all its requests that can be on time, unless too many nodes have less time
-// left, and for those that are late where nobody waits for whom a place is of more use.
-func (r *Ration) entitled(node ident.Node, service string, wait Wait, now time.Time) (places int, late bool) {
+// entitlement returns how many slots a node may have: one for each request that can still be on time, unless too many
+// nodes have less time left, and for its late requests only if no other node has requests that can still be on time.
+func (r *Ration) entitlement(node ident.Node, service string, wait Wait, now time.Time) (slots int, late bool) {
 	waiting, earlier := 1, 0
-	for other, told := range r.waiters {
-		if other == node || !told.waitsOnTime(service, now) {
+	for other, waiter := range r.waiters {
+		if other == node || !waiter.hasOnTimeRequests(service, now) {
 			continue
 		}
 		waiting++
-		if told.waits[service].Until.Before(wait.Until) {
+		if waiter.waits[service].Until.Before(wait.Until) {
 			earlier++
 		}
 	}
 	switch {
-	case wait.OnTime > 0 && float64(earlier) <= urgentPart*float64(waiting):
+	case wait.OnTime > 0 && float64(earlier) <= urgentShare*float64(waiting):
 		return wait.OnTime, false
 	case wait.OnTime == 0 && waiting == 1:
 		return wait.Late, true
--- a/internal/orphans/ration_test.go
+++ b/internal/orphans/ration_test.go
@@ -12,10 +12,10 @@
 	"mallowlatch.example/mallowlatch/internal/orphans"
 )
 
-// many is more nodes than any of these tests has places.
-const many = 100
+// manyNodes is more nodes than any of these tests has slots.
+const manyNodes = 100
 
-// waits is what a node tells that has requests for service s, of which the first runs out of time after a while.
+// waits is the report of a node with waiting requests for service s, of which the first reaches its deadline after left.
 func waits(onTime, late int, left time.Duration, now time.Time) map[string]orphans.Wait {
 	return map[string]orphans.Wait{"s": {OnTime: onTime, Late: late, Until: now.Add(left)}}
 }
@@ -24,24 +24,25 @@
 	return []orphans.Place{{Runner: "a", Service: "s", Free: free, Orphans: 8 - free}}
 }
 
-// ask has a node tell what waits there, and returns what it is granted at runner a.
+// ask has a node report its waiting requests, and returns what it is granted at runner a.
 func ask(r *orphans.Ration, node ident.Node, told map[string]orphans.Wait, free int, now time.Time) orphans.Granted {
 	r.Take(node, told, now)
-	return r.Grant(node, placesAt(free), many, now)["a"]
+	return r.Grant(node, placesAt(free), manyNodes, now)["a"]
 }
 
-// TestPlaceThatComesFreeIsOneNodes has two nodes ask for the only place: the first one gets it, the other one as soon as the first does
-// not keep it, because it told that nothing waits any more or told nothing for longer than a node that waits does.
-func TestPlaceThatComesFreeIsOneNodes(t *testing.T) {
+// TestFreedSlotIsGrantedToOneNode has two nodes ask for the only slot: the first one gets it, the other one as soon as
+// the first no longer reserves it, because it reported that nothing waits any more or has not reported for longer than a
+// node with waiting requests does.
+func TestFreedSlotIsGrantedToOneNode(t *testing.T) {
 	now := start
 	var ration orphans.Ration
 	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Places, 1)
 	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Places, 0)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Places, 1, "what it did not use is asked for anew")
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Places, 1, "an unused grant is requested again")
 	ration.Take("f", nil, now)
 	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Places, 1)
 	later := now.Add(100 * time.Millisecond)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, later), 1, later).Places, 1, "g told nothing since")
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, later), 1, later).Places, 1, "g has not reported since")
 }
 
 // TestLessTimeLeftComesFirst has a node ask while most of the others have less time left, and while half of them do.
@@ -54,11 +55,11 @@
 	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Places, 0)
 	ration.Take("0", nil, now)
 	ration.Take("1", nil, now)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Places, 1, "one node alone holds up no other")
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Places, 1, "one node alone blocks no other")
 }
 
-// TestLateRequestsGetWhatNobodyElseWants has a node with requests that are late alone: it gets places once no other waits for them that can be
-// on time.
+// TestLateRequestsGetWhatNobodyElseWants has a node with late requests only: it gets slots once no other node has waiting
+// requests that can be on time.
 func TestLateRequestsGetWhatNobodyElseWants(t *testing.T) {
 	now := start
 	var ration orphans.Ration
@@ -66,15 +67,16 @@
 	assert.Equal(t, ask(&ration, "f", waits(0, 3, 0, now), 5, now), orphans.Granted{})
 	assert.Assert(t, ration.Pressed(now))
 	now = now.Add(60 * time.Millisecond)
-	assert.Assert(t, !ration.Pressed(now), "the time of what waits at g is over")
+	assert.Assert(t, !ration.Pressed(now), "the deadline of the request at g has passed")
 	assert.Equal(t, ask(&ration, "f", waits(0, 3, 0, now), 5, now), orphans.Granted{Places: 3, Late: true})
 }
 
-// TestPlacesAreRationedOnlyWhereOrphansLeaveFew names when no runner is rationed: without orphans, and with as many free places as nodes.
+// TestPlacesAreRationedOnlyWhereOrphansLeaveFew covers the cases in which no runner is rationed: no orphaned runs, and as
+// many free slots as nodes.
 func TestPlacesAreRationedOnlyWhereOrphansLeaveFew(t *testing.T) {
 	var ration orphans.Ration
 	full := []orphans.Place{{Runner: "a", Service: "s"}, {Runner: "b", Service: "s"}}
-	assert.Equal(t, len(ration.Grant("f", full, many, start)), 0, "all places are requests'")
+	assert.Equal(t, len(ration.Grant("f", full, manyNodes, start)), 0, "all slots are used by requests")
 	few := []orphans.Place{{Runner: "a", Service: "s", Orphans: 4, Free: 4}, {Runner: "b", Service: "s", Free: 2}, {Runner: "c", Service: "other"}}
 	assert.Equal(t, len(ration.Grant("f", few, 6, start)), 0)
 	rationed := ration.Grant("f", few, 7, start)
@@ -94,8 +96,8 @@
 	return p.places
 }
 
-// TestNoPlaceIsGrantedTwice draws nodes that ask, use what they were granted or not, and runs that end. What nodes may use is never more than
-// the places that are free.
+// TestNoPlaceIsGrantedTwice draws nodes that ask, use their grants or not, and runs that end. The slots that nodes may
+// use never exceed the free ones.
 func TestNoPlaceIsGrantedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -117,13 +119,13 @@
 			for _, runner := range runners {
 				places = append(places, orphans.Place{Runner: runner, Service: "s", Free: free[runner], Orphans: 1})
 			}
-			promises[node] = promise{at: now, places: ration.Grant(node, places, many, now)}
+			promises[node] = promise{at: now, places: ration.Grant(node, places, manyNodes, now)}
 			for _, runner := range runners {
 				promised := 0
 				for _, given := range promises {
 					promised += given.usable(now)[runner].Places
 				}
-				assert.Assert(t, promised <= max(free[runner], 0), "%d of %d places of %s", promised, free[runner], runner)
+				assert.Assert(t, promised <= max(free[runner], 0), "%d of %d slots of %s", promised, free[runner], runner)
 			}
 		}
 	})
