--- a/internal/handoff/deliver.go
+++ b/internal/handoff/deliver.go
@@ -126,11 +126,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	held, err := d.Store.Exists(ctx, job)
+	exists, err := d.Store.Exists(ctx, job)
 	if err != nil {
 		return err
 	}
-	if held {
+	if exists {
 		d.drop(summary, "the store has it")
 		return nil
 	}
--- a/internal/handoff/log.go
+++ b/internal/handoff/log.go
@@ -91,7 +91,9 @@
 
 // add adds an entry to the index. The caller holds the mutex or is the only user.
 func (l *Log) add(entry *Entry, size int64) {
-	l.entries[entry.Job] = Summary{Job: entry.Job, Route: entry.Route, Tenant: entry.Tenant, Tokens: entry.Tokens(), Turn: entry.Turn, bytes: size}
+	l.entries[entry.Job] = Summary{
+		Job: entry.Job, Route: entry.Route, Tenant: entry.Tenant, Tokens: entry.Tokens(), Turn: entry.Turn, bytes: size,
+	}
 	l.bytes += size
 }
 
@@ -151,17 +153,17 @@
 func (l *Log) Entries() []Summary {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	kept := make([]Summary, 0, len(l.entries))
+	summaries := make([]Summary, 0, len(l.entries))
 	for _, entry := range l.entries {
-		kept = append(kept, entry)
+		summaries = append(summaries, entry)
 	}
-	slices.SortFunc(kept, func(first, second Summary) int {
+	slices.SortFunc(summaries, func(first, second Summary) int {
 		if first.Turn != second.Turn {
 			return first.Turn - second.Turn
 		}
 		return strings.Compare(string(first.Job), string(second.Job))
 	})
-	return kept
+	return summaries
 }
 
 // Tokens returns the total tokens of a queue's entries.
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -121,7 +121,8 @@
 		a.reservation.Release()
 		return false
 	}
-	a.recordFailure(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait", count.Waiting, tokens, bound).
+	a.recordFailure(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait",
+		count.Waiting, tokens, bound).
 		WithRetryAfter(queueroom.ReturnAfter(count, tokens, bound, rand.Float64())))
 	return false
 }
--- a/internal/jobentry/acceptance_test.go
+++ b/internal/jobentry/acceptance_test.go
@@ -56,7 +56,7 @@
 	return []byte("body"), h.held.Tenant, h.held.Total > 0
 }
 
-// Reserve answers like workers that keep no account of the route, unless the test sets a reservation.
+// Reserve answers like workers that have no account of the route, unless the test sets a reservation.
 func (h *fakeHolders) Reserve(_ context.Context, _ *work.Route, _ *jobrecord.Submission, attempt string) *queueroom.Reservation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -118,7 +118,9 @@
 func TestRouteWithoutABoundAsksForNoRoom(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
-	submission := &jobrecord.Submission{ID: "a", Route: "r", Host: "h", Zone: "z", Items: []work.Item{{ID: "a-0", Path: "/p/x", Tokens: 10, Body: []byte("b")}}}
+	submission := &jobrecord.Submission{ID: "a", Route: "r", Host: "h", Zone: "z", Items: []work.Item{
+		{ID: "a-0", Path: "/p/x", Tokens: 10, Body: []byte("b")},
+	}}
 	assert.NilError(t, desk.Accept(context.Background(), &work.Route{Name: "r"}, submission))
 	assert.Equal(t, len(holders.attempts), 0)
 }
@@ -146,7 +148,7 @@
 }
 
 // TestFullQueueIsToldAtOnce has the account holders answer that the queue is full: the job is written nowhere, its
-// reservation is released, and the caller is told when enough work will have finished. A job that the store has is
+// reservation is released, and the answer says when enough work will have finished. A job that the store has is
 // accepted; for one that another attempt is about to write, the outcome is reported as unknown.
 func TestFullQueueIsToldAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
--- a/internal/orphans/load_test.go
+++ b/internal/orphans/load_test.go
@@ -130,7 +130,10 @@
 func (m *model) moment() time.Time { return start.Add(m.now) }
 
 func newModel(p pattern, seed uint64) *model {
-	m := &model{pattern: p, random: rand.New(rand.NewPCG(seed, 1)), byID: map[ident.Incarnation]*runner{}, counts: map[ident.Incarnation]*orphans.Count{}}
+	m := &model{
+		pattern: p, random: rand.New(rand.NewPCG(seed, 1)), byID: map[ident.Incarnation]*runner{},
+		counts: map[ident.Incarnation]*orphans.Count{},
+	}
 	var listed []work.Runner
 	for index := range p.runners {
 		r := &runner{id: ident.Incarnation(fmt.Sprintf("r-%02d", index))}
@@ -141,7 +144,10 @@
 	m.addLeftRuns(p.leftItems, itemDuration)
 	m.addLeftRuns(p.leftOnline, requestDuration)
 	for index := range p.fronts {
-		f := &front{node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{}, reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshEvery)))}
+		f := &front{
+			node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{},
+			reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshEvery))),
+		}
 		for index := range f.reported {
 			f.reported[index].at = -time.Second
 		}
@@ -267,7 +273,9 @@
 
 // pick sends a request if a runner can accept it.
 func (m *model) pick(f *front, req *request) bool {
-	flight, err := f.table.Pick(runnertable.Wish{Service: "s", Class: runnertable.Online, Full: map[ident.Incarnation]bool{}, Late: m.moment().After(req.waiter.OnTime)}, m.moment(), m.random)
+	flight, err := f.table.Pick(runnertable.Wish{
+		Service: "s", Class: runnertable.Online, Full: map[ident.Incarnation]bool{}, Late: m.moment().After(req.waiter.OnTime),
+	}, m.moment(), m.random)
 	if errors.Is(err, runnertable.ErrFull) || errors.Is(err, runnertable.ErrNoRunner) {
 		return false
 	}
@@ -501,7 +509,10 @@
 	{name: "peak over requests and items everywhere", runners: 72, fronts: 58, perSecond: 485, leftItems: 150, leftOnline: 300},
 	{name: "calm over items everywhere", runners: 45, fronts: 81, perSecond: 80, leftItems: 250},
 	{name: "peak over nothing", runners: 72, fronts: 58, perSecond: 485},
-	{name: "the owners start .3 s late", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, affectedRunners: 24, ownersLate: 300 * time.Millisecond},
+	{
+		name: "the owners start .3 s late", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10,
+		affectedRunners: 24, ownersLate: 300 * time.Millisecond,
+	},
 }
 
 // scarce are the patterns in which items use so many slots that the rest is too little for the peak.
