--- a/internal/batchroom/gauge.go
+++ b/internal/batchroom/gauge.go
@@ -1,5 +1,5 @@
-// Package batchroom decides how much batch work one runner may carry beside its online work, and how much must step
-// aside at once. It is pure: reports and times go in, counts come out.
+// Package batchroom decides how much batch work one runner may run beside its online work, and how many batch items must
+// be preempted at once. It is pure: reports and times go in, counts come out.
 package batchroom
 
 import (
@@ -10,73 +10,72 @@
 )
 
 const (
-	// window is how long the online work that was seen is kept room for: online work comes in bursts.
-	window = 600 * time.Millisecond
-	// reportMemory is how long a report is believed.
-	reportMemory = time.Second
-	// reservedShare of a runner's places is kept free for online work that comes before the next report; at least
-	// smallestReserve places.
-	reservedShare   = 0.12
-	smallestReserve = 2
-	// keptShare of the places of all runners of an owner is kept free where nodes tell of their online work: they choose
-	// among the runners, so that a free place is needed somewhere and not at each, and a place is cleared within milliseconds
-	// of a request; with none, each request would break off a run. It is about one place of 17, as was kept at each runner
-	// with that many; no other share was tried.
-	keptShare = 0.06
-	// briefQueue is how many requests may wait in one report before any batch steps aside.
-	briefQueue = 0
-	// blindRoom is how much batch work a runner may carry while nothing is known of it.
-	blindRoom = 1
+	// sampleWindow is how long observed online work counts towards the slots left to it: online work comes in bursts.
+	sampleWindow = 600 * time.Millisecond
+	// maxReportAge is how long a report is valid.
+	maxReportAge = time.Second
+	// reservedShare is the share of a runner's slots that is left free for online work that arrives before the next
+	// report; at least minReserve slots.
+	reservedShare = 0.12
+	minReserve    = 2
+	// ownerReserveShare is the share of the slots of all runners of an owner that is left free if nodes report their
+	// online work: they choose among the runners, so a free slot is needed somewhere, not at each runner, and a slot is
+	// cleared within milliseconds of a request. Without the reserve each request would preempt a run. It is about one
+	// slot in 17, the same as was reserved at each runner with that many slots; no other share was tried.
+	ownerReserveShare = 0.06
+	// toleratedQueue is how many requests may wait in one report before any batch item is preempted.
+	toleratedQueue = 0
+	// blindLimit is how many batch items a runner may run while no report of it is valid.
+	blindLimit = 1
 )
 
-// sample is the work of others seen at one time, and how much of it nodes had told of.
+// sample is the work of others seen at one time, and how much of it nodes had reported.
 type sample struct {
-	at     time.Time
-	others int
-	told   int
+	at       time.Time
+	others   int
+	reported int
 }
 
-// Gauge follows one runner. The zero Gauge knows nothing.
+// Gauge tracks one runner. The zero Gauge has no reports.
 type Gauge struct {
 	samples []sample
 	// waiting is the number of requests that waited at the runner in the newest report, waitedBefore in the one before.
 	waiting, waitedBefore int
-	// acted says that the newest report was acted on.
-	acted bool
-	last  time.Time
+	// handled is true once the newest report was acted on.
+	handled bool
+	last    time.Time
 }
 
-// Observe takes in a report. own is the batch work this node had at the runner when the report was made, told the online
-// work there that nodes have told of.
-func (g *Gauge) Observe(load work.Load, own, told int, now time.Time) {
+// Observe records a report. own is the number of this node's batch items at the runner when the report was made, reported
+// the online work there that nodes had reported.
+func (g *Gauge) Observe(load work.Load, own, reported int, now time.Time) {
 	g.last = now
-	g.samples = append(g.samples, sample{at: now, others: max(load.Running+load.Waiting-own, 0), told: told})
-	for len(g.samples) > 1 && now.Sub(g.samples[0].at) > window {
+	g.samples = append(g.samples, sample{at: now, others: max(load.Running+load.Waiting-own, 0), reported: reported})
+	for len(g.samples) > 1 && now.Sub(g.samples[0].at) > sampleWindow {
 		g.samples = g.samples[1:]
 	}
-	g.waitedBefore, g.waiting, g.acted = g.waiting, load.Waiting, false
+	g.waitedBefore, g.waiting, g.handled = g.waiting, load.Waiting, false
 }
 
-// Told is the online work at a runner that nodes tell of.
+// Told is the online work at a runner as reported by nodes.
 type Told struct {
 	Online int
-	// Any says that nodes tell of their work at all, so that no work is told of where there is none.
+	// Any is true if nodes report their work at all, so that no reported work means that there is none.
 	Any bool
-	// Orphans are the runs there that no living node tells of.
+	// Orphans is the number of orphaned runs there.
 	Orphans int
 }
 
-// Kept returns how many places an owner keeps free of all that its runners have together, where nodes tell of their online
-// work.
-func Kept(slots int) int { return int(math.Ceil(keptShare * float64(slots))) }
+// Kept returns how many slots of all its runners together an owner leaves free if nodes report their online work.
+func Kept(slots int) int { return int(math.Ceil(ownerReserveShare * float64(slots))) }
 
-// others is the work of others that room is kept for. What nodes tell is newer than any report; what reports show beyond it
-// all the time (work of nodes that tell nothing, or are gone) is added. Where nothing is told, it is the mean of the window
-// or the newest count, whichever is more: the most seen in the window would be far more than the mean at every runner, by
-// chance alone.
-func (g *Gauge) others(told Told) int {
-	if told.Any {
-		return told.Online + max(g.untold(), told.Orphans)
+// others returns the work of others to leave slots for. What nodes report is newer than any report of the runner; the
+// work that all runner reports show beyond it (of nodes that do not report, or are gone) is added. If nodes report
+// nothing, it is the mean of the window or the newest count, whichever is larger: the maximum of the window would be far
+// above the mean at every runner, by chance alone.
+func (g *Gauge) others(reported Told) int {
+	if reported.Any {
+		return reported.Online + max(g.unreported(), reported.Orphans)
 	}
 	if len(g.samples) == 0 {
 		return 0
@@ -89,12 +88,12 @@
 	return max(mean, g.samples[len(g.samples)-1].others)
 }
 
-// untold is the least work that the reports of the window show beyond what was told: a report is older than what is told,
-// so that a single one proves nothing.
-func (g *Gauge) untold() int {
+// unreported returns the least work that the reports of the window show beyond what nodes reported: a runner's report is
+// older than the nodes' reports, so a single one proves nothing.
+func (g *Gauge) unreported() int {
 	least := 0
 	for position, seen := range g.samples {
-		beyond := max(seen.others-seen.told, 0)
+		beyond := max(seen.others-seen.reported, 0)
 		if position == 0 || beyond < least {
 			least = beyond
 		}
@@ -102,40 +101,41 @@
 	return least
 }
 
-// Blind says whether no report of the runner is new enough to be believed.
-func (g *Gauge) Blind(now time.Time) bool { return now.Sub(g.last) > reportMemory }
+// Blind reports whether no report of the runner is recent enough to be valid.
+func (g *Gauge) Blind(now time.Time) bool { return now.Sub(g.last) > maxReportAge }
 
-// Room returns how many batch items more the runner may take beside the own ones it has. told is the online work there
-// that nodes tell of now; where they do, its owner keeps places free over all its runners.
-func (g *Gauge) Room(slots, own int, told Told, now time.Time) int {
+// Room returns how many more batch items the runner may run beside own, those it has. reported is the online work that
+// nodes report now; if they do, the owner leaves slots free over all its runners, not at each.
+func (g *Gauge) Room(slots, own int, reported Told, now time.Time) int {
 	if g.Blind(now) {
-		return max(blindRoom-own, 0)
+		return max(blindLimit-own, 0)
 	}
 	if g.waiting > 0 {
 		return 0
 	}
-	reserve := max(int(reservedShare*float64(slots)+0.5), smallestReserve)
-	if told.Any {
+	reserve := max(int(reservedShare*float64(slots)+0.5), minReserve)
+	if reported.Any {
 		reserve = 0
 	}
-	return max(slots-reserve-g.others(told)-own, 0)
+	return max(slots-reserve-g.others(reported)-own, 0)
 }
 
-// Excess returns how many of the own batch items must step aside for the online work that nodes tell of now: those that
-// do not fit beside it. They do so before a request waits.
-func Excess(slots, own, told int) int {
-	return min(max(told+own-slots, 0), own)
+// Excess returns how many of the own batch items must be preempted for the online work that nodes report now: those that
+// do not fit beside it. They are preempted before a request has to wait.
+func Excess(slots, own, reported int) int {
+	return min(max(reported+own-slots, 0), own)
 }
 
-// Yield returns how many of the own batch items must step aside, because requests wait at the runner. Online requests
-// are short, so that a few that wait for the first time find places by themselves sooner than a place is cleared. Each
-// report is acted on once.
+// Yield returns how many of the own batch items must be preempted because requests wait at the runner. The first report with
+// waiting requests preempts one item for each of them beyond toleratedQueue, each further one in a row one item for every two.
+// Online requests are short, so a few that wait for the first time find slots by themselves sooner than a slot can be cleared;
+// toleratedQueue is how many. Each report is acted on once.
 func (g *Gauge) Yield(own int) int {
-	if g.acted {
+	if g.handled {
 		return 0
 	}
-	g.acted = true
-	yield := g.waiting - briefQueue
+	g.handled = true
+	yield := g.waiting - toleratedQueue
 	if g.waitedBefore > 0 {
 		yield = (g.waiting + 1) / 2
 	}
--- a/internal/batchroom/gauge_test.go
+++ b/internal/batchroom/gauge_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// TestBatchNeverTakesTheLastPlaces draws reports: what is given out beside what runs leaves places for online work.
+// TestBatchNeverTakesTheLastPlaces draws reports: the batch items allowed beside the running work leave slots for online
+// work.
 func TestBatchNeverTakesTheLastPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gauge batchroom.Gauge
@@ -31,7 +32,7 @@
 			assert.Assert(t, room >= 0)
 			if room > 0 {
 				assert.Equal(t, load.Waiting, 0)
-				assert.Assert(t, load.Running+room <= slots-2, "%d run, %d more are given out, %d places", load.Running, room, slots)
+				assert.Assert(t, load.Running+room <= slots-2, "%d run, %d more are allowed, %d slots", load.Running, room, slots)
 			}
 			yield := gauge.Yield(own)
 			assert.Assert(t, yield >= 0 && yield <= min(own, load.Waiting))
@@ -54,11 +55,11 @@
 	assert.Equal(t, gauge.Room(10, 1, batchroom.Told{}, start), 0)
 	gauge.Observe(work.Load{Slots: 10}, 0, 0, start)
 	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start), 8)
-	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start.Add(5*time.Second)), 1, "an old report is still believed")
+	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start.Add(5*time.Second)), 1, "an old report is still valid")
 }
 
-// TestRoomFollowsTheMeanOfOnlineWork has the online work of one runner vary by chance, as it does all the time: the highest
-// count lately is not what is kept room for, but the newest count always is.
+// TestRoomFollowsTheMeanOfOnlineWork has the online work of one runner vary by chance, as it always does: slots are not
+// left free for the highest recent count, but always for the newest one.
 func TestRoomFollowsTheMeanOfOnlineWork(t *testing.T) {
 	var gauge batchroom.Gauge
 	now := start
@@ -71,32 +72,33 @@
 	assert.Equal(t, gauge.Room(12, 0, batchroom.Told{}, now), 12-2-9)
 }
 
-func told(online int) batchroom.Told { return batchroom.Told{Online: online, Any: true} }
+func reported(online int) batchroom.Told { return batchroom.Told{Online: online, Any: true} }
 
-// TestToldWorkIsNewerThanReports has nodes tell of their online work: room follows it at once, and what all reports of the
-// window show beyond it is added. The places kept free are the owner's matter, over all its runners.
+// TestToldWorkIsNewerThanReports has nodes report their online work: the free capacity follows it at once, and what all
+// runner reports of the window show beyond it is added. The slots left free are reserved by the owner, over all its
+// runners.
 func TestToldWorkIsNewerThanReports(t *testing.T) {
 	var gauge batchroom.Gauge
 	gauge.Observe(work.Load{Running: 7, Slots: 8}, 3, 4, start)
-	assert.Equal(t, gauge.Room(8, 3, told(4), start), 1)
-	assert.Equal(t, gauge.Room(8, 3, told(5), start), 0)
-	assert.Equal(t, gauge.Room(8, 3, told(1), start), 4, "places of requests that ended are given out at once")
-	assert.Equal(t, gauge.Room(8, 3, told(0), start), 5, "no work is told of where there is none")
+	assert.Equal(t, gauge.Room(8, 3, reported(4), start), 1)
+	assert.Equal(t, gauge.Room(8, 3, reported(5), start), 0)
+	assert.Equal(t, gauge.Room(8, 3, reported(1), start), 4, "slots of requests that ended are free at once")
+	assert.Equal(t, gauge.Room(8, 3, reported(0), start), 5, "no reported work means that there is none")
 	assert.Equal(t, batchroom.Excess(8, 3, 5), 0)
-	assert.Equal(t, batchroom.Excess(8, 3, 7), 2, "two items step aside before anything waits")
+	assert.Equal(t, batchroom.Excess(8, 3, 7), 2, "two items are preempted before anything waits")
 	assert.Equal(t, batchroom.Excess(8, 3, 20), 3, "no more than there are")
 	now := start.Add(200 * time.Millisecond)
 	gauge.Observe(work.Load{Running: 8, Slots: 8}, 3, 1, now)
-	assert.Equal(t, gauge.Room(8, 0, told(1), now), 7, "one report is no proof of work that nobody tells of")
+	assert.Equal(t, gauge.Room(8, 0, reported(1), now), 7, "one report is no proof of unreported work")
 	for range 4 {
 		now = now.Add(200 * time.Millisecond)
 		gauge.Observe(work.Load{Running: 8, Slots: 8}, 3, 1, now)
 	}
-	assert.Equal(t, gauge.Room(8, 0, told(1), now), 3, "four requests of a node that tells nothing")
+	assert.Equal(t, gauge.Room(8, 0, reported(1), now), 3, "four requests of a node that does not report")
 }
 
-// TestPlacesKeptFreeFollowThePlaces has owners of few and of many places: one at least, and no more than a part, however
-// few places each runner has.
+// TestPlacesKeptFreeFollowThePlaces has owners with few and with many slots: at least one slot is left free, and at most
+// a share of them, however few slots each runner has.
 func TestPlacesKeptFreeFollowThePlaces(t *testing.T) {
 	assert.Equal(t, batchroom.Kept(0), 0)
 	assert.Equal(t, batchroom.Kept(5), 1)
--- a/internal/endwatch/persist.go
+++ b/internal/endwatch/persist.go
@@ -14,16 +14,17 @@
 	"mallowlatch.example/mallowlatch/internal/poison"
 )
 
-// ErrUnreadable means that the records on the disk cannot be read.
+// ErrUnreadable means that the records on disk cannot be read.
 const ErrUnreadable = failure.Kind("end watch: records unreadable")
 
-// keepEvery parts two writings of the records: in a storm they change some ten times a second.
-const keepEvery = 200 * time.Millisecond
+// writeInterval is the minimum time between two writes of the records: in a failure storm they change some ten times per
+// second.
+const writeInterval = 200 * time.Millisecond
 
-// Keep takes over the records of a file and writes it anew with each change. What is known outlives a loss of power of all nodes
-// then, which would have each request that ends its runners end three more. The ages in the file stand still while no process
-// runs: the time of day may step, and a record that is kept for longer costs little.
-// What cannot be read is learned anew from others.
+// Keep loads the records from a file and rewrites it after changes. The records thus survive a simultaneous restart of
+// all nodes; without them each request that ends its runners would end three more. Ages in the file do not advance while
+// no process runs: the wall clock may step, and retaining a record for longer costs little. Records that cannot be read
+// are obtained again from other nodes.
 func (w *Watch) Keep(path string) {
 	records, err := readRecords(path)
 	if err != nil {
@@ -40,14 +41,14 @@
 			if err := writeRecords(path, w.Book.All(w.Now())); err != nil {
 				event.EndsNotKept.Log(w.Logger).Err(err).Send()
 			}
-			if !w.pause(keepEvery) {
+			if !w.pause(writeInterval) {
 				return nil
 			}
 		}
 	})
 }
 
-// readRecords returns none where there is no file. The error wraps ErrUnreadable.
+// readRecords returns no records if there is no file. The error wraps ErrUnreadable.
 func readRecords(path string) ([]poison.Record, error) {
 	content, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/endwatch/watch.go
+++ b/internal/endwatch/watch.go
@@ -1,5 +1,7 @@
-// Package endwatch finds out whether a runner ended when its answers broke off, and which requests it ran then. A request that
-// ends its runners is told by that from requests whose connections were reset or fell silent, and whose runners live or left.
+// Package endwatch finds out whether a runner ended when its answers broke off, and which requests it was running. This
+// distinguishes requests that end their runners from requests whose connections were reset or went silent while their
+// runners are alive or left as planned. It passes the ends to a book of records, stores these records on disk, and says
+// which requests are refused because of them.
 package endwatch
 
 import (
@@ -18,22 +20,23 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// pauses are those before each question to a runner. Its process may close the connections a moment before its address. What is
-// not known after them all, some five seconds, counts as no end: the registry drops a runner that ended in less.
-var pauses = []time.Duration{
+// probeDelays are the delays before each probe of a runner. A process may close its connections a moment before its
+// listening address. If the result is still unknown after all of them, some five seconds, the runner does not count as
+// ended: the registry drops a runner that ended in less time.
+var probeDelays = []time.Duration{
 	30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond,
 	time.Second, time.Second, time.Second, time.Second,
 }
 
 const (
-	// questionTimeout bounds one question.
-	questionTimeout = 400 * time.Millisecond
-	// remembered is how long an end that was found is kept for requests whose answers break off later.
-	remembered = 10 * time.Second
+	// probeTimeout bounds one probe.
+	probeTimeout = 400 * time.Millisecond
+	// endRetention is how long a detected end is retained for requests whose answers break off later.
+	endRetention = 10 * time.Second
 )
 
-// Watch asks runners whose answers broke off. Its exported fields are set before use; a nil Watch watches nothing. It is safe for
-// concurrent use.
+// Watch probes runners whose answers broke off. Its exported fields are set before use. Refused, Idle, Broken and Learn may be
+// called on a nil Watch, which records nothing. It is safe for concurrent use.
 type Watch struct {
 	Book    *poison.Book
 	Runners *runnertable.Table
@@ -42,128 +45,131 @@
 	Logger  zerolog.Logger
 	Now     func() time.Time
 
-	mutex sync.Mutex
-	cases map[ident.Incarnation]*inquiry
+	mutex          sync.Mutex
+	investigations map[ident.Incarnation]*investigation
 }
 
-// inquiry is about one runner. The watch's mutex guards it.
-type inquiry struct {
+// investigation is the state of one runner. The watch's mutex guards it.
+type investigation struct {
 	runner work.Runner
-	// prints are the requests whose answers broke off there, began is when the first did.
-	prints []poison.Print
-	began  time.Time
-	// ended says that the runner was found to have ended.
+	// fingerprints are the requests whose answers broke off there; startedAt is when the first one did.
+	fingerprints []poison.Print
+	startedAt    time.Time
+	// ended is true if the runner was found to have ended.
 	ended bool
 }
 
-// Refused says whether a request is to be run no more.
-func (w *Watch) Refused(print poison.Print) bool { return w != nil && w.Book.Refused(print) }
+// Refused reports whether a request must not be run any more.
+func (w *Watch) Refused(fingerprint poison.Print) bool {
+	return w != nil && w.Book.Refused(fingerprint)
+}
 
-// Idle says that nothing is known of any request, so that no print is needed.
+// Idle reports whether there are no records of any request, so that no fingerprint is needed.
 func (w *Watch) Idle() bool { return w == nil || w.Book.Empty() }
 
-// Well notes that a runner came to the end of a request.
-func (w *Watch) Well(print poison.Print) { w.Book.Well(print) }
+// Well records that a runner completed a request.
+func (w *Watch) Well(fingerprint poison.Print) { w.Book.Well(fingerprint) }
 
-// Broken notes that a runner's answer to a request broke off or did not come. Where the runner is not known to leave, it is asked
-// whether it lives.
-func (w *Watch) Broken(runner work.Runner, print poison.Print) {
+// Broken records that a runner's answer to a request broke off or did not come. Unless the runner is known to be leaving,
+// it is probed.
+func (w *Watch) Broken(runner work.Runner, fingerprint poison.Print) {
 	if w == nil || w.Runners.Leaving(runner.ID) {
 		return
 	}
 	now := w.Now()
 	w.mutex.Lock()
-	held := w.cases[runner.ID]
-	if held != nil && held.ended {
+	current := w.investigations[runner.ID]
+	if current != nil && current.ended {
 		w.mutex.Unlock()
-		w.note(held, []poison.Print{print}, now)
+		w.recordEnd(current, []poison.Print{fingerprint}, now)
 		return
 	}
 	defer w.mutex.Unlock()
-	if held == nil {
+	if current == nil {
 		if !w.Tomb.Alive() {
 			return
 		}
-		held = &inquiry{runner: runner, began: now}
-		if w.cases == nil {
-			w.cases = map[ident.Incarnation]*inquiry{}
+		current = &investigation{runner: runner, startedAt: now}
+		if w.investigations == nil {
+			w.investigations = map[ident.Incarnation]*investigation{}
 		}
-		w.cases[runner.ID] = held
-		w.Tomb.Go(func() error { w.inquire(held); return nil })
+		w.investigations[runner.ID] = current
+		w.Tomb.Go(func() error { w.investigate(current); return nil })
 	}
-	if !slices.Contains(held.prints, print) {
-		held.prints = append(held.prints, print)
+	if !slices.Contains(current.fingerprints, fingerprint) {
+		current.fingerprints = append(current.fingerprints, fingerprint)
 	}
 }
 
-// inquire asks until it is known whether the runner ended.
-func (w *Watch) inquire(held *inquiry) {
+// investigate probes the runner until it is known whether it ended.
+func (w *Watch) investigate(current *investigation) {
 	found := unknown
-	for _, pause := range pauses {
+	for _, pause := range probeDelays {
 		if !w.pause(pause) {
 			return
 		}
-		if found = w.ask(held.runner); found != unknown {
+		if found = w.probe(current.runner); found != unknown {
 			break
 		}
 	}
 	w.mutex.Lock()
-	prints := held.prints
-	held.ended = found == ended
-	if !held.ended {
-		delete(w.cases, held.runner.ID)
+	fingerprints := current.fingerprints
+	current.ended = found == ended
+	if !current.ended {
+		delete(w.investigations, current.runner.ID)
 	}
 	w.mutex.Unlock()
 	if found == unknown {
-		event.RunnerEndUnknown.Log(w.Logger).Str("runner", string(held.runner.ID)).Int("requests", len(prints)).Send()
+		event.RunnerEndUnknown.Log(w.Logger).Str("runner", string(current.runner.ID)).Int("requests", len(fingerprints)).Send()
 	}
 	if found != ended {
 		return
 	}
-	w.note(held, prints, w.Now())
-	if w.pause(remembered) {
+	w.recordEnd(current, fingerprints, w.Now())
+	if w.pause(endRetention) {
 		w.mutex.Lock()
-		delete(w.cases, held.runner.ID)
+		delete(w.investigations, current.runner.ID)
 		w.mutex.Unlock()
 	}
 }
 
-// ask makes one question. A runner that the list lacks meanwhile has ended too: it was not leaving when its answers broke off.
-func (w *Watch) ask(runner work.Runner) verdict {
-	ctx, cancel := context.WithTimeout(w.Tomb.Context(context.Background()), questionTimeout)
+// probe sends one probe. A runner that has been removed from the list in the meantime has ended too: it was not leaving
+// when its answers broke off.
+func (w *Watch) probe(runner work.Runner) verdict {
+	ctx, cancel := context.WithTimeout(w.Tomb.Context(context.Background()), probeTimeout)
 	defer cancel()
 	_, err := w.Caller.Report(ctx, runner)
-	found := judge(err)
+	found := classify(err)
 	if _, listed := w.Runners.Runner(runner.ID); found == unknown && !listed {
 		return ended
 	}
 	return found
 }
 
-// note has the end of a runner written down under its requests.
-func (w *Watch) note(held *inquiry, prints []poison.Print, now time.Time) {
-	event.RunnerEnded.Log(w.Logger).Str("runner", string(held.runner.ID)).Int("requests", len(prints)).Send()
-	w.tellRefused(w.Book.Ended(held.runner.ID, prints, held.began, now))
+// recordEnd records the end of a runner for its requests.
+func (w *Watch) recordEnd(current *investigation, fingerprints []poison.Print, now time.Time) {
+	event.RunnerEnded.Log(w.Logger).Str("runner", string(current.runner.ID)).Int("requests", len(fingerprints)).Send()
+	w.logRefused(w.Book.Ended(current.runner.ID, fingerprints, current.startedAt, now))
 }
 
-// Learn takes over what another node told. passOn says that this node is to tell others.
+// Learn applies records from another node. If passOn is set, this node passes them on to others.
 func (w *Watch) Learn(records []poison.Record, passOn bool) {
 	if w != nil {
-		w.tellRefused(w.Book.Learn(records, w.Now(), passOn))
+		w.logRefused(w.Book.Learn(records, w.Now(), passOn))
 	}
 }
 
-// tellRefused writes a line for each request that is refused from now on.
-func (w *Watch) tellRefused(prints []poison.Print) {
-	for _, print := range prints {
-		ends, _ := w.Book.Ends(print)
-		event.RequestsRefused.Log(w.Logger).Str("print", string(print)).Int("ends", ends).Send()
+// logRefused logs each request that is refused from now on.
+func (w *Watch) logRefused(fingerprints []poison.Print) {
+	for _, fingerprint := range fingerprints {
+		ends, _ := w.Book.Ends(fingerprint)
+		event.RequestsRefused.Log(w.Logger).Str("print", string(fingerprint)).Int("ends", ends).Send()
 	}
 }
 
-// pause waits and says whether the process goes on.
-func (w *Watch) pause(lasting time.Duration) bool {
-	timer := time.NewTimer(lasting)
+// pause waits and reports whether the process is still running.
+func (w *Watch) pause(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/endwatch/watch_test.go
+++ b/internal/endwatch/watch_test.go
@@ -29,93 +29,94 @@
 	errReplaced = fmt.Errorf("%w: r", work.ErrOtherIncarnation)
 )
 
-// runners answers questions to runners one after the other, the last answer again and again.
-type runners struct {
+// fakeCaller answers probes with a list of results, one after the other, and repeats the last one.
+type fakeCaller struct {
 	answers []error
-	asked   atomic.Int32
+	probes  atomic.Int32
 }
 
-func (r *runners) Report(context.Context, work.Runner) (work.Load, error) {
-	asked := int(r.asked.Add(1))
-	return work.Load{}, r.answers[min(asked, len(r.answers))-1]
+func (r *fakeCaller) Report(context.Context, work.Runner) (work.Load, error) {
+	probes := int(r.probes.Add(1))
+	return work.Load{}, r.answers[min(probes, len(r.answers))-1]
 }
 
-func (r *runners) Send(context.Context, work.Attempt) (*work.Reply, error) { panic("not used") }
+func (r *fakeCaller) Send(context.Context, work.Attempt) (*work.Reply, error) { panic("not used") }
 
-func (r *runners) Forget(work.Runner) {}
+func (r *fakeCaller) Forget(work.Runner) {}
 
 var broken = work.Runner{ID: "r", Service: "s", Zone: "z"}
 
-func newWatch(t *testing.T, answers ...error) (*endwatch.Watch, *runners) {
+func newWatch(t *testing.T, answers ...error) (*endwatch.Watch, *fakeCaller) {
 	table := runnertable.New("z")
 	table.Replace([]work.Runner{broken}, time.Now(), true)
-	asked := &runners{answers: answers}
+	probes := &fakeCaller{answers: answers}
 	watch := &endwatch.Watch{
-		Book: poison.NewBook(1), Runners: table, Caller: asked, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
+		Book: poison.NewBook(1), Runners: table, Caller: probes, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
 	}
-	keptAlive := make(chan struct{})
-	watch.Tomb.Go(func() error { <-keptAlive; return nil })
+	stop := make(chan struct{})
+	watch.Tomb.Go(func() error { <-stop; return nil })
 	t.Cleanup(func() {
 		watch.Tomb.Kill(nil)
-		close(keptAlive)
+		close(stop)
 		_ = watch.Tomb.Wait()
 	})
-	return watch, asked
+	return watch, probes
 }
 
-// TestOnlyARunnerThatEndedCounts has answers to two requests break off at a runner. What looks alike at the node is told apart by
-// what answers there afterwards.
+// TestOnlyARunnerThatEndedCounts has answers to two requests break off at a runner. The cases look the same to the node
+// at first; the answers to its probes distinguish them.
 func TestOnlyARunnerThatEndedCounts(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers []error
 		ends    int
-		asked   int32
+		probes  int32
 	}{
-		"its process is gone":                   {[]error{errGone}, 1, 1},
-		"another incarnation has its address":   {[]error{errReplaced}, 1, 1},
-		"only its connections were reset":       {[]error{nil}, 0, 1},
-		"it closes its address a moment later":  {[]error{connpool.ErrNoAnswer, errGone}, 1, 2},
-		"it is silent for a moment":             {[]error{connpool.ErrNoAnswer, connpool.ErrNoAnswer, nil}, 0, 3},
-		"this node or the runner is cut off":    {[]error{errCutOff}, 0, 8},
-		"it is cut off, and another came since": {[]error{errCutOff, errCutOff, errCutOff, errCutOff, errReplaced}, 1, 5},
+		"its process is gone":                       {[]error{errGone}, 1, 1},
+		"another incarnation has its address":       {[]error{errReplaced}, 1, 1},
+		"only its connections were reset":           {[]error{nil}, 0, 1},
+		"it closes its address a moment later":      {[]error{connpool.ErrNoAnswer, errGone}, 1, 2},
+		"it is unresponsive for a moment":           {[]error{connpool.ErrNoAnswer, connpool.ErrNoAnswer, nil}, 0, 3},
+		"this node or the runner is partitioned":    {[]error{errCutOff}, 0, 8},
+		"it is partitioned, and another came since": {[]error{errCutOff, errCutOff, errCutOff, errCutOff, errReplaced}, 1, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulated.Test(t, func(t *testing.T) {
-				watch, asked := newWatch(t, c.answers...)
+				watch, probes := newWatch(t, c.answers...)
 				watch.Broken(broken, "one")
 				watch.Broken(broken, "other")
 				watch.Broken(broken, "one")
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
-				for _, print := range []poison.Print{"one", "other"} {
-					ends, _ := watch.Book.Ends(print)
+				for _, fingerprint := range []poison.Print{"one", "other"} {
+					ends, _ := watch.Book.Ends(fingerprint)
 					assert.Equal(t, ends, c.ends)
 				}
-				assert.Equal(t, asked.asked.Load(), c.asked)
+				assert.Equal(t, probes.probes.Load(), c.probes)
 			})
 		})
 	}
 }
 
-// TestRunnerThatLeavesIsNotAskedFor has answers break off at runners that end as they said, or that the list lacks.
+// TestRunnerThatLeavesIsNotAskedFor has answers break off at runners that are draining or are no longer listed.
 func TestRunnerThatLeavesIsNotAskedFor(t *testing.T) {
 	leaving := broken
 	leaving.State = work.Draining
 	for name, listed := range map[string][]work.Runner{"draining": {leaving}, "left": {}} {
 		t.Run(name, func(t *testing.T) {
 			simulated.Test(t, func(t *testing.T) {
-				watch, asked := newWatch(t, errGone)
+				watch, probes := newWatch(t, errGone)
 				watch.Runners.Replace(listed, time.Now(), false)
 				watch.Broken(broken, "one")
 				time.Sleep(time.Second)
-				assert.Equal(t, asked.asked.Load(), int32(0))
+				assert.Equal(t, probes.probes.Load(), int32(0))
 				assert.Assert(t, watch.Idle())
 			})
 		})
 	}
 }
 
-// TestRunnerThatTheListDropsHasEnded has a machine go dark with its runner: nothing answers, and its entry runs out.
+// TestRunnerThatTheListDropsHasEnded has a machine fail together with its runner: nothing answers, and its registry entry
+// expires.
 func TestRunnerThatTheListDropsHasEnded(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		watch, _ := newWatch(t, connpool.ErrNoAnswer)
@@ -129,20 +130,22 @@
 	})
 }
 
-// TestAnswerThatBreaksOffLaterCounts has a request notice the end of its runner after that was found, as one whose caller is slow.
+// TestAnswerThatBreaksOffLaterCounts has a request detect the end of its runner after the end was found, as a request
+// with a slow caller does.
 func TestAnswerThatBreaksOffLaterCounts(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		watch, asked := newWatch(t, errGone)
+		watch, probes := newWatch(t, errGone)
 		watch.Broken(broken, "one")
 		time.Sleep(time.Second)
 		watch.Broken(broken, "late")
 		ends, _ := watch.Book.Ends("late")
 		assert.Equal(t, ends, 1)
-		assert.Equal(t, asked.asked.Load(), int32(1))
+		assert.Equal(t, probes.probes.Load(), int32(1))
 	})
 }
 
-// TestEndsOutliveALossOfPower has all nodes start again: what a disk has is known from the start, and a damaged file is written anew.
+// TestEndsOutliveALossOfPower restarts all nodes: the records on disk are known from the start, and a damaged file is
+// rewritten.
 func TestEndsOutliveALossOfPower(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ends.json")
 	for _, before := range []string{"", "{damaged"} {
@@ -160,7 +163,7 @@
 			return later.Refused("bad")
 		}
 		for deadline := time.Now().Add(10 * time.Second); !written(); time.Sleep(20 * time.Millisecond) {
-			assert.Assert(t, time.Now().Before(deadline), "nothing was kept")
+			assert.Assert(t, time.Now().Before(deadline), "no record was stored")
 		}
 	}
 }
