--- a/internal/batchroom/gauge.go
+++ b/internal/batchroom/gauge.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// sampleWindow is how long observed online work counts towards the slots left to it: online work comes in bursts.
+	// sampleWindow is how long an observed count of online work is used to decide how many slots are left free for it:
+	// online work comes in bursts.
 	sampleWindow = 600 * time.Millisecond
 	// maxReportAge is how long a report is valid.
 	maxReportAge = time.Second
@@ -42,14 +43,14 @@
 	// waiting is the number of requests that waited at the runner in the newest report, waitedBefore in the one before.
 	waiting, waitedBefore int
 	// handled is true once the newest report was acted on.
-	handled bool
-	last    time.Time
+	handled    bool
+	observedAt time.Time
 }
 
 // Observe records a report. own is the number of this node's batch items at the runner when the report was made, reported
 // the online work there that nodes had reported.
 func (g *Gauge) Observe(load work.Load, own, reported int, now time.Time) {
-	g.last = now
+	g.observedAt = now
 	g.samples = append(g.samples, sample{at: now, others: max(load.Running+load.Waiting-own, 0), reported: reported})
 	for len(g.samples) > 1 && now.Sub(g.samples[0].at) > sampleWindow {
 		g.samples = g.samples[1:]
@@ -102,10 +103,11 @@
 }
 
 // Blind reports whether no report of the runner is recent enough to be valid.
-func (g *Gauge) Blind(now time.Time) bool { return now.Sub(g.last) > maxReportAge }
+func (g *Gauge) Blind(now time.Time) bool { return now.Sub(g.observedAt) > maxReportAge }
 
-// Room returns how many more batch items the runner may run beside own, those it has. reported is the online work that
-// nodes report now; if they do, the owner leaves slots free over all its runners, not at each.
+// Room returns how many more batch items the runner may run, given own, the number of this node's items that it has.
+// reported is the online work that nodes report now; if they do, the owner leaves slots free over all its runners, not
+// at each.
 func (g *Gauge) Room(slots, own int, reported Told, now time.Time) int {
 	if g.Blind(now) {
 		return max(blindLimit-own, 0)
@@ -126,10 +128,10 @@
 	return min(max(reported+own-slots, 0), own)
 }
 
-// Yield returns how many of the own batch items must be preempted because requests wait at the runner. The first report with
-// waiting requests preempts one item for each of them beyond toleratedQueue, each further one in a row one item for every two.
-// Online requests are short, so a few that wait for the first time find slots by themselves sooner than a slot can be cleared;
-// toleratedQueue is how many. Each report is acted on once.
+// Yield returns how many of the own batch items must be preempted because requests wait at the runner. If none waited in
+// the report before, that is one item for each waiting request beyond toleratedQueue, else one item for every two
+// waiting requests. Online requests are short, so a few that wait for the first time find slots by themselves sooner
+// than a slot can be cleared; toleratedQueue is how many. Each report is acted on once.
 func (g *Gauge) Yield(own int) int {
 	if g.handled {
 		return 0
--- a/internal/endwatch/watch.go
+++ b/internal/endwatch/watch.go
@@ -49,7 +49,7 @@
 	investigations map[ident.Incarnation]*investigation
 }
 
-// investigation is the state of one runner. The watch's mutex guards it.
+// investigation is the state of the probes of one runner. The watch's mutex guards it.
 type investigation struct {
 	runner work.Runner
 	// fingerprints are the requests whose answers broke off there; startedAt is when the first one did.
@@ -133,8 +133,8 @@
 	}
 }
 
-// probe sends one probe. A runner that has been removed from the list in the meantime has ended too: it was not leaving
-// when its answers broke off.
+// probe asks the runner once for a report. A runner that has been removed from the list in the meantime has ended too:
+// it was not leaving when its answers broke off.
 func (w *Watch) probe(runner work.Runner) verdict {
 	ctx, cancel := context.WithTimeout(w.Tomb.Context(context.Background()), probeTimeout)
 	defer cancel()
@@ -167,7 +167,7 @@
 	}
 }
 
-// pause waits and reports whether the process is still running.
+// pause waits and returns false if the process is stopping.
 func (w *Watch) pause(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -27,9 +27,9 @@
 	return s.Store.Accept(ctx, submission)
 }
 
-// TestEntryThatIsHandedOverIsCounted has a worker with no free memory, a fifth of 136 MB, deliver a job of ten items of
-// 60 kB: the items are accounted for while they are in memory, and the job reaches the store nevertheless, because it was
-// accepted.
+// TestEntryThatIsHandedOverIsCounted has a worker whose memory budget, a fifth of 136 MB, is used up deliver a job of
+// ten items of 60 kB: the items are accounted for while they are in memory, and the job reaches the store nevertheless,
+// because it was accepted.
 func TestEntryThatIsHandedOverIsCounted(t *testing.T) {
 	d := newDelivery(t, kvtest.NewData(time.Now))
 	budget := heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(136 << 20))
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -164,7 +164,8 @@
 	return a.route.MaximumQueuedTokens
 }
 
-// serializeAbove is the share of that limit up to which several jobs may be written concurrently.
+// serializeAbove is the share of that limit up to which several jobs may be written concurrently; zero if the account is
+// unsure.
 func (a *acceptance) serializeAbove() float64 {
 	if a.accountUnsure() {
 		return 0
@@ -190,44 +191,44 @@
 
 // try asks the store, and also the workers if the store fails or does not answer soon.
 func (a *acceptance) try(ctx context.Context) bool {
-	ended := make(chan attemptResult, 2)
+	results := make(chan attemptResult, 2)
 	// Each call has its own tomb: a tomb whose goroutines have all ended accepts no more.
 	a.submission.Hold()
 	new(tomb.Tomb).Go(func() error {
 		defer a.submission.LetGo()
 		waitingTokens, err := a.desk.accept(ctx, a)
-		ended <- attemptResult{waitingTokens: waitingTokens, err: err}
+		results <- attemptResult{waitingTokens: waitingTokens, err: err}
 		return nil
 	})
 	hedge := time.NewTimer(a.desk.hedgeDelay(a.submission))
 	defer hedge.Stop()
-	for open, asked := 1, a.desk.Holders == nil; open > 0; {
+	for inFlight, workersAsked := 1, a.desk.Holders == nil; inFlight > 0; {
 		select {
 		case <-hedge.C:
-		case one := <-ended:
-			open--
-			if one.err == nil {
-				a.handedOff, a.waitingTokens = one.handedOff, one.waitingTokens
+		case result := <-results:
+			inFlight--
+			if result.err == nil {
+				a.handedOff, a.waitingTokens = result.handedOff, result.waitingTokens
 				return true
 			}
-			a.recordFailure(one.err)
-			a.noAnswer = a.noAnswer || one.handedOff && errors.Is(one.err, handoff.ErrNobodyAnswers)
-			if errors.Is(one.err, jobrecord.ErrRaced) {
+			a.recordFailure(result.err)
+			a.noAnswer = a.noAnswer || result.handedOff && errors.Is(result.err, handoff.ErrNobodyAnswers)
+			if errors.Is(result.err, jobrecord.ErrRaced) {
 				// The store answers: the next try counts again.
 				a.noAnswer = false
 				continue
 			}
-			if !one.handedOff && !a.final() {
+			if !result.handedOff && !a.final() {
 				a.desk.suspectStore()
 			}
 		}
-		if !asked && !a.final() {
-			asked = true
-			open++
+		if !workersAsked && !a.final() {
+			workersAsked = true
+			inFlight++
 			a.submission.Hold()
 			new(tomb.Tomb).Go(func() error {
 				defer a.submission.LetGo()
-				ended <- attemptResult{handedOff: true, err: a.desk.Holders.Keep(ctx, a.holderLimit(), a.submission)}
+				results <- attemptResult{handedOff: true, err: a.desk.Holders.Keep(ctx, a.holderLimit(), a.submission)}
 				return nil
 			})
 		}
--- a/internal/jobentry/desk.go
+++ b/internal/jobentry/desk.go
@@ -186,8 +186,9 @@
 // maxWriteRaces bounds the writes of one try that may fail because another job was written first.
 const maxWriteRaces = 4
 
-// write writes a job whose capacity is reserved. For any other job it counts the queued tokens in the store; if the queue
-// may become full, the write fails if another job was accepted since the count.
+// write writes a job. If its capacity is reserved, it is written as is. Otherwise the queued tokens are counted in the
+// store, and if the queue may become full, the write is guarded by an admission: it fails if another job was accepted
+// since the count.
 func (d *Desk) write(ctx context.Context, attempt *acceptance) (int, error) {
 	submission := attempt.submission
 	if attempt.admitted() {
--- a/internal/orphans/orphans.go
+++ b/internal/orphans/orphans.go
@@ -58,9 +58,9 @@
 	c.upperBound, c.excess = max(c.upperBound-work, 0), max(c.excess-work, 0)
 }
 
-// knownAtReport returns the work that was accounted for when a report read now was made: the least value until the ends
-// of requests were reported. Otherwise an end that is reported late would look like the end of an orphaned run,
-// permanently.
+// knownAtReport returns the work that was accounted for when a report read now was made, or the least value in the
+// maxNotifyDelay after that, if it is lower: the end of a request may be reported late, and would otherwise look like
+// the end of an orphaned run, permanently.
 func (c *Count) knownAtReport(now time.Time) int {
 	then := 0
 	for _, entry := range c.knownWork {
--- a/internal/orphans/ration.go
+++ b/internal/orphans/ration.go
@@ -72,13 +72,13 @@
 	if len(waits) > 0 {
 		r.waiters[node] = waiter{at: now, waits: waits}
 	}
-	reserved := r.grants[:0]
+	remaining := r.grants[:0]
 	for _, given := range r.grants {
 		if given.node != node && given.until.After(now) {
-			reserved = append(reserved, given)
+			remaining = append(remaining, given)
 		}
 	}
-	r.grants = reserved
+	r.grants = remaining
 }
 
 // Grant grants a node that has just reported its waiting requests its share of the slots of some runners, given the
@@ -165,18 +165,18 @@
 // entitlement returns how many slots a node may have: one for each request that can still be on time, unless too many
 // nodes have less time left, and for its late requests only if no other node has requests that can still be on time.
 func (r *Ration) entitlement(node ident.Node, service string, wait Wait, now time.Time) (slots int, late bool) {
-	waiting, earlier := 1, 0
+	waiting, moreUrgent := 1, 0
 	for other, waiter := range r.waiters {
 		if other == node || !waiter.hasOnTimeRequests(service, now) {
 			continue
 		}
 		waiting++
 		if waiter.waits[service].Until.Before(wait.Until) {
-			earlier++
+			moreUrgent++
 		}
 	}
 	switch {
-	case wait.OnTime > 0 && float64(earlier) <= urgentShare*float64(waiting):
+	case wait.OnTime > 0 && float64(moreUrgent) <= urgentShare*float64(waiting):
 		return wait.OnTime, false
 	case wait.OnTime == 0 && waiting == 1:
 		return wait.Late, true
