--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -8,19 +8,19 @@
 	"mallowlatch.example/mallowlatch/internal/heldbytes"
 )
 
-// NoRoom is the answer to what the node cannot hold beside all else. It has not run.
+// NoRoom returns the error for a request that exceeds the node's free memory. The request has not run.
 func NoRoom(err error) *failure.Error {
-	return failure.New(failure.CodeOverloaded, "the node holds as much as it can").WithCause(err).
+	return failure.New(failure.CodeOverloaded, "the node has no free memory for the request").WithCause(err).
 		WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
 }
 
-// firstBodyStep is the first buffer of a body that does not tell its length, in bytes.
-const firstBodyStep = 8 << 10
+// initialBodyBuffer is the size of the first buffer, in bytes, for a body of unknown length.
+const initialBodyBuffer = 8 << 10
 
-// ReadHeld reads a body whole. Its length is reserved already, zero where it is not known; each further step of the buffer is reserved
-// before it is made. The error wraps heldbytes.ErrOver where one does not fit.
+// ReadHeld reads a whole body. The given length, zero if unknown, is reserved already; each growth of the buffer is reserved
+// before it is allocated. The error wraps heldbytes.ErrOver if a reservation fails.
 func ReadHeld(source io.Reader, held *heldbytes.Held, length int64) ([]byte, error) {
-	// One byte more shows the end without another step.
+	// One extra byte lets the read of EOF succeed without growing the buffer.
 	body := make([]byte, 0, length+1)
 	for {
 		count, err := source.Read(body[len(body):cap(body)])
@@ -34,7 +34,7 @@
 		if len(body) < cap(body) {
 			continue
 		}
-		step := max(cap(body), firstBodyStep)
+		step := max(cap(body), initialBodyBuffer)
 		if err := held.Grow(int64(step)); err != nil {
 			return nil, err
 		}
--- a/internal/online/ahead_test.go
+++ b/internal/online/bufferedstream_test.go
@@ -22,8 +22,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// numbered returns events that follow one another, each of some bytes.
-func numbered(events, bytes int) []string {
+// numberedEvents returns events with consecutive ids and data of a given size.
+func numberedEvents(events, bytes int) []string {
 	made := make([]string, events)
 	for index := range made {
 		made[index] = fmt.Sprintf("id: %d\ndata: %s\n\n", index+1, strings.Repeat("x", bytes))
@@ -31,16 +31,17 @@
 	return made
 }
 
-// pacedBody gives events as a runner makes them, a pause after each other, whether or not they are read, until its attempt ends.
+// pacedBody yields events with a pause before each, as a runner generates them whether or not they are read, until its attempt
+// ends.
 type pacedBody struct {
 	ctx    context.Context
 	events []string
 	pause  func(position int) time.Duration
 	given  int
 	rest   string
-	// made is when the last event was.
+	// made is when the last event was generated.
 	made time.Time
-	// ended is when the last event was read or the attempt ended; whole says which.
+	// ended is when the last event was read or the attempt ended; whole is set in the first case.
 	ended time.Time
 	whole bool
 }
@@ -68,7 +69,7 @@
 
 func (b *pacedBody) Close() error { return nil }
 
-// pacedCaller is a runner that answers each request with events at a pace.
+// pacedCaller is a runner that answers each request with events at a given pace.
 type pacedCaller struct {
 	events []string
 	pause  func(position int) time.Duration
@@ -92,25 +93,25 @@
 
 func (c *pacedCaller) Forget(work.Runner) {}
 
-// reader is a caller that takes a while over each event. One that is cut off, or has stopped, takes nothing any more.
-type reader struct {
+// pacedReader is a caller that takes some time over each event. Once cut off or stopped it accepts no more.
+type pacedReader struct {
 	recorder
 	takes func(position int) time.Duration
 	count int
-	// over is closed when writing to it ends.
+	// over is closed when writes to the caller start to fail.
 	over chan struct{}
 	once sync.Once
 }
 
-func newReader(takes func(position int) time.Duration) *reader {
-	return &reader{takes: takes, over: make(chan struct{})}
+func newPacedReader(takes func(position int) time.Duration) *pacedReader {
+	return &pacedReader{takes: takes, over: make(chan struct{})}
 }
 
-func (r *reader) Until(deadline time.Time) {
+func (r *pacedReader) Until(deadline time.Time) {
 	time.AfterFunc(time.Until(deadline), func() { r.once.Do(func() { close(r.over) }) })
 }
 
-func (r *reader) Write(bytes []byte) error {
+func (r *pacedReader) Write(bytes []byte) error {
 	select {
 	case <-r.over:
 		return io.ErrClosedPipe
@@ -130,8 +131,8 @@
 	return func(int) time.Duration { return duration }
 }
 
-// stops reads some events and then no more.
-func stops(after int) func(int) time.Duration {
+// stopsAfter reads some events at once and then blocks.
+func stopsAfter(after int) func(int) time.Duration {
 	return func(position int) time.Duration {
 		if position < after {
 			return 0
@@ -140,17 +141,17 @@
 	}
 }
 
-// lagSite is a node before one runner of four places.
-type lagSite struct {
+// slowCallerSite is a front with one runner of four slots.
+type slowCallerSite struct {
 	forwarder *online.Forwarder
 	caller    *pacedCaller
 	held      *heldbytes.OfNode
 }
 
-func newLagSite(memory int64, events []string, pause func(int) time.Duration) *lagSite {
+func newSlowCallerSite(memory int64, events []string, pause func(int) time.Duration) *slowCallerSite {
 	table := runnertable.New("z")
 	table.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: 4}}, time.Now(), true)
-	site := &lagSite{
+	site := &slowCallerSite{
 		caller: &pacedCaller{events: events, pause: pause},
 		held:   heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(memory)),
 	}
@@ -158,13 +159,13 @@
 	return site
 }
 
-// serve passes one stream on to a caller that waits for a minute.
-func (s *lagSite) serve(ctx context.Context, connection string, writer work.AnswerWriter) error {
+// serve relays one stream to a caller that waits for a minute.
+func (s *slowCallerSite) serve(ctx context.Context, connection string, writer work.AnswerWriter) error {
 	return s.serveWithin(ctx, time.Second, connection, writer)
 }
 
-// serveWithin is serve on a route with an objective.
-func (s *lagSite) serveWithin(ctx context.Context, objective time.Duration, connection string, writer work.AnswerWriter) error {
+// serveWithin is serve on a route with a given objective.
+func (s *slowCallerSite) serveWithin(ctx context.Context, objective time.Duration, connection string, writer work.AnswerWriter) error {
 	route := &work.Route{
 		Name: "r", Kind: work.Streaming, Resumable: true, MaximumAttempts: 2, Objective: objective, Pause: pauseAllowed,
 		Split: []work.WeightedService{{Service: "s", Weight: 1}},
@@ -173,74 +174,75 @@
 	return s.forwarder.Serve(ctx, route, request, writer)
 }
 
-// busy is how many of the runner's places the node has.
-func (s *lagSite) busy() int { return s.forwarder.Runners.Own("1", runnertable.Online) }
+// busy returns how many of the runner's slots the node uses.
+func (s *slowCallerSite) busy() int { return s.forwarder.Runners.Own("1", runnertable.Online) }
 
 const (
 	smallNode = 136 << 20
-	// noticed is how long it may take until a runner is read on after its caller stopped. Its place is thought to be taken for as long,
-	// which is once the objective of the requests of the sites so far.
-	noticed = 300 * time.Millisecond
-	// runnerAllows is the time after which a runner may cut off an answer that is left unread: some seconds.
-	runnerAllows = 2 * time.Second
+	// detectionTime is how long it may take until the node reads on after a caller stopped. The slot counts as used for as
+	// long, which is about the objective of online requests on existing sites.
+	detectionTime = 300 * time.Millisecond
+	// runnerWriteTimeout is the time after which a runner may cut off an answer that is not read; runners allow some seconds.
+	runnerWriteTimeout = 2 * time.Second
 )
 
-// TestRunnerIsReadOnWhileItsCallerLags has callers take a second over each event of a stream that is made in 400 ms: its runner is read
-// to the end as if they were fast, within the two looks, 300 ms, that it takes to notice, and its place is free; the callers get every event.
-func TestRunnerIsReadOnWhileItsCallerLags(t *testing.T) {
+// TestRunnerIsReadAtFullSpeedForSlowCallers has callers take a second over each event of a stream that is generated in 400 ms.
+// The runner must be read to the end as if they were fast, apart from the two checks, 300 ms, that detection takes, and its
+// slot released; the callers still get every event.
+func TestRunnerIsReadAtFullSpeedForSlowCallers(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(20, 100)
-		site := newLagSite(smallNode, events, always(20*time.Millisecond))
+		events := numberedEvents(20, 100)
+		site := newSlowCallerSite(smallNode, events, always(20*time.Millisecond))
 		began := time.Now()
 		var serving sync.WaitGroup
 		for index := range 4 {
 			serving.Go(func() {
-				writer := newReader(always(time.Second))
+				writer := newPacedReader(always(time.Second))
 				assert.Check(t, site.serve(t.Context(), fmt.Sprint(index), writer))
 				assert.Check(t, writer.body.String() == strings.Join(events, ""))
 			})
 		}
-		time.Sleep(20*20*time.Millisecond + noticed)
+		time.Sleep(20*20*time.Millisecond + detectionTime)
 		synctest.Wait()
-		assert.Equal(t, site.busy(), 0, "places are taken by answers that were made")
+		assert.Equal(t, site.busy(), 0, "slots are taken by answers that were generated")
 		assert.Assert(t, site.held.Take().Held > 0)
 		serving.Wait()
 		for _, body := range site.caller.bodies {
 			assert.Assert(t, body.whole)
-			assert.Assert(t, body.ended.Sub(began) <= 20*20*time.Millisecond+noticed, "read after %v", body.ended.Sub(began))
+			assert.Assert(t, body.ended.Sub(began) <= 20*20*time.Millisecond+detectionTime, "read after %v", body.ended.Sub(began))
 		}
 		assert.Equal(t, site.held.Take().Held, int64(0))
 	})
 }
 
-// TestCallerThatTakesALittleAtATimeHoldsNoPlace has a caller take 60 ms over each event of a stream that is made in 400 ms: each write is
-// short, and the runner would still be held up for 0.8 s.
-func TestCallerThatTakesALittleAtATimeHoldsNoPlace(t *testing.T) {
+// TestCallerWithShortSlowReadsReleasesSlot has a caller take 60 ms over each event of a stream that is generated in 400 ms.
+// Each write is short, but together they would block the runner for 0.8 s.
+func TestCallerWithShortSlowReadsReleasesSlot(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(20, 100)
-		site := newLagSite(smallNode, events, always(20*time.Millisecond))
-		writer := newReader(always(60 * time.Millisecond))
+		events := numberedEvents(20, 100)
+		site := newSlowCallerSite(smallNode, events, always(20*time.Millisecond))
+		writer := newPacedReader(always(60 * time.Millisecond))
 		began := time.Now()
 		assert.NilError(t, site.serve(t.Context(), "c", writer))
 		assert.Equal(t, writer.body.String(), strings.Join(events, ""))
 		read := site.caller.bodies[0].ended.Sub(began)
-		assert.Assert(t, read <= 20*20*time.Millisecond+noticed, "read after %v", read)
+		assert.Assert(t, read <= 20*20*time.Millisecond+detectionTime, "read after %v", read)
 	})
 }
 
-// TestCallerThatStopsIsCutOff has one caller stop in the middle of an answer that has no end in sight, beside one that reads: it is cut
-// off before its runner would cut the answer, and the runner's work ends; the other gets all of its own.
+// TestCallerThatStopsIsCutOff has one caller stop reading in the middle of a long answer, beside one that reads. The first
+// must be cut off before its runner would cut the answer off, and the run must end; the second gets its whole answer.
 func TestCallerThatStopsIsCutOff(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(4000, 100)
-		site := newLagSite(smallNode, events, always(2*time.Millisecond))
-		stopped, reads := newReader(stops(3)), newReader(always(0))
+		events := numberedEvents(4000, 100)
+		site := newSlowCallerSite(smallNode, events, always(2*time.Millisecond))
+		stopped, reads := newPacedReader(stopsAfter(3)), newPacedReader(always(0))
 		began := time.Now()
 		var serving sync.WaitGroup
 		serving.Go(func() { assert.Check(t, site.serve(t.Context(), "reads", reads)) })
 		assert.ErrorIs(t, site.serve(t.Context(), "stopped", stopped), online.ErrBroken)
-		// 64 KiB are made in 1.1 s here.
-		assert.Assert(t, time.Since(began) <= 1200*time.Millisecond+noticed+runnerAllows, "cut after %v", time.Since(began))
+		// 64 KiB are generated in 1.1 s here.
+		assert.Assert(t, time.Since(began) <= 1200*time.Millisecond+detectionTime+runnerWriteTimeout, "cut after %v", time.Since(began))
 		assert.Equal(t, stopped.body.String(), strings.Join(events[:3], ""))
 		assert.Equal(t, site.busy(), 1)
 		assert.Equal(t, site.held.Take().Cut, 1)
@@ -250,23 +252,23 @@
 	})
 }
 
-// TestBurstOverASlowLinkIsNotCut has a runner give half a megabyte at once to a caller whose link takes 0.8 s for it.
+// TestBurstOverASlowLinkIsNotCut has a runner send half a megabyte at once to a caller whose link takes 0.8 s for it.
 func TestBurstOverASlowLinkIsNotCut(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(16, 32<<10)
-		site := newLagSite(smallNode, events, always(0))
-		writer := newReader(always(50 * time.Millisecond))
+		events := numberedEvents(16, 32<<10)
+		site := newSlowCallerSite(smallNode, events, always(0))
+		writer := newPacedReader(always(50 * time.Millisecond))
 		assert.NilError(t, site.serve(t.Context(), "c", writer))
 		assert.Equal(t, writer.body.String(), strings.Join(events, ""))
 	})
 }
 
-// TestNodeWithoutRoomCutsOnlyThoseThatLag has more callers stop than the node can hold the answers of: its budget is kept, those that
-// read get their answers.
-func TestNodeWithoutRoomCutsOnlyThoseThatLag(t *testing.T) {
+// TestFullMemoryBudgetCutsOnlySlowCallers has more callers stop reading than the node has memory to buffer the answers of. The
+// budget must not be exceeded, and the callers that read must get their answers.
+func TestFullMemoryBudgetCutsOnlySlowCallers(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(20, 2<<10)
-		site := newLagSite(1<<20, events, always(time.Millisecond))
+		events := numberedEvents(20, 2<<10)
+		site := newSlowCallerSite(1<<20, events, always(time.Millisecond))
 		table := runnertable.New("z")
 		table.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: 100}}, time.Now(), true)
 		site.forwarder.Runners = table
@@ -274,15 +276,15 @@
 		for index := range 40 {
 			serving.Go(func() {
 				if index%2 == 0 {
-					assert.Check(t, site.serve(t.Context(), fmt.Sprint(index), newReader(stops(1))) != nil)
+					assert.Check(t, site.serve(t.Context(), fmt.Sprint(index), newPacedReader(stopsAfter(1))) != nil)
 					return
 				}
-				writer := newReader(always(0))
+				writer := newPacedReader(always(0))
 				assert.Check(t, site.serve(t.Context(), fmt.Sprint(index), writer))
 				assert.Check(t, writer.body.String() == strings.Join(events, ""))
 			})
 		}
-		time.Sleep(runnerAllows)
+		time.Sleep(runnerWriteTimeout)
 		synctest.Wait()
 		tally := site.held.Take()
 		assert.Assert(t, tally.Most <= 1<<20/5, "%d bytes were held", tally.Most)
@@ -292,13 +294,13 @@
 	})
 }
 
-// TestRunnerThatFallsSilentBehindALaggingCallerIsLeft has a runner hang while its caller lags: the guard measures the runner and not the
-// caller, and another attempt goes on where the first one ended.
-func TestRunnerThatFallsSilentBehindALaggingCallerIsLeft(t *testing.T) {
+// TestSilentRunnerIsReplacedWhileCallerIsSlow has a runner hang while its caller is slow. The silence guard must measure the
+// runner and not the caller, and another attempt must resume where the first one ended.
+func TestSilentRunnerIsReplacedWhileCallerIsSlow(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		events := numbered(10, 100)
+		events := numberedEvents(10, 100)
 		hangs := true
-		site := newLagSite(smallNode, events, func(position int) time.Duration {
+		site := newSlowCallerSite(smallNode, events, func(position int) time.Duration {
 			if hangs && position == 6 {
 				hangs = false
 				return time.Hour
@@ -306,21 +308,21 @@
 			return 10 * time.Millisecond
 		})
 		site.forwarder.Runners.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: 4}, {ID: "2", Service: "s", Zone: "z", Slots: 4}}, time.Now(), true)
-		writer := newReader(always(400 * time.Millisecond))
+		writer := newPacedReader(always(400 * time.Millisecond))
 		assert.NilError(t, site.serve(t.Context(), "c", writer))
 		assert.Equal(t, writer.body.String(), strings.Join(events, ""))
 		assert.Equal(t, len(site.caller.bodies), 2)
 	})
 }
 
-// TestCallerThatLeavesWhileItLagsEndsTheRun has a caller leave whose answer is read ahead: the runner's work ends at once.
-func TestCallerThatLeavesWhileItLagsEndsTheRun(t *testing.T) {
+// TestSlowCallerThatDisconnectsEndsTheRun has a caller disconnect while its answer is buffered. The run must end at once.
+func TestSlowCallerThatDisconnectsEndsTheRun(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		site := newLagSite(smallNode, numbered(1000, 10), always(10*time.Millisecond))
+		site := newSlowCallerSite(smallNode, numberedEvents(1000, 10), always(10*time.Millisecond))
 		ctx, leave := context.WithCancel(t.Context())
 		left := time.Now().Add(time.Second)
 		time.AfterFunc(time.Second, leave)
-		writer := newReader(func(position int) time.Duration {
+		writer := newPacedReader(func(position int) time.Duration {
 			if position == 0 {
 				return 1200 * time.Millisecond
 			}
@@ -332,11 +334,11 @@
 	})
 }
 
-// TestConnectionThatBreaksWhileItsCallerLagsEndsTheRun has the writing fail before anything else tells that the caller is gone.
-func TestConnectionThatBreaksWhileItsCallerLagsEndsTheRun(t *testing.T) {
+// TestBrokenConnectionOfSlowCallerEndsTheRun has a write fail before anything else shows that the caller is gone.
+func TestBrokenConnectionOfSlowCallerEndsTheRun(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		site := newLagSite(smallNode, numbered(1000, 10), always(10*time.Millisecond))
-		writer := newReader(always(1200 * time.Millisecond))
+		site := newSlowCallerSite(smallNode, numberedEvents(1000, 10), always(10*time.Millisecond))
+		writer := newPacedReader(always(1200 * time.Millisecond))
 		breaks := time.Now().Add(time.Second)
 		time.AfterFunc(time.Second, func() { writer.once.Do(func() { close(writer.over) }) })
 		assert.ErrorIs(t, site.serve(t.Context(), "c", writer), online.ErrBroken)
@@ -345,36 +347,37 @@
 	})
 }
 
-// TestDrawnPacesGiveEveryEventInOrder draws how long the runner and the caller take over each event: what the caller gets is always what
-// the runner made, in order, or the beginning of it with an error.
-func TestDrawnPacesGiveEveryEventInOrder(t *testing.T) {
+// TestRandomPacesKeepEventsInOrder draws how long the runner and the caller take over each event. The caller must get exactly
+// the runner's events in order, or a prefix of them with an error.
+func TestRandomPacesKeepEventsInOrder(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
-		events := numbered(rapid.IntRange(1, 30).Draw(drawn, "events"), rapid.IntRange(0, 20_000).Draw(drawn, "bytes"))
+		events := numberedEvents(rapid.IntRange(1, 30).Draw(drawn, "events"), rapid.IntRange(0, 20_000).Draw(drawn, "bytes"))
 		paces := rapid.SampledFrom([]time.Duration{0, time.Millisecond, 30 * time.Millisecond, 99 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond})
 		makes := rapid.SliceOfN(paces, len(events), len(events)).Draw(drawn, "makes")
 		takes := rapid.SliceOfN(paces, len(events), len(events)).Draw(drawn, "takes")
 		simulated.Test(t, func(t *testing.T) {
-			site := newLagSite(smallNode, events, func(position int) time.Duration { return makes[position%len(makes)] })
-			writer := newReader(func(position int) time.Duration { return takes[position%len(takes)] })
+			site := newSlowCallerSite(smallNode, events, func(position int) time.Duration { return makes[position%len(makes)] })
+			writer := newPacedReader(func(position int) time.Duration { return takes[position%len(takes)] })
 			err := site.serve(t.Context(), "c", writer)
 			whole := strings.Join(events, "")
 			if err == nil && writer.body.String() != whole {
-				drawn.Fatalf("a part looks whole: %d of %d bytes", writer.body.Len(), len(whole))
+				drawn.Fatalf("a truncated answer looks complete: %d of %d bytes", writer.body.Len(), len(whole))
 			}
 			if !strings.HasPrefix(whole, writer.body.String()) {
 				drawn.Fatal("events out of order")
 			}
 			if site.busy() != 0 || site.held.Take().Held != 0 {
-				drawn.Fatal("something is held after the end")
+				drawn.Fatal("a slot or memory is held after the end")
 			}
 		})
 	})
 }
 
-// BenchmarkStreamToACallerThatKeepsUp passes on a stream of twenty events that are all there: what the node adds to it.
+// BenchmarkStreamToACallerThatKeepsUp measures the node's overhead for a stream of twenty events that are all available at
+// once.
 func BenchmarkStreamToACallerThatKeepsUp(b *testing.B) {
-	text := strings.Join(numbered(20, 100), "")
-	site := newLagSite(smallNode, nil, nil)
+	text := strings.Join(numberedEvents(20, 100), "")
+	site := newSlowCallerSite(smallNode, nil, nil)
 	caller := &scriptedCaller{}
 	site.forwarder.Caller = caller
 	b.ReportAllocs()
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -19,7 +19,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// exchange is the serving of one request.
+// exchange is the state of serving one request.
 type exchange struct {
 	forwarder *Forwarder
 	ctx       context.Context
@@ -28,32 +28,33 @@
 	writer    work.AnswerWriter
 	deadline  time.Time
 	service   string
-	// tried holds the runners that had the request, full those that refused it since it last waited.
+	// tried contains the runners that were sent the request, full those that refused it since it last waited.
 	tried, full map[ident.Incarnation]bool
-	// paused are those of tried that were given up for a pause within a stream: they work.
+	// paused are the runners of tried that were given up because of a pause within a stream. These runners are assumed to work.
 	paused []ident.Incarnation
-	// room is where the request waits for a place, waiter its place in the line there.
-	room   *room
+	// queue is where the request waits for a slot, waiter its entry there.
+	queue  *queue
 	waiter *waitline.Waiter
-	// runs counts the attempts that a runner may have run.
+	// runs counts the attempts that a runner may have executed.
 	runs int
-	// begun is set once the head went to the caller; after that no error can be told but by breaking off.
-	begun bool
-	// lastEvent is the id of the last event the caller has.
+	// headSent is set once the head was sent to the caller. After that an error can only be signalled by breaking the answer
+	// off.
+	headSent bool
+	// lastEvent is the id of the last event sent to the caller.
 	lastEvent int64
-	// place is that of the last attempt.
-	place *place
+	// slot is that of the last attempt.
+	slot *slot
 	// sent is when the last attempt was sent.
 	sent    time.Time
 	outcome outcome.Outcome
-	// printed is the request's print once it was needed.
-	printed poison.Print
+	// cachedFingerprint is the request's fingerprint, empty until first needed.
+	cachedFingerprint poison.Print
 }
 
-// errTryAgain means that another runner may have the request.
-const errTryAgain = failure.Kind("online: another runner may have the request")
+// errTryAgain means that the request may be sent to another runner.
+const errTryAgain = failure.Kind("online: request may be sent to another runner")
 
-// run tries runners until one answers or nothing more is allowed.
+// run tries runners until one answers or no further attempt is allowed.
 func (e *exchange) run() error {
 	var last error
 	for range maximumTries {
@@ -69,31 +70,31 @@
 	return e.finish(last)
 }
 
-// attempt sends the request to one runner. It returns errTryAgain where another runner may have it.
+// attempt sends the request to one runner. It returns errTryAgain if the request may be sent to another one.
 func (e *exchange) attempt() error {
 	now := e.forwarder.Now()
 	budget := e.deadline.Sub(now)
-	if budget < leastBudget {
-		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", nil)
+	if budget < minBudget {
+		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", nil)
 	}
-	if e.endsRunners() {
-		return e.turnedAway()
+	if e.isPoison() {
+		return e.refusePoison()
 	}
 	flight, err := e.pick()
 	if err != nil {
-		return e.notPicked(err)
+		return e.pickFailed(err)
 	}
-	// Other nodes may have told of it while the request waited for its place.
-	if e.endsRunners() {
+	// Other nodes may have reported the request as poison while it waited for a slot.
+	if e.isPoison() {
 		flight.End()
-		e.room.unused(e.waiter)
-		return e.turnedAway()
+		e.queue.slotUnused(e.waiter)
+		return e.refusePoison()
 	}
 	e.sent = e.forwarder.Now()
 	ctx, cancel := context.WithCancel(e.ctx)
 	defer cancel()
-	e.place = &place{flight: flight, room: e.room, waiter: e.waiter, now: e.forwarder.Now, sent: e.sent, ctx: ctx, end: cancel}
-	defer e.place.free()
+	e.slot = &slot{flight: flight, queue: e.queue, waiter: e.waiter, now: e.forwarder.Now, sent: e.sent, ctx: ctx, abort: cancel}
+	defer e.slot.release()
 	e.tried[flight.Runner.ID] = true
 	budget = e.deadline.Sub(e.sent)
 	guard := e.guardSilence(cancel)
@@ -103,25 +104,26 @@
 	}
 	defer func() { _ = reply.Body.Close() }()
 	flight.Answered(reply.Head.Load, e.forwarder.Now())
-	return e.take(flight, reply, guard)
+	return e.handleReply(flight, reply, guard)
 }
 
-// notPicked is the final answer of a request for which no runner was chosen.
-func (e *exchange) notPicked(err error) error {
+// pickFailed returns the final error of a request for which no runner was chosen.
+func (e *exchange) pickFailed(err error) error {
 	switch {
-	case errors.Is(err, errHopeless):
-		e.room.turnedAway(e.waiter)
-		return e.refusal(failure.CodeOverloaded, "no runner has a place in time", err)
+	case errors.Is(err, errNoSlotInTime):
+		e.queue.recordHeldBack(e.waiter)
+		return e.refusal(failure.CodeOverloaded, "no runner has a free slot in time", err)
 	case e.ctx.Err() != nil:
-		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", err)
+		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", err)
 	}
 	return e.refusal(failure.CodeNoBackend, "no runner may take the request", err)
 }
 
-// late says that the request can't be answered within its objective any more.
+// late reports whether the request can no longer be answered within its objective.
 func (e *exchange) late() bool { return e.forwarder.Now().After(e.waiter.OnTime) }
 
-// wish is what the choice of a runner depends on. One that waits is not sent where it would have to wait at the runner.
+// wish returns the criteria for choosing a runner. If waits is set, the request waits here rather than at a runner without a
+// free slot.
 func (e *exchange) wish(waits bool) runnertable.Wish {
 	wish := runnertable.Wish{
 		Service: e.service, Class: runnertable.Online, Prefix: e.request.Prefix,
@@ -129,22 +131,23 @@
 		Objective: e.route.Objective, Pause: e.route.Pause, Exclude: e.tried,
 	}
 	if waits {
-		wish.Full, wish.Yields, wish.Late = e.full, e.room.yieldsNow(e.waiter), e.late()
-		wish.Scarce = e.request.Tenant != "" && e.room.scarce()
+		wish.Full, wish.Yields, wish.Late = e.full, e.queue.isYielding(e.waiter), e.late()
+		wish.Scarce = e.request.Tenant != "" && e.queue.scarce()
 	}
 	return wish
 }
 
-// guardSilence ends the attempt when no first event comes in time, where a further attempt is allowed.
+// guardSilence returns a guard that ends the attempt if no first event comes in time. It is nil if no further attempt is
+// allowed.
 func (e *exchange) guardSilence(cancel context.CancelFunc) *silenceGuard {
 	if !e.route.Repeatable() || e.runs+1 >= e.route.MaximumAttempts {
 		return nil
 	}
-	allowed := min(max(silenceFactor*e.route.Objective, shortestSilence), longestSilence)
+	allowed := min(max(silenceFactor*e.route.Objective, minSilence), maxSilence)
 	return newSilenceGuard(allowed, pauseFactor*e.route.Pause, cancel)
 }
 
-// sendFailed notes an attempt without an answer.
+// sendFailed handles an attempt that got no answer.
 func (e *exchange) sendFailed(flight *runnertable.Flight, err error, guard *silenceGuard) error {
 	result, cause := classify(err)
 	if guard.fired() {
@@ -159,62 +162,62 @@
 	if result == outcome.NotRun {
 		return fmt.Errorf("%w: %w", errTryAgain, err)
 	}
-	e.brokeOff(flight)
+	e.recordBroken(flight)
 	e.runs++
-	return e.afterRun(err)
+	return e.retryOrFail(err)
 }
 
-// afterRun decides whether a request that may have run may run again.
-func (e *exchange) afterRun(err error) error {
+// retryOrFail wraps the error in errTryAgain if a request that may have run may be run again.
+func (e *exchange) retryOrFail(err error) error {
 	if e.ctx.Err() == nil && e.route.Repeatable() && e.runs < e.route.MaximumAttempts {
 		return fmt.Errorf("%w: %w", errTryAgain, err)
 	}
 	return err
 }
 
-// take passes a runner's answer on, or decides to ask another runner.
-func (e *exchange) take(flight *runnertable.Flight, reply *work.Reply, guard *silenceGuard) error {
+// handleReply relays a runner's answer to the caller, or decides that another runner is tried.
+func (e *exchange) handleReply(flight *runnertable.Flight, reply *work.Reply, guard *silenceGuard) error {
 	switch {
 	case reply.Replaced:
 		guard.stop()
 		flight.Failed(runnertable.Replaced, e.forwarder.Now())
 		e.forwarder.Caller.Forget(flight.Runner)
-		return fmt.Errorf("%w: runner %s is replaced", errTryAgain, flight.Runner.ID)
+		return fmt.Errorf("%w: runner %s was replaced", errTryAgain, flight.Runner.ID)
 	case reply.NotRun:
 		guard.stop()
 		delete(e.tried, flight.Runner.ID)
 		e.full[flight.Runner.ID] = true
 		flight.Failed(runnertable.Refused, e.forwarder.Now())
-		return fmt.Errorf("%w: runner %s refused", errTryAgain, flight.Runner.ID)
+		return fmt.Errorf("%w: runner %s refused the request", errTryAgain, flight.Runner.ID)
 	}
 	e.runs++
 	e.outcome = outcome.Ran
 	if !acceptable(reply) {
 		guard.stop()
 		flight.Failed(runnertable.NoAnswer, e.forwarder.Now())
-		return e.afterRun(fmt.Errorf("%w: success without the runner's signature or bytes", errUnsound))
+		return e.retryOrFail(fmt.Errorf("%w: success without the runner's signature or with modified bytes", errUnverified))
 	}
 	if erred(reply) {
 		flight.Failed(runnertable.Erred, e.forwarder.Now())
 	}
-	if e.begun && !isStream(reply) {
+	if e.headSent && !isStream(reply) {
 		guard.stop()
-		return e.afterRun(fmt.Errorf("%w: status %d", errNotResumed, reply.Head.Status))
+		return e.retryOrFail(fmt.Errorf("%w: status %d", errNotResumed, reply.Head.Status))
 	}
-	if erred(reply) && e.mayRunAgain() {
+	if erred(reply) && e.mayRetry() {
 		guard.stop()
 		return fmt.Errorf("%w: status %d", errTryAgain, reply.Head.Status)
 	}
 	before := e.lastEvent
 	err := e.relay(flight, reply, guard)
 	if err == nil && !erred(reply) {
-		e.cameToItsEnd()
+		e.recordCompleted()
 	}
-	// None of these is a failure of the runner.
+	// None of these is a fault of the runner.
 	if err == nil || errors.Is(err, errCallerGone) || errors.Is(err, heldbytes.ErrOver) {
 		return err
 	}
-	e.brokeOff(flight)
+	e.recordBroken(flight)
 	if e.ctx.Err() == nil {
 		cause := runnertable.NoAnswer
 		if guard.fired() {
@@ -229,53 +232,53 @@
 		flight.Failed(cause, e.forwarder.Now())
 		e.logAttempt(flight, err)
 	}
-	return e.afterRun(err)
+	return e.retryOrFail(err)
 }
 
-// erred says whether the runner failed; its answer at the request's deadline is no failure of the runner.
+// erred reports whether the answer shows a failure of the runner. A gateway time-out at the request's deadline is not one.
 func erred(reply *work.Reply) bool {
 	return reply.Head.Status >= http.StatusInternalServerError && reply.Head.Status != http.StatusGatewayTimeout
 }
 
-func (e *exchange) mayRunAgain() bool {
-	return !e.begun && e.route.Repeatable() && e.runs < e.route.MaximumAttempts
+func (e *exchange) mayRetry() bool {
+	return !e.headSent && e.route.Repeatable() && e.runs < e.route.MaximumAttempts
 }
 
-// errNotResumed means that a runner which was to go on with a stream answered otherwise. What it sent is no part of the
-// stream.
-const errNotResumed = failure.Kind("online: stream was not gone on with")
+// errNotResumed means that a runner asked to resume a stream sent something else. What it sent is not part of the stream.
+const errNotResumed = failure.Kind("online: stream was not resumed")
 
-// errUnsound means that a success cannot be passed on as the runner's.
-const errUnsound = failure.Kind("online: answer is not the runner's own")
+// errUnverified means that an answer cannot be attributed to the runner, or exceeds the size limit, and so is not relayed.
+const errUnverified = failure.Kind("online: answer not verified as the runner's")
 
-// acceptable says whether a success carries the signature and the runner's own bytes.
+// acceptable reports whether a success carries the runner's signature and its unmodified bytes. Other statuses are always
+// acceptable.
 func acceptable(reply *work.Reply) bool {
 	success := reply.Head.Status >= http.StatusOK && reply.Head.Status < http.StatusMultipleChoices
 	return !success || (reply.Sealed && !reply.Encoded)
 }
 
-// finish turns the last error into what the caller is told.
+// finish turns the last error into the one that is reported to the caller.
 func (e *exchange) finish(err error) error {
 	if err == nil {
 		return nil
 	}
-	if e.begun {
+	if e.headSent {
 		return fmt.Errorf("%w: %w", ErrBroken, err)
 	}
-	var told *failure.Error
-	if errors.As(err, &told) {
+	var final *failure.Error
+	if errors.As(err, &final) {
 		return err
 	}
-	if e.forwarder.Now().Add(leastBudget).After(e.deadline) {
-		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", err)
+	if e.forwarder.Now().Add(minBudget).After(e.deadline) {
+		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", err)
 	}
 	if e.outcome == outcome.NotRun {
-		return e.refusal(failure.CodeOverloaded, "no runner took the request", err)
+		return e.refusal(failure.CodeOverloaded, "no runner accepted the request", err)
 	}
-	return e.refusal(failure.CodeBackendFailed, "the runner's answer was lost", err)
+	return e.refusal(failure.CodeBackendFailed, "the runner's answer is incomplete or missing", err)
 }
 
-// refusal is the final answer of a request that is given up. Only one that has not run is told when to come back.
+// refusal returns the final error of a request that is given up. It carries a retry delay only if the request has not run.
 func (e *exchange) refusal(code failure.Code, message string, cause error) error {
 	refused := failure.New(code, "%s", message).WithOutcome(e.outcome).WithCause(cause)
 	switch {
@@ -284,13 +287,13 @@
 	case errors.Is(cause, connpool.ErrNotSent), errors.Is(cause, runnertable.ErrNoRunner):
 		return refused.WithRetryAfter(retryAfterOutage)
 	}
-	return refused.WithRetryAfter(e.room.returnAfter(e.waiter))
+	return refused.WithRetryAfter(e.queue.retryDelay(e.waiter))
 }
 
 func (e *exchange) logAttempt(flight *runnertable.Flight, err error) {
 	event.AttemptFailed.Log(e.forwarder.Logger).
 		Str("request", string(e.request.ID)).
-		Str("print", string(e.print())).
+		Str("print", string(e.fingerprint())).
 		Str("runner", string(flight.Runner.ID)).
 		Int("runs", e.runs).
 		Int64("last_event", e.lastEvent).
--- a/internal/online/fair.go
+++ b/internal/online/fair.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	// heldBackTold is how many tenants a line about those held back names.
-	heldBackTold = 8
-	// honouredPart of the time that a caller has left is the longest for which it is thought to stay away.
-	honouredPart = 1.0 / 3
-	// queuedAfter is how long after its sending a request without a first event counts as waiting at the runner: longer than prompts are
-	// read, and short beside the objectives of online work, so that places are seen to be scarce before answers are late.
-	queuedAfter = 75 * time.Millisecond
+	// maxTenantsLogged limits the tenants that a log line names.
+	maxTenantsLogged = 8
+	// honouredFraction is the fraction of a caller's remaining time up to which it is expected to honour a retry delay.
+	honouredFraction = 1.0 / 3
+	// queuedThreshold is the time after which a request that was sent and has no first event counts as queued at the runner.
+	// It is longer than a prompt takes to process, and short beside the objectives of online work, so that scarce slots are
+	// detected before answers are late.
+	queuedThreshold = 75 * time.Millisecond
 )
 
-// Uses returns what the keepers of the services' accounts are to be told: what tenants take and wait for of places that are scarce.
+// Uses returns the report for the account holders of the services: the slots that each tenant uses and waits for, of services
+// whose slots are scarce.
 func (f *Forwarder) Uses() []demand.Use {
 	var uses []demand.Use
-	for _, room := range f.rooms.all() {
-		uses = append(uses, room.uses()...)
+	for _, queue := range f.queues.all() {
+		uses = append(uses, queue.uses()...)
 	}
 	return uses
 }
 
-// Learn takes over what a keeper said of the tenants that have more than their share, as of a moment.
+// Learn applies the bounds that an account holder sent, as of a moment, for tenants that use more than their share. Bounds of
+// one service must be adjacent.
 func (f *Forwarder) Learn(bounds []demand.Bound, asOf time.Time) {
 	for first := 0; first < len(bounds); {
 		service := bounds[first].Service
@@ -42,200 +45,203 @@
 		for end < len(bounds) && bounds[end].Service == service {
 			end++
 		}
-		if room := f.rooms.known(service); room != nil {
-			room.learn(bounds[first:end], asOf)
+		if queue := f.queues.lookup(service); queue != nil {
+			queue.updateBounds(bounds[first:end], asOf)
 		}
 		first = end
 	}
 }
 
-// all returns the rooms there are.
-func (r *rooms) all() []*room {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	all := make([]*room, 0, len(r.byName))
-	for _, room := range r.byName {
-		all = append(all, room)
+// all returns the queues of all services.
+func (q *queues) all() []*queue {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	all := make([]*queue, 0, len(q.byName))
+	for _, queue := range q.byName {
+		all = append(all, queue)
 	}
 	return all
 }
 
-// known returns the room of a service, or nil where no request came for it.
-func (r *rooms) known(service string) *room {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.byName[service]
+// lookup returns the queue of a service, or nil if no request for the service has arrived.
+func (q *queues) lookup(service string) *queue {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.byName[service]
 }
 
-func (r *room) uses() []demand.Use {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.now()
-	queued := r.queued(now)
-	if !r.local.Scarce(now) {
+func (q *queue) uses() []demand.Use {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	now := q.now()
+	queued := q.queued(now)
+	if !q.tenantShares.Scarce(now) {
 		return nil
 	}
 	waiting := map[ident.Tenant]int{}
-	for waiter := range r.woken {
+	for waiter := range q.woken {
 		waiting[waiter.Tenant]++
 	}
-	return r.local.Uses(r.service, waiting, queued, now)
+	return q.tenantShares.Uses(q.service, waiting, queued, now)
 }
 
-// choose counts a request that chooses a runner among those that have a place, and says whether it yields: of several that choose at the same
-// moment each counts those before it, so that no more of them pass for within their tenant's bound than are. It is followed by taken or
-// foundNone.
-func (r *room) choose(waiter *waitline.Waiter) (yields bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	yields = r.yields(waiter)
-	r.local.Took(waiter.Tenant)
+// beginPick counts a slot for a request that is about to choose a runner, and reports whether the request yields. Requests
+// that choose at the same moment count each other, so that no more of them than allowed are treated as within their tenant's
+// bound. A call of slotTaken or cancelPick must follow.
+func (q *queue) beginPick(waiter *waitline.Waiter) (yields bool) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	yields = q.yields(waiter)
+	q.tenantShares.Took(waiter.Tenant)
 	return yields
 }
 
-// foundNone takes back that a request chose: it got no place.
-func (r *room) foundNone(waiter *waitline.Waiter) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.local.Gave(waiter.Tenant)
+// cancelPick undoes beginPick for a request that got no slot.
+func (q *queue) cancelPick(waiter *waitline.Waiter) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.tenantShares.Gave(waiter.Tenant)
 }
 
-// tookPlace notes that a request that chose got a place. The caller holds the mutex.
-func (r *room) tookPlace(waiter *waitline.Waiter) {
+// recordSlotTaken records that a request was sent to a runner. The caller holds the mutex.
+func (q *queue) recordSlotTaken(waiter *waitline.Waiter) {
 	if waiter.Tenant == "" {
 		return
 	}
-	if r.unanswered == nil {
-		r.unanswered = map[*waitline.Waiter]time.Time{}
+	if q.unanswered == nil {
+		q.unanswered = map[*waitline.Waiter]time.Time{}
 	}
-	r.unanswered[waiter] = r.now()
+	q.unanswered[waiter] = q.now()
 }
 
-// gavePlace notes that a request gave its place back. The caller holds the mutex.
-func (r *room) gavePlace(waiter *waitline.Waiter) {
-	r.local.Gave(waiter.Tenant)
-	delete(r.unanswered, waiter)
+// recordSlotReleased records that a request released its slot. The caller holds the mutex.
+func (q *queue) recordSlotReleased(waiter *waitline.Waiter) {
+	q.tenantShares.Gave(waiter.Tenant)
+	delete(q.unanswered, waiter)
 }
 
-// queued counts the requests by tenant whose answers should have begun: they wait at runners, whose places are scarce. The caller holds the
-// mutex.
-func (r *room) queued(now time.Time) map[ident.Tenant]int {
+// queued counts, by tenant, the requests whose answers should have begun and which are therefore queued at runners whose slots
+// are scarce. The caller holds the mutex.
+func (q *queue) queued(now time.Time) map[ident.Tenant]int {
 	queued := map[ident.Tenant]int{}
-	for waiter, sent := range r.unanswered {
-		if now.Sub(sent) > queuedAfter {
+	for waiter, sent := range q.unanswered {
+		if now.Sub(sent) > queuedThreshold {
 			queued[waiter.Tenant]++
-			r.local.Waited(now)
+			q.tenantShares.Waited(now)
 		}
 	}
 	return queued
 }
 
-func (r *room) learn(bounds []demand.Bound, asOf time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.local.Learn(bounds, asOf)
-	r.line.Yields = r.yields
+func (q *queue) updateBounds(bounds []demand.Bound, asOf time.Time) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.tenantShares.Learn(bounds, asOf)
+	q.pending.Yields = q.yields
 }
 
-// yields says whether a request takes only places that nobody else wants. The caller holds the mutex.
-func (r *room) yields(waiter *waitline.Waiter) bool {
-	return r.local.Yields(waiter.Tenant, waiter.Kind > r.mostUrgent, r.now())
+// yields reports whether a request may only take slots that no other request wants. The caller holds the mutex.
+func (q *queue) yields(waiter *waitline.Waiter) bool {
+	return q.tenantShares.Yields(waiter.Tenant, waiter.Kind > q.mostUrgent, q.now())
 }
 
-func (r *room) yieldsNow(waiter *waitline.Waiter) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.yields(waiter)
+func (q *queue) isYielding(waiter *waitline.Waiter) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.yields(waiter)
 }
 
-// scarce says whether places are known to be scarce.
-func (r *room) scarce() bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.local.Scarce(r.now())
+// scarce reports whether the slots of the service are known to be scarce.
+func (q *queue) scarce() bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.tenantShares.Scarce(q.now())
 }
 
-// unused notes that a request gave back a place that it had no use for.
-func (r *room) unused(waiter *waitline.Waiter) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.line.Unused()
-	r.gavePlace(waiter)
-	r.wake()
+// slotUnused records that a request released a slot without using it.
+func (q *queue) slotUnused(waiter *waitline.Waiter) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.pending.FreedUnused()
+	q.recordSlotReleased(waiter)
+	q.wakeNext()
 }
 
-// heldBack counts the requests that were turned away because their tenants have more than their share.
-type heldBack struct {
+// heldBackStats counts the requests that were rejected because their tenants use more than their share.
+type heldBackStats struct {
 	byTenant map[ident.Tenant]int
-	// most and sum are of the places that were thought to be free as they were turned away.
-	most, sum int
-	// away holds when those that were told to come back do so, the latest last.
-	away []time.Time
+	// maxFree and sumFree are the maximum and the sum of the estimated free slots at the times of these rejections.
+	maxFree, sumFree int
+	// retryTimes contains the retry times given to rejected callers, in the order of rejection.
+	retryTimes []time.Time
 }
 
-// turnedAway counts a request that was turned away, if it yielded.
-func (r *room) turnedAway(waiter *waitline.Waiter) {
-	if !r.yieldsNow(waiter) {
+// recordHeldBack counts a rejected request if it yields.
+func (q *queue) recordHeldBack(waiter *waitline.Waiter) {
+	if !q.isYielding(waiter) {
 		return
 	}
-	places := r.free()
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.held.byTenant == nil {
-		r.held.byTenant = map[ident.Tenant]int{}
+	slots := q.freeSlots()
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	if q.heldBack.byTenant == nil {
+		q.heldBack.byTenant = map[ident.Tenant]int{}
 	}
-	r.held.byTenant[waiter.Tenant]++
-	r.held.sum += places
-	r.held.most = max(r.held.most, places)
+	q.heldBack.byTenant[waiter.Tenant]++
+	q.heldBack.sumFree += slots
+	q.heldBack.maxFree = max(q.heldBack.maxFree, slots)
 }
 
-// returnOfYielding is when a caller may come back whose request yielded: when the places that come free have served those that were sent
-// away before it, as far as it stays away. The caller holds the mutex.
-func (r *room) returnOfYielding(waiter *waitline.Waiter) time.Duration {
-	now := r.now()
-	r.held.away = slices.DeleteFunc(r.held.away, now.After)
-	honoured := time.Duration(honouredPart * float64(waiter.Latest.Sub(now)))
-	longest := max(min(retryAfterOutage+retryAfterOutage, honoured), retryAfter)
-	after := max(r.line.ReturnYielding(len(r.held.away)), retryAfter)
+// yieldingRetryDelay returns when the caller of a rejected request that yields may retry: once the slots expected to become
+// free have served those rejected before it, limited to the delay that the caller is expected to honour. The caller holds the
+// mutex.
+func (q *queue) yieldingRetryDelay(waiter *waitline.Waiter) time.Duration {
+	now := q.now()
+	q.heldBack.retryTimes = slices.DeleteFunc(q.heldBack.retryTimes, now.After)
+	honoured := time.Duration(honouredFraction * float64(waiter.Latest.Sub(now)))
+	longest := max(min(retryAfterOutage+retryAfterOutage, honoured), minRetryAfter)
+	after := max(q.pending.ExpectedYieldingWait(len(q.heldBack.retryTimes)), minRetryAfter)
 	if after >= longest {
-		// There is no room for it then either: those that come anyway come spread.
-		after = longest - time.Duration(rand.Int64N(int64(longest-retryAfter)/2+1))
+		// There will be no free slot by then either. The delay is randomised, so that callers that retry nevertheless do not
+		// do so all at once.
+		after = longest - time.Duration(rand.Int64N(int64(longest-minRetryAfter)/2+1))
 	}
-	r.held.away = append(r.held.away, now.Add(after))
+	q.heldBack.retryTimes = append(q.heldBack.retryTimes, now.Add(after))
 	return after
 }
 
-// noteAnswered notes that the runner's answer begins, and whether that is on time.
-func (e *exchange) noteAnswered() {
+// recordFirstEvent records that the runner's answer begins, and whether that is on time.
+func (e *exchange) recordFirstEvent() {
 	now := e.forwarder.Now()
-	e.room.noteAnswered(now.Sub(e.sent))
+	e.queue.recordFirstEvent(now.Sub(e.sent))
 	if e.request.Tenant != "" {
-		e.room.noteOnTime(e.waiter, e.route.Objective <= 0 || now.Sub(e.request.Arrived) <= e.route.Objective)
+		e.queue.recordOnTime(e.waiter, e.route.Objective <= 0 || now.Sub(e.request.Arrived) <= e.route.Objective)
 	}
 }
 
-func (r *room) noteOnTime(waiter *waitline.Waiter, onTime bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	delete(r.unanswered, waiter)
-	if r.answers == nil {
-		r.answers = map[ident.Tenant][2]int{}
+func (q *queue) recordOnTime(waiter *waitline.Waiter, onTime bool) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	delete(q.unanswered, waiter)
+	if q.answerCounts == nil {
+		q.answerCounts = map[ident.Tenant][2]int{}
 	}
-	counts := r.answers[waiter.Tenant]
+	counts := q.answerCounts[waiter.Tenant]
 	if onTime {
 		counts[0]++
 	} else {
 		counts[1]++
 	}
-	r.answers[waiter.Tenant] = counts
+	q.answerCounts[waiter.Tenant] = counts
 }
 
-// tellLate logs whose answers began late, if any did, the largest by name. The caller holds the mutex.
-func (r *room) tellLate() {
-	answers := r.answers
-	r.answers = nil
+// logLate logs the counts of answers on time and late if any began late, and names the tenants with the most late ones. The
+// caller holds the mutex.
+func (q *queue) logLate() {
+	answerCounts := q.answerCounts
+	q.answerCounts = nil
 	onTime, late := 0, 0
-	for _, counts := range answers {
+	for _, counts := range answerCounts {
 		onTime += counts[0]
 		late += counts[1]
 	}
@@ -243,40 +249,41 @@
 		return
 	}
 	named := zerolog.Dict()
-	for position, tenant := range largest(answers, func(counts [2]int) int { return counts[1] }) {
-		if position < heldBackTold && answers[tenant][1] > 0 {
-			named.Ints(string(tenant), []int{answers[tenant][0], answers[tenant][1]})
+	for position, tenant := range sortedBySize(answerCounts, func(counts [2]int) int { return counts[1] }) {
+		if position < maxTenantsLogged && answerCounts[tenant][1] > 0 {
+			named.Ints(string(tenant), []int{answerCounts[tenant][0], answerCounts[tenant][1]})
 		}
 	}
-	event.TenantsAnsweredLate.Log(r.logger).Str("service", r.service).Dict("on_time_late", named).
+	event.TenantsAnsweredLate.Log(q.logger).Str("service", q.service).Dict("on_time_late", named).
 		Int("on_time", onTime).Int("late", late).Send()
 }
 
-// largest returns the tenants in the order of what they have, the one with the most first.
-func largest[C any](counts map[ident.Tenant]C, size func(C) int) []ident.Tenant {
+// sortedBySize returns the tenants by descending size of what is counted for them.
+func sortedBySize[C any](counts map[ident.Tenant]C, size func(C) int) []ident.Tenant {
 	return slices.SortedFunc(maps.Keys(counts), func(first, second ident.Tenant) int {
 		return cmp.Or(cmp.Compare(size(counts[second]), size(counts[first])), cmp.Compare(first, second))
 	})
 }
 
-// tellHeldBack logs which tenants were held back, the largest by name. The caller holds the mutex.
-func (r *room) tellHeldBack() {
-	counts := r.held.byTenant
+// logHeldBack logs how many requests of tenants above their share were rejected, and names the tenants with the most. The
+// caller holds the mutex.
+func (q *queue) logHeldBack() {
+	counts := q.heldBack.byTenant
 	if len(counts) == 0 {
 		return
 	}
-	tenants := largest(counts, func(count int) int { return count })
+	tenants := sortedBySize(counts, func(count int) int { return count })
 	named, others, all := zerolog.Dict(), 0, 0
 	for position, tenant := range tenants {
 		all += counts[tenant]
-		if position < heldBackTold {
+		if position < maxTenantsLogged {
 			named.Int(string(tenant), counts[tenant])
 			continue
 		}
 		others += counts[tenant]
 	}
-	event.TenantsHeldBack.Log(r.logger).Str("service", r.service).Dict("turned_away", named).
-		Int("others", max(len(tenants)-heldBackTold, 0)).Int("others_turned_away", others).
-		Int("free_places_mean", r.held.sum/all).Int("free_places_most", r.held.most).Send()
-	r.held = heldBack{away: r.held.away}
+	event.TenantsHeldBack.Log(q.logger).Str("service", q.service).Dict("turned_away", named).
+		Int("others", max(len(tenants)-maxTenantsLogged, 0)).Int("others_turned_away", others).
+		Int("free_places_mean", q.heldBack.sumFree/all).Int("free_places_most", q.heldBack.maxFree).Send()
+	q.heldBack = heldBackStats{retryTimes: q.heldBack.retryTimes}
 }
--- a/internal/online/forwarder.go
+++ b/internal/online/forwarder.go
@@ -1,5 +1,9 @@
-// Package online serves requests whose caller waits: it chooses runners, keeps to the attempts and the time a route
-// allows, resumes broken streams where that is allowed, and says of every failure whether the request may have run.
+// Package online serves requests whose caller waits for the answer. It picks a runner for each attempt, after querying the
+// owners of the candidate runners for their current load, and queues requests by tenant and urgency while the slots of a
+// service are scarce. It enforces the attempts and the time that a route allows, resumes broken streams where the route allows
+// that, buffers answers for slow callers or cuts these callers off, refuses requests that end their runners, and states for
+// each failure whether the request may have run. It also reports scarce slots and waiting requests to the account holders of
+// services and the owners of runners, and applies the bounds and grants that these return.
 package online
 
 import (
@@ -23,69 +27,69 @@
 )
 
 const (
-	// maximumTries bounds the runners asked in a row where none ran the request.
+	// maximumTries limits the consecutive runners that are sent a request while none executes it.
 	maximumTries = 5
-	// retryAfter is when a client may come back that was refused by full runners: longer than a burst's first queue,
-	// shorter than its patience.
-	retryAfter = 300 * time.Millisecond
-	// retryAfterOutage is when a client may come back where no runner could be reached: they restart within seconds, and
-	// clients have few retries.
+	// minRetryAfter is the least time after which a client may retry that was refused because all runners are full: longer
+	// than the first queue of a burst, shorter than clients wait.
+	minRetryAfter = 300 * time.Millisecond
+	// retryAfterOutage is the time after which a client may retry if no runner could be reached. Runners restart within
+	// seconds, and clients have few retries.
 	retryAfterOutage = 1200 * time.Millisecond
-	// silenceFactor times the objective is how long a runner may leave a repeatable request without a first event before
-	// another gets it, within the bounds below.
-	silenceFactor   = 3
-	shortestSilence = 600 * time.Millisecond
-	longestSilence  = 1200 * time.Millisecond
-	// pauseFactor times the pause that a route allows between two events is how long a runner may leave a stream that has
-	// begun without the next one. Half a pause would leave time to go on elsewhere within it, and ends sound streams beside
-	// long prompts.
+	// silenceFactor times the objective, within the bounds below, is how long a runner may take to send the first event of a
+	// repeatable request before the request is sent to another one.
+	silenceFactor = 3
+	minSilence    = 600 * time.Millisecond
+	maxSilence    = 1200 * time.Millisecond
+	// pauseFactor times the pause between two events that a route allows is how long a runner may leave a started stream
+	// without a further event. Half the pause would leave time to resume the stream elsewhere within it, but ends healthy
+	// streams whose runners process long prompts at the same time.
 	pauseFactor = 2
-	// writeSlack is how long after a request's end its answer may still be written to a slow caller.
-	writeSlack = 2 * time.Second
-	// leastBudget is the time below which an attempt is not worth sending.
-	leastBudget = 5 * time.Millisecond
+	// writeGrace is how long after a request's deadline its answer may still be written to a slow caller.
+	writeGrace = 2 * time.Second
+	// minBudget is the remaining time below which no attempt is sent.
+	minBudget = 5 * time.Millisecond
 )
 
 // Forwarder serves requests. It is safe for concurrent use.
 type Forwarder struct {
 	Runners *runnertable.Table
 	Caller  work.Caller
-	// Ends finds out which requests end the runners that run them; nil lets each run.
+	// Ends identifies requests that end the runners that run them; if nil, no request is refused for that.
 	Ends *endwatch.Watch
-	// Held bounds what the node holds for callers; nil bounds nothing.
+	// Held limits the memory that the node uses on behalf of callers; nil sets no limit.
 	Held *heldbytes.OfNode
-	// Key is what the prints of requests are made with.
+	// Key is the key of request fingerprints.
 	Key    poison.Key
 	Logger zerolog.Logger
 	Now    func() time.Time
-	// Owners are asked before a choice where runners tell their pace; nil asks nobody.
+	// Owners are queried before a runner is chosen if runners report their pace; nil disables these queries.
 	Owners Owners
-	// Asks has the owners of runners asked for places, where they ration them and a request waits; nil asks nobody. It must not block.
+	// Asks triggers requests for slots to the owners of runners when a request waits for rationed slots; it may be nil. It
+	// must not block.
 	Asks func()
 
-	rooms rooms
+	queues queues
 }
 
-// Serve answers one request of a route. A nil error means that the whole answer was passed on. An error that wraps
-// ErrBroken means that the answer was begun and must not look complete; any other is a *failure.Error for an answer
-// that was not begun.
+// Serve answers one request of a route. A nil error means that the whole answer was relayed. An error that wraps ErrBroken
+// means that the answer was begun and must not look complete; any other is a *failure.Error for an answer that was not begun.
 func (f *Forwarder) Serve(ctx context.Context, route *work.Route, request *work.Request, writer work.AnswerWriter) error {
 	deadline := f.deadline(route, request)
-	writer.Until(deadline.Add(writeSlack))
+	writer.Until(deadline.Add(writeGrace))
 	ctx, cancel := clock.WithDeadline(ctx, deadline)
 	defer cancel()
 	service := chooseService(route)
-	room := f.roomOf(service)
+	queue := f.queueOf(service)
 	exchange := &exchange{
 		forwarder: f, ctx: ctx, route: route, request: request, writer: writer, deadline: deadline,
 		service: service, tried: map[ident.Incarnation]bool{}, full: map[ident.Incarnation]bool{},
 		lastEvent: request.ResumeAfter, outcome: outcome.NotRun,
-		room: room, waiter: room.waiter(request, route, onTime(route, request, deadline), deadline.Add(-leastBudget)),
+		queue: queue, waiter: queue.waiter(request, route, onTimeDeadline(route, request, deadline), deadline.Add(-minBudget)),
 	}
 	return exchange.run()
 }
 
-// deadline is when the client stops waiting or the route's time is over, whichever is first.
+// deadline returns when the client stops waiting or the route's timeout ends, whichever is earlier.
 func (f *Forwarder) deadline(route *work.Route, request *work.Request) time.Time {
 	deadline := request.Deadline
 	if route.Timeout > 0 {
@@ -100,18 +104,18 @@
 	return deadline
 }
 
-// onTime is until when an answer earns its full credit; where the route names no objective, until the deadline.
-func onTime(route *work.Route, request *work.Request, deadline time.Time) time.Time {
+// onTimeDeadline returns the time until which an answer meets the route's objective, or the deadline if the route has none.
+func onTimeDeadline(route *work.Route, request *work.Request, deadline time.Time) time.Time {
 	if route.Objective <= 0 {
 		return deadline
 	}
 	return request.Arrived.Add(route.Objective)
 }
 
-// defaultTimeout bounds a request for which neither the client nor the route names a time.
+// defaultTimeout applies to requests for which neither the client nor the route sets a time limit.
 const defaultTimeout = 60 * time.Second
 
-// chooseService draws a part of the route's split by its weight.
+// chooseService picks a service of the route's split at random by weight.
 func chooseService(route *work.Route) string {
 	total := 0.0
 	for _, part := range route.Split {
@@ -127,7 +131,7 @@
 	return route.Split[len(route.Split)-1].Service
 }
 
-// classify says what a failed sending means for the request and for the runner.
+// classify returns what a failed send means for the request and for the runner.
 func classify(err error) (outcome.Outcome, runnertable.Failure) {
 	if errors.Is(err, connpool.ErrNotSent) {
 		return outcome.NotRun, runnertable.Unreachable
@@ -135,5 +139,5 @@
 	return outcome.Unknown, runnertable.NoAnswer
 }
 
-// ErrBroken means that an answer was begun and cannot be ended.
-const ErrBroken = failure.Kind("online: answer broken off")
+// ErrBroken means that an answer was begun and cannot be completed.
+const ErrBroken = failure.Kind("online: answer broken off after its start")
--- a/internal/online/memory_test.go
+++ b/internal/online/memory_test.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// runnerMemory is what a runner of eight places can hold, in tokens.
+	// runnerMemory is the capacity of a runner of eight slots, in tokens.
 	runnerMemory = 101_495
-	// longPrompt and longOutput are a request that takes a fifth of that.
+	// longPrompt and longOutput make up a request that takes a fifth of that.
 	longPrompt, longOutput = 18_000, 2_000
-	// takenByOthers leaves no room for one more.
+	// takenByOthers leaves no capacity for one more such request.
 	takenByOthers = 85_000
 )
 
-// memorySite is a front before runners whose memory other nodes take.
+// memorySite is a front with runners whose memory other nodes use.
 type memorySite struct {
 	forwarder *online.Forwarder
 	runners   []work.Runner
-	// sent are the runners that the request went to, and when.
+	// sent contains the runners that the request was sent to, at the times.
 	sent []ident.Incarnation
 	at   []time.Time
-	// broke is called once the first run was sent, which breaks off after its first event.
-	broke func(at ident.Incarnation)
+	// onFirstRun is called when the first run was sent, which breaks off after its first event.
+	onFirstRun func(at ident.Incarnation)
 }
 
 func newMemorySite() *memorySite {
@@ -45,13 +45,13 @@
 	table.Replace(s.runners, time.Now(), true)
 	s.forwarder = &online.Forwarder{Runners: table, Caller: s, Logger: zerolog.Nop(), Now: time.Now}
 	for _, runner := range s.runners {
-		s.tell(runner.ID, 0)
+		s.reportTokens(runner.ID, 0)
 	}
 	return s
 }
 
-// tell has the owner of a runner tell how many tokens others have there.
-func (s *memorySite) tell(id ident.Incarnation, tokens int) {
+// reportTokens applies a report of a runner's owner on how many tokens other nodes use there.
+func (s *memorySite) reportTokens(id ident.Incarnation, tokens int) {
 	s.forwarder.Runners.TakeShares([]demand.Share{{Runner: id, Tokens: tokens, Memory: runnerMemory}}, time.Now())
 }
 
@@ -59,7 +59,7 @@
 func (s *memorySite) Send(_ context.Context, attempt work.Attempt) (*work.Reply, error) {
 	s.sent, s.at = append(s.sent, attempt.Runner.ID), append(s.at, time.Now())
 	if attempt.ResumeAfter == 0 {
-		s.broke(attempt.Runner.ID)
+		s.onFirstRun(attempt.Runner.ID)
 		return stream(firstEvent, false), nil
 	}
 	return stream(secondEvent, true), nil
@@ -83,20 +83,20 @@
 	return writer, s.forwarder.Serve(context.Background(), route, request, writer)
 }
 
-// TestResumedStreamGoesWhereThereIsMemory breaks a stream of 20,000 tokens off while other nodes have 85,000 of 101,495 tokens at all
-// runners but one: that one goes on with it. Another would fall over, with all that it has. Twenty streams leave a choice by chance one in
-// 5 to the power of 20.
+// TestResumedStreamGoesWhereThereIsMemory breaks a stream of 20,000 tokens off while other nodes use 85,000 of 101,495 tokens
+// at all runners but one. The stream must be resumed on that one: any other would run out of memory and fail with all its
+// requests. With twenty streams, a random choice passes with a probability of one in 5 to the power of 20.
 func TestResumedStreamGoesWhereThereIsMemory(t *testing.T) {
 	for range 20 {
 		s, free := newMemorySite(), ident.Incarnation("")
-		s.broke = func(at ident.Incarnation) {
+		s.onFirstRun = func(at ident.Incarnation) {
 			free = "1"
 			if at == free {
 				free = "2"
 			}
 			for _, runner := range s.runners {
 				if runner.ID != free {
-					s.tell(runner.ID, takenByOthers)
+					s.reportTokens(runner.ID, takenByOthers)
 				}
 			}
 		}
@@ -107,19 +107,19 @@
 	}
 }
 
-// TestResumedStreamWaitsForTheMemoryOfARunner has other nodes take all runners for 200 ms: the stream is gone on with as the first has
-// room again, long before its caller gives up.
+// TestResumedStreamWaitsForTheMemoryOfARunner has other nodes use the memory of all runners for 200 ms. The stream must be
+// resumed as soon as one has free memory, long before its caller gives up.
 func TestResumedStreamWaitsForTheMemoryOfARunner(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		const taken = 200 * time.Millisecond
 		s := newMemorySite()
-		s.broke = func(ident.Incarnation) {
+		s.onFirstRun = func(ident.Incarnation) {
 			for _, runner := range s.runners {
-				s.tell(runner.ID, takenByOthers)
+				s.reportTokens(runner.ID, takenByOthers)
 			}
 			time.AfterFunc(taken, func() {
 				for _, runner := range s.runners {
-					s.tell(runner.ID, takenByOthers/2)
+					s.reportTokens(runner.ID, takenByOthers/2)
 				}
 			})
 		}
@@ -127,21 +127,21 @@
 		assert.NilError(t, err)
 		assert.Equal(t, writer.body.String(), firstEvent+secondEvent)
 		waited := s.at[1].Sub(s.at[0])
-		assert.Assert(t, waited >= taken && waited < taken+pauseAllowed, "gone on with after %v", waited)
+		assert.Assert(t, waited >= taken && waited < taken+pauseAllowed, "resumed after %v", waited)
 	})
 }
 
-// TestResumedStreamDoesNotWaitBeyondItsTime never finds memory: the answer is broken off when its caller stops waiting, and not sent to a
-// runner that would fall over.
+// TestResumedStreamDoesNotWaitBeyondItsTime never has a runner with free memory. The answer must be broken off when its caller
+// stops waiting, and not sent to a runner that would run out of memory.
 func TestResumedStreamDoesNotWaitBeyondItsTime(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		s := newMemorySite()
 		over := make(chan struct{})
-		s.broke = func(ident.Incarnation) {
+		s.onFirstRun = func(ident.Incarnation) {
 			go func() {
 				for {
 					for _, runner := range s.runners {
-						s.tell(runner.ID, takenByOthers)
+						s.reportTokens(runner.ID, takenByOthers)
 					}
 					select {
 					case <-over:
--- /dev/null
+++ b/internal/online/poison.go
@@ -0,0 +1,49 @@
+package online
+
+import (
+	"mallowlatch.example/mallowlatch/internal/event"
+	"mallowlatch.example/mallowlatch/internal/failure"
+	"mallowlatch.example/mallowlatch/internal/outcome"
+	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/runnertable"
+)
+
+// A poison request, which ends the runners that run it, is repeated under other ids and at other nodes, so the attempts of a
+// route do not limit how many runners it ends: it was 43 in one storm on a site of 18 runners. The record under its
+// fingerprint, which all nodes share, limits them.
+
+// fingerprint returns the request's fingerprint. It is computed when first needed, since reading the body takes some
+// microseconds.
+func (e *exchange) fingerprint() poison.Print {
+	if e.cachedFingerprint == "" {
+		e.cachedFingerprint = e.forwarder.Key.Of(e.request)
+	}
+	return e.cachedFingerprint
+}
+
+// isPoison reports whether enough runners have ended under the request for it to be refused.
+func (e *exchange) isPoison() bool {
+	return !e.forwarder.Ends.Idle() && e.forwarder.Ends.Refused(e.fingerprint())
+}
+
+// recordBroken records that a runner's answer to the request broke off. A caller that left or a passed deadline is no sign of
+// a fault of the runner, and is not recorded.
+func (e *exchange) recordBroken(flight *runnertable.Flight) {
+	if e.forwarder.Ends != nil && e.ctx.Err() == nil {
+		e.forwarder.Ends.Broken(flight.Runner, e.fingerprint())
+	}
+}
+
+// recordCompleted records that a runner completed the request.
+func (e *exchange) recordCompleted() {
+	if !e.forwarder.Ends.Idle() {
+		e.forwarder.Ends.Well(e.fingerprint())
+	}
+}
+
+// refusePoison returns the final error for a poison request. Its outcome is that it ran, though perhaps under another id, and
+// it carries no retry delay.
+func (e *exchange) refusePoison() error {
+	event.RequestTurnedAway.Log(e.forwarder.Logger).Str("request", string(e.request.ID)).Str("print", string(e.fingerprint())).Send()
+	return failure.New(failure.CodeEndsRunners, "runners ended while running this request").WithOutcome(outcome.Ran)
+}
--- a/internal/online/ends_test.go
+++ b/internal/online/poison_test.go
@@ -22,41 +22,41 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// watched is a request at a node that remembers ends of runners under it.
-type watched struct {
+// watchedRequest is a request at a node that records runners which ended under it.
+type watchedRequest struct {
 	forwarder *online.Forwarder
 	request   *work.Request
 }
 
-// newWatched has some runners ended under the request.
-func newWatched(forwarder *online.Forwarder, caller work.Caller, ends int) *watched {
+// newWatchedRequest returns a request under which some runners have ended.
+func newWatchedRequest(forwarder *online.Forwarder, caller work.Caller, ends int) *watchedRequest {
 	forwarder.Key = poison.Key("k")
 	forwarder.Ends = &endwatch.Watch{
 		Book: poison.NewBook(1), Runners: forwarder.Runners, Caller: caller, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
 	}
-	w := &watched{forwarder: forwarder, request: &work.Request{
+	w := &watchedRequest{forwarder: forwarder, request: &work.Request{
 		ID: "q", Method: http.MethodPost, Body: []byte("text"), Arrived: time.Now(), Deadline: time.Now().Add(time.Minute),
 	}}
 	w.end(ends)
 	return w
 }
 
-// end has so many runners end under the request.
-func (w *watched) end(count int) {
+// end records that further runners ended under the request.
+func (w *watchedRequest) end(count int) {
 	for range count {
 		already := w.ends()
-		w.forwarder.Ends.Book.Ended(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Print{w.print()}, time.Now(), time.Now())
+		w.forwarder.Ends.Book.Ended(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Print{w.fingerprint()}, time.Now(), time.Now())
 	}
 }
 
-func (w *watched) print() poison.Print { return w.forwarder.Key.Of(w.request) }
+func (w *watchedRequest) fingerprint() poison.Print { return w.forwarder.Key.Of(w.request) }
 
-func (w *watched) ends() int {
-	ends, _ := w.forwarder.Ends.Book.Ends(w.print())
+func (w *watchedRequest) ends() int {
+	ends, _ := w.forwarder.Ends.Book.Ends(w.fingerprint())
 	return ends
 }
 
-func (w *watched) serve(writer work.AnswerWriter) error {
+func (w *watchedRequest) serve(writer work.AnswerWriter) error {
 	route := &work.Route{
 		Name: "r", Kind: work.Streaming, Resumable: true, MaximumAttempts: 3, Objective: time.Second,
 		Split: []work.WeightedService{{Service: "s", Weight: 1}},
@@ -64,40 +64,40 @@
 	return w.forwarder.Serve(context.Background(), route, w.request, writer)
 }
 
-// TestRequestUnderWhichThreeRunnersEndedIsRefused tells its caller at once, though all places are taken, that it has run, and invites
-// it to nothing.
+// TestRequestUnderWhichThreeRunnersEndedIsRefused checks that such a request is refused at once, though all slots are taken,
+// that its outcome says that it ran, and that the caller is given no retry delay.
 func TestRequestUnderWhichThreeRunnersEndedIsRefused(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Second}
 		forwarder := busySite(caller)
-		w := newWatched(forwarder, caller, 3)
+		w := newWatchedRequest(forwarder, caller, 3)
 		others := make(chan []result, 1)
 		go func() { others <- serveAll(context.Background(), forwarder, slots+queued) }()
 		synctest.Wait()
 		began := time.Now()
-		told := failure.As(w.serve(&recorder{}))
+		rejection := failure.As(w.serve(&recorder{}))
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, told.Code, failure.CodeEndsRunners)
-		assert.Equal(t, told.Outcome, outcome.Ran)
-		assert.Equal(t, told.RetryAfter, time.Duration(0))
+		assert.Equal(t, rejection.Code, failure.CodeEndsRunners)
+		assert.Equal(t, rejection.Outcome, outcome.Ran)
+		assert.Equal(t, rejection.RetryAfter, time.Duration(0))
 		<-others
 		assert.Equal(t, caller.sent, slots+queued)
 	})
 }
 
-func TestRequestThatComesToItsEndIsExcused(t *testing.T) {
+func TestCompletedRequestClearsRecordedEnds(t *testing.T) {
 	caller := &busyCaller{}
-	w := newWatched(busySite(caller), caller, 2)
+	w := newWatchedRequest(busySite(caller), caller, 2)
 	assert.NilError(t, w.serve(&recorder{}))
 	assert.Equal(t, w.ends(), 0)
 }
 
-// TestRequestThatWaitsIsRefusedOnceItIsKnown has other nodes tell of it while it waits for a place.
-func TestRequestThatWaitsIsRefusedOnceItIsKnown(t *testing.T) {
+// TestWaitingPoisonRequestIsRefusedOnceKnown has other nodes report the third end while the request waits for a slot.
+func TestWaitingPoisonRequestIsRefusedOnceKnown(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Second}
 		forwarder := busySite(caller)
-		w := newWatched(forwarder, caller, 2)
+		w := newWatchedRequest(forwarder, caller, 2)
 		others := make(chan []result, 1)
 		go func() { others <- serveAll(context.Background(), forwarder, slots+queued) }()
 		synctest.Wait()
@@ -109,7 +109,7 @@
 	})
 }
 
-// endingCaller breaks its answer off after the first event, when the third runner has ended under the request.
+// endingCaller records the third end of a runner under the request, and breaks its answer off after the first event.
 type endingCaller struct {
 	scriptedCaller
 	ends func()
@@ -120,11 +120,11 @@
 	return c.scriptedCaller.Send(ctx, attempt)
 }
 
-func TestStreamThatEndsItsRunnersIsNotGoneOnWith(t *testing.T) {
+func TestStreamThatEndsItsRunnersIsNotResumed(t *testing.T) {
 	caller := &endingCaller{scriptedCaller: scriptedCaller{replies: []*work.Reply{stream(firstEvent, false), stream(secondEvent, true)}}}
 	forwarder := busySite(caller)
 	forwarder.Runners.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: slots}, {ID: "2", Service: "s", Zone: "z", Slots: slots}}, time.Now(), true)
-	w := newWatched(forwarder, caller, 2)
+	w := newWatchedRequest(forwarder, caller, 2)
 	caller.ends = func() { w.end(1) }
 	writer := &recorder{}
 	assert.ErrorIs(t, w.serve(writer), online.ErrBroken)
--- a/internal/online/room_test.go
+++ b/internal/online/queue_test.go
@@ -21,7 +21,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// busyCaller takes a time for each request, and counts those that came and the most that ran at once.
+// busyCaller takes a given time for each request, and counts the requests and the most that ran at once.
 type busyCaller struct {
 	scriptedCaller
 	takes time.Duration
@@ -62,24 +62,24 @@
 
 const (
 	slots = 4
-	// queued is how many requests more may wait at a runner with that many slots.
+	// queued is how many more requests may wait at a runner with that many slots.
 	queued = 1
 )
 
-// busySite is a forwarder with one runner.
+// busySite returns a forwarder with one runner.
 func busySite(caller work.Caller) *online.Forwarder {
 	table := runnertable.New("z")
 	table.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: slots}}, time.Now(), true)
 	return &online.Forwarder{Runners: table, Caller: caller, Logger: zerolog.Nop(), Now: time.Now}
 }
 
-// result is how a request ended, and when.
+// result is how a request ended, and how long it took.
 type result struct {
 	err  error
 	took time.Duration
 }
 
-// serveAll sends requests at the same moment and returns how they ended, in the order of their ends.
+// serveAll sends requests at the same moment and returns their results in the order of their ends.
 func serveAll(ctx context.Context, forwarder *online.Forwarder, requests int) []result {
 	route := &work.Route{
 		Name: "r", Kind: work.Idempotent, MaximumAttempts: 1, Objective: 300 * time.Millisecond,
@@ -101,9 +101,9 @@
 	return results
 }
 
-// TestRequestsWaitWhereTheyCanBeTurnedAway has more requests come than a runner has places: no more than a few wait at the
-// runner, and each gets a place in turn.
-func TestRequestsWaitWhereTheyCanBeTurnedAway(t *testing.T) {
+// TestRequestsWaitAtTheFrontNotTheRunner sends more requests than a runner has slots. No more than a few may wait at the
+// runner, and each must get a slot in turn.
+func TestRequestsWaitAtTheFrontNotTheRunner(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: 20 * time.Millisecond}
 		const requests = 20
@@ -115,32 +115,32 @@
 	})
 }
 
-// TestWhatCannotBeServedInTimeIsTurnedAwayAtOnce has a burst come at a node that knows how long its runner takes. Those that
-// would be late are told so at once, that they have not run, and when to come back; the others are served on time.
-func TestWhatCannotBeServedInTimeIsTurnedAwayAtOnce(t *testing.T) {
+// TestRequestsThatCannotBeOnTimeAreRejectedAtOnce sends a burst to a node that knows how long its runner takes. Requests that
+// would be late must be rejected at once as not run, with a retry delay; the others must be served on time.
+func TestRequestsThatCannotBeOnTimeAreRejectedAtOnce(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: 100 * time.Millisecond}
 		forwarder := busySite(caller)
 		serveAll(t.Context(), forwarder, slots)
 		served := 0
 		for _, got := range serveAll(t.Context(), forwarder, 60) {
-			var told *failure.Error
-			if !errors.As(got.err, &told) {
+			var rejection *failure.Error
+			if !errors.As(got.err, &rejection) {
 				assert.NilError(t, got.err)
 				assert.Assert(t, got.took <= 400*time.Millisecond, "served after %v", got.took)
 				served++
 				continue
 			}
-			assert.Equal(t, got.took, time.Duration(0), "turned away after %v", got.took)
-			assert.Equal(t, told.Outcome, outcome.NotRun)
-			assert.Assert(t, told.RetryAfter >= 300*time.Millisecond && told.RetryAfter <= 2400*time.Millisecond, "%v", told.RetryAfter)
+			assert.Equal(t, got.took, time.Duration(0), "rejected after %v", got.took)
+			assert.Equal(t, rejection.Outcome, outcome.NotRun)
+			assert.Assert(t, rejection.RetryAfter >= 300*time.Millisecond && rejection.RetryAfter <= 2400*time.Millisecond, "%v", rejection.RetryAfter)
 		}
 		assert.Assert(t, served >= 2*(slots+queued) && served <= 4*(slots+queued), "%d were served", served)
 	})
 }
 
-// TestRefusalOfAFullRunnerIsWaitedOut has the only runner refuse a request twice: it gets its place afterwards.
-func TestRefusalOfAFullRunnerIsWaitedOut(t *testing.T) {
+// TestRequestWaitsAfterFullRunnerRefuses has the only runner refuse a request twice: the request must get a slot afterwards.
+func TestRequestWaitsAfterFullRunnerRefuses(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Millisecond, refuses: 2}
 		got := serveAll(t.Context(), busySite(caller), 1)[0]
@@ -149,9 +149,9 @@
 	})
 }
 
-// TestCallersThatLeaveGiveTheirPlaceInTheLineBack has callers leave while their requests wait behind others: nothing of them is
-// sent when the places of those come free, and the node serves on.
-func TestCallersThatLeaveGiveTheirPlaceInTheLineBack(t *testing.T) {
+// TestCallersThatLeaveAreRemovedFromTheQueue has callers leave while their requests wait behind others. None of these requests
+// may be sent when slots become free, and the node must serve later requests.
+func TestCallersThatLeaveAreRemovedFromTheQueue(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: 50 * time.Millisecond}
 		forwarder := busySite(caller)
@@ -172,9 +172,9 @@
 	})
 }
 
-// TestRequestWhoseCallerLeftTakesNoPlace has callers leave before their requests are looked at, as after a freeze of the node:
-// no runner is thought to work on them afterwards.
-func TestRequestWhoseCallerLeftTakesNoPlace(t *testing.T) {
+// TestRequestWhoseCallerLeftTakesNoSlot has callers leave before their requests are handled, as after a freeze of the node. No
+// slot may count as used afterwards.
+func TestRequestWhoseCallerLeftTakesNoSlot(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Millisecond}
 		forwarder := busySite(caller)
@@ -182,6 +182,6 @@
 		cancel()
 		serveAll(ctx, forwarder, 3)
 		assert.Equal(t, caller.sent, 0)
-		assert.Equal(t, len(forwarder.Runners.Online(time.Now())), 0, "places are taken by requests that ended")
+		assert.Equal(t, len(forwarder.Runners.Online(time.Now())), 0, "slots are taken by requests that ended")
 	})
 }
--- a/internal/online/ration.go
+++ b/internal/online/ration.go
@@ -7,42 +7,43 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 )
 
-// Waiting returns what the owners of runners whose places are rationed are to be told: the requests that wait, in the order of the services.
+// Waiting returns the report for the owners of runners whose slots are rationed: the waiting requests of each service, ordered
+// by service.
 func (f *Forwarder) Waiting() []demand.Waiting {
 	var waiting []demand.Waiting
-	for _, room := range f.rooms.all() {
-		if of := room.waiting(); of.OnTime+of.Late > 0 {
-			waiting = append(waiting, of)
+	for _, queue := range f.queues.all() {
+		if report := queue.waiting(); report.OnTime+report.Late > 0 {
+			waiting = append(waiting, report)
 		}
 	}
 	slices.SortFunc(waiting, func(first, second demand.Waiting) int { return cmp.Compare(first.Service, second.Service) })
 	return waiting
 }
 
-// Granted has requests look for the places that owners granted a moment ago.
+// Granted wakes requests to use the slots that owners have just granted.
 func (f *Forwarder) Granted() {
-	for _, room := range f.rooms.all() {
-		room.granted()
+	for _, queue := range f.queues.all() {
+		queue.granted()
 	}
 }
 
-func (r *room) waiting() demand.Waiting {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.now()
-	onTime, until, late := r.line.Waiting(now)
-	waiting := demand.Waiting{Service: r.service, OnTime: onTime, Late: late}
+func (q *queue) waiting() demand.Waiting {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	now := q.now()
+	onTime, until, late := q.pending.Waiting(now)
+	waiting := demand.Waiting{Service: q.service, OnTime: onTime, Late: late}
 	if onTime > 0 {
 		waiting.LeftMs = until.Sub(now).Milliseconds()
 	}
 	return waiting
 }
 
-// granted has a request look where places are rationed; each that finds one wakes the next one.
-func (r *room) granted() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.rationed() {
-		r.wake()
+// granted wakes a request if slots are rationed. Each request that gets a slot wakes the next one.
+func (q *queue) granted() {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	if q.rationed() {
+		q.wakeNext()
 	}
 }
--- a/internal/online/ration_test.go
+++ b/internal/online/ration_test.go
@@ -14,7 +14,8 @@
 	"mallowlatch.example/mallowlatch/internal/simulated"
 )
 
-// rationedSite is a forwarder whose runner's owner rations its places and has granted none. The owner is asked as requests wait.
+// rationedSite returns a forwarder with a runner whose owner rations its slots and has granted none. The function is called
+// when the owner is asked for slots.
 func rationedSite(caller *busyCaller, asked func(*online.Forwarder)) *online.Forwarder {
 	forwarder := busySite(caller)
 	forwarder.Asks = func() { asked(forwarder) }
@@ -22,14 +23,15 @@
 	return forwarder
 }
 
-// grant has the owner answer a question that was asked now.
-func grant(forwarder *online.Forwarder, places int) {
-	forwarder.Runners.TakeShares([]demand.Share{{Runner: "1", Orphans: 1, Rationed: true, Granted: places}}, time.Now())
+// grant applies an owner's answer to a query sent now.
+func grant(forwarder *online.Forwarder, slots int) {
+	forwarder.Runners.TakeShares([]demand.Share{{Runner: "1", Orphans: 1, Rationed: true, Granted: slots}}, time.Now())
 	forwarder.Granted()
 }
 
-// TestRequestWaitsForAGrantAndUsesItAtOnce has a request come while no place is granted. It is told of as one that waits and can be on time; as the
-// owner grants a place 3 ms later it is sent, before the next look. A second one waits on, and is sent at the next grant.
+// TestRequestWaitsForAGrantAndUsesItAtOnce has two requests arrive while no slot is granted. They must be reported as waiting
+// and on time; when the owner grants a slot 3 ms later one must be sent at once, before the next periodic check, and the other
+// at the next grant.
 func TestRequestWaitsForAGrantAndUsesItAtOnce(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Millisecond}
@@ -55,15 +57,15 @@
 			synctest.Wait()
 			assert.Equal(t, caller.sent, sent)
 			time.Sleep(50 * time.Millisecond)
-			assert.Equal(t, caller.sent, sent, "a place was used that was not granted")
+			assert.Equal(t, caller.sent, sent, "a slot was used that was not granted")
 		}
 		done.Wait()
 		assert.Equal(t, len(forwarder.Waiting()), 0)
 	})
 }
 
-// TestNobodyIsAskedForPlacesThatAreNotRationed has more requests than places where owners grant nothing.
-func TestNobodyIsAskedForPlacesThatAreNotRationed(t *testing.T) {
+// TestOwnersAreNotAskedForUnrationedSlots sends more requests than there are slots where owners ration nothing.
+func TestOwnersAreNotAskedForUnrationedSlots(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		forwarder := busySite(&busyCaller{takes: 20 * time.Millisecond})
 		forwarder.Asks = func() { t.Error("asked") }
@@ -71,7 +73,8 @@
 	})
 }
 
-// TestCallerThatLeavesWaitsForNoGrant has the only caller leave: the owner is told that nothing waits.
+// TestCallerThatLeavesWaitsForNoGrant has the only caller leave: the node must report that nothing waits, and send nothing at
+// the next grant.
 func TestCallerThatLeavesWaitsForNoGrant(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: time.Millisecond}
@@ -86,9 +89,10 @@
 	})
 }
 
-// TestFewPlacesOfANodeTurnNobodyAwayWherePlacesAreGranted has a node with one request at a runner, of 200 ms, and an objective of 300 ms. By its own
-// places one of five would get one in time; where owners grant them all five wait, and are sent with the grants.
-func TestFewPlacesOfANodeTurnNobodyAwayWherePlacesAreGranted(t *testing.T) {
+// TestRationedRequestsAreNotRejectedByLocalSlotCount has a node with one request of 200 ms at a runner, and an objective of
+// 300 ms. By the node's own slots one of five further requests would get one in time; where owners grant slots, all five must
+// wait and be sent with the grants.
+func TestRationedRequestsAreNotRejectedByLocalSlotCount(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		caller := &busyCaller{takes: 200 * time.Millisecond}
 		forwarder := rationedSite(caller, func(*online.Forwarder) {})
--- a/internal/online/serve_test.go
+++ b/internal/online/serve_test.go
@@ -19,15 +19,15 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// scriptedCaller gives its replies in order.
+// scriptedCaller returns its replies in order.
 type scriptedCaller struct {
 	replies []*work.Reply
 	resumed []int64
-	// forgotten are the runners whose kept connections were closed.
+	// forgotten contains the runners whose idle connections were closed.
 	forgotten []ident.Incarnation
 }
 
-// hangingBody gives its text and then nothing until the attempt is ended, as a connection that fell silent.
+// hangingBody yields its text and then blocks until the attempt ends, as a silent connection does.
 type hangingBody struct {
 	io.Reader
 	ctx context.Context
@@ -66,7 +66,7 @@
 
 func (c *scriptedCaller) Forget(runner work.Runner) { c.forgotten = append(c.forgotten, runner.ID) }
 
-// recorder keeps what the caller was sent.
+// recorder records what was sent to the caller.
 type recorder struct {
 	status int
 	body   strings.Builder
@@ -87,7 +87,7 @@
 	return err
 }
 
-// brokenBody gives its text and then breaks off.
+// brokenBody yields its text and then fails.
 type brokenBody struct{ io.Reader }
 
 func (b brokenBody) Read(buffer []byte) (int, error) {
@@ -113,7 +113,7 @@
 	return &work.Reply{Head: work.Head{Status: status, Headers: http.Header{}}, Sealed: true, Framed: true, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// serve sends one request of a resumable stream through the replies.
+// serve sends one request for a resumable stream and has the runners return the replies.
 func serve(attempts int, replies ...*work.Reply) (*recorder, *scriptedCaller, error) {
 	writer := &recorder{}
 	caller, err := serveTo(writer, attempts, replies...)
@@ -142,7 +142,7 @@
 	return caller, err
 }
 
-// pauseAllowed is the pause that the route of the tests allows between two events.
+// pauseAllowed is the pause between two events that the route of the tests allows.
 const pauseAllowed = 300 * time.Millisecond
 
 const (
@@ -150,8 +150,8 @@
 	secondEvent = "id: 2\ndata: b\n\n"
 )
 
-// TestFailureOfAResumedRunIsNoPartOfTheStream has the runner that is to go on answer with a failure: its bytes must not
-// follow the events, and the stream must not look complete.
+// TestFailureOfAResumedRunIsNoPartOfTheStream has the runner that should resume a stream answer with something else. Its bytes
+// must not follow the events, and the stream must not look complete.
 func TestFailureOfAResumedRunIsNoPartOfTheStream(t *testing.T) {
 	for _, failed := range []*work.Reply{answer(http.StatusInternalServerError, "failed"), answer(http.StatusOK, "no stream"), answer(http.StatusGatewayTimeout, "late")} {
 		writer, caller, err := serve(2, stream(firstEvent, false), failed)
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestAnotherRunnerGoesOnAfterAFailedResumption uses the attempts that the route allows.
-func TestAnotherRunnerGoesOnAfterAFailedResumption(t *testing.T) {
+// TestAnotherRunnerResumesAfterFailedResumption uses all attempts that the route allows.
+func TestAnotherRunnerResumesAfterFailedResumption(t *testing.T) {
 	writer, caller, err := serve(3, stream(firstEvent, false), answer(http.StatusInternalServerError, "failed"), stream(secondEvent, true))
 	assert.NilError(t, err)
 	assert.Equal(t, writer.status, http.StatusOK)
@@ -170,9 +170,9 @@
 	assert.DeepEqual(t, caller.resumed, []int64{0, 1, 1})
 }
 
-// TestStreamThatHangsIsGoneOnWithElsewhere has a connection fall silent between two events: another runner goes on with the
-// stream, long before its deadline, and the connections kept to the first are not used again.
-func TestStreamThatHangsIsGoneOnWithElsewhere(t *testing.T) {
+// TestHangingStreamIsResumedOnAnotherRunner has a connection become silent between two events. Another runner must resume the
+// stream, long before its deadline, and the idle connections to the first must not be reused.
+func TestHangingStreamIsResumedOnAnotherRunner(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		began := time.Now()
 		writer, caller, err := serve(2, hangingStream(firstEvent), stream(secondEvent, true))
@@ -184,10 +184,10 @@
 	})
 }
 
-// TestOnlyRunnerGoesOnWithAStreamThatHung has the connection to the only runner fall silent between two events: the runner works, and is
-// asked to go on over another connection, within the runs of the route. The stream was broken off though a run was left. A runner that
-// broke off without a pause is not asked again.
-func TestOnlyRunnerGoesOnWithAStreamThatHung(t *testing.T) {
+// TestHangingStreamIsResumedOnOnlyRunner has the connection to the only runner become silent between two events. The runner
+// works, and must be asked to resume over another connection, within the attempts of the route, rather than the stream being
+// broken off with an attempt left. A runner that broke off without a pause must not be asked again.
+func TestHangingStreamIsResumedOnOnlyRunner(t *testing.T) {
 	only := []ident.Incarnation{"1"}
 	simulated.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -205,8 +205,8 @@
 	})
 }
 
-// TestCallerThatReadsSlowlyIsNoSilenceOfTheRunner has the caller take longer over an event than the pause that is allowed.
-func TestCallerThatReadsSlowlyIsNoSilenceOfTheRunner(t *testing.T) {
+// TestSlowCallerIsNotRunnerSilence has the caller take longer over an event than the allowed pause.
+func TestSlowCallerIsNotRunnerSilence(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		writer := &recorder{slow: time.Second}
 		caller, err := serveTo(writer, 2, stream(firstEvent+secondEvent, true))
@@ -216,7 +216,8 @@
 	})
 }
 
-// TestStreamWithoutAttemptsLeftIsNotEndedForItsSilence leaves a stream alone that nobody can go on with: its runner may yet.
+// TestStreamWithoutAttemptsLeftIsNotEndedForItsSilence checks that a silent stream which no other attempt may resume is left
+// alone, since its runner may yet continue.
 func TestStreamWithoutAttemptsLeftIsNotEndedForItsSilence(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -227,7 +228,8 @@
 	})
 }
 
-// TestFailureBeforeTheFirstEventIsPassedOn keeps the runner's own failure for a request that may not run again.
+// TestFailureBeforeTheFirstEventIsPassedOn checks that the runner's own error reaches the caller of a request that may not run
+// again.
 func TestFailureBeforeTheFirstEventIsPassedOn(t *testing.T) {
 	writer, _, err := serve(1, answer(http.StatusInternalServerError, "failed"))
 	assert.NilError(t, err)
--- a/internal/online/storm_test.go
+++ b/internal/online/storm_test.go
@@ -26,8 +26,9 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// The load of the incident: 9 nodes and 18 runners of 12 places, 75 requests a second of which each runs 60 to 250 ms or up to
-// two seconds, and requests that end their runners and come eight times a second each, at any node. Each caller tries twice.
+// The load of an incident: 9 nodes, 18 runners of 12 slots, and 75 requests a second, each of which runs for 60 to 250 ms or
+// for up to two seconds. Beside them each poison request, which ends its runner, arrives eight times a second at any node.
+// Each caller tries twice.
 const (
 	stormNodes   = 9
 	stormRunners = 18
@@ -35,26 +36,27 @@
 	stormRate    = 75
 	stormBadRate = 8
 	stormLasts   = 30 * time.Second
-	// stormShortest is how long a run takes at least.
+	// stormShortest is the least duration of a run.
 	stormShortest = 60 * time.Millisecond
-	// stormAway is how long a runner that ended is away, stormEntry how long its entry stays.
-	stormAway  = 3200 * time.Millisecond
-	stormEntry = 3600 * time.Millisecond
-	// stormTold is how often nodes hear of each other: the worst of the ways that they are told on.
-	stormTold = 600 * time.Millisecond
-	// stormKnown is when all nodes have to know.
-	stormKnown = 3 * time.Second
+	// stormRestart is the time until a runner that ended is replaced, stormEntryTTL the time until its registry entry is gone.
+	stormRestart  = 3200 * time.Millisecond
+	stormEntryTTL = 3600 * time.Millisecond
+	// stormReportInterval is the time between exchanges of records among nodes: that of the slowest channel.
+	stormReportInterval = 600 * time.Millisecond
+	// stormConvergence is the time within which all nodes must know a poison request.
+	stormConvergence = 3 * time.Second
 )
 
-// stormSite are runners that some requests end. Its mutex guards them.
+// stormSite is the set of runners, which some requests end. Its mutex guards all fields.
 type stormSite struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// longest is how long a run may take.
+	// longest is the greatest duration of a run.
 	longest time.Duration
 	runners map[ident.Incarnation]*stormRunner
 	started int
-	// thirdEnd is when the third runner ended under each bad request, ends how many did, late the runs sent after all had to know.
+	// thirdEnd is when the third runner ended under each poison request, ends how many ended, late the runs sent after
+	// stormConvergence.
 	ends     map[string]int
 	thirdEnd map[string]time.Time
 	late     map[string]int
@@ -78,14 +80,14 @@
 	return s
 }
 
-// start starts a runner. The caller holds the mutex, but at the beginning.
+// start starts a runner. The caller holds the mutex, except during construction.
 func (s *stormSite) start() {
 	s.started++
 	id := ident.Incarnation(fmt.Sprint("r", s.started))
 	s.runners[id] = &stormRunner{work: work.Runner{ID: id, Service: "s", Zone: "z", Slots: stormSlots}, ended: make(chan struct{})}
 }
 
-// listed are the runners that the registry names.
+// listed returns the runners in the registry.
 func (s *stormSite) listed() []work.Runner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +98,7 @@
 	return listed
 }
 
-// end ends a runner under a bad request.
+// end ends a runner under a poison request.
 func (s *stormSite) end(runner *stormRunner, body string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -109,12 +111,12 @@
 	if s.ends[body] == 3 {
 		s.thirdEnd[body] = time.Now()
 	}
-	time.AfterFunc(stormAway, func() {
+	time.AfterFunc(stormRestart, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		s.start()
 	})
-	time.AfterFunc(stormEntry, func() {
+	time.AfterFunc(stormEntryTTL, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		delete(s.runners, runner.work.ID)
@@ -137,7 +139,7 @@
 	takes := stormShortest + time.Duration(s.random.Int64N(int64(s.longest-stormShortest)))
 	body := string(attempt.Request.Body)
 	bad := attempt.Request.Path == "/bad"
-	if third, known := s.thirdEnd[body]; bad && known && time.Since(third) > stormKnown {
+	if third, known := s.thirdEnd[body]; bad && known && time.Since(third) > stormConvergence {
 		s.late[body]++
 	}
 	s.mutex.Unlock()
@@ -173,24 +175,24 @@
 // Forget implements work.Caller.
 func (s *stormSite) Forget(work.Runner) {}
 
-// stormResult is what a storm did.
+// stormResult is the result of a simulated storm.
 type stormResult struct {
-	// served and asked count the good requests, refused those that were refused as bad ones.
+	// served and asked count the good requests, refused those of them that were refused as poison.
 	served, asked, refused int
-	// ended are the runners that ended, late the largest number of runs of one bad request after all nodes had to know.
+	// ended counts the runners that ended, late is the largest number of runs of one poison request after stormConvergence.
 	ended, late int
 }
 
-// storm is a load.
+// storm describes a load.
 type storm struct {
 	seed uint64
-	// bad is how many requests end their runners, longest how long a run may take.
+	// bad is the number of poison requests, longest the greatest duration of a run.
 	bad     int
 	longest time.Duration
 }
 
-// play plays the load, with the watch on the ends of runners or without.
-func (s storm) play(t *testing.T, watched bool) (result stormResult) {
+// run simulates the load, with or without the detection of poison requests.
+func (s storm) run(t *testing.T, watched bool) (result stormResult) {
 	simulated.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(s.seed, 0))
 		site, supervisor := newStormSite(rand.New(rand.NewPCG(s.seed, 1)), s.longest), new(tomb.Tomb)
@@ -207,28 +209,28 @@
 			}
 			nodes = append(nodes, node)
 		}
-		supervisor.Go(func() error { followStorm(supervisor, site, nodes); return nil })
+		supervisor.Go(func() error { refreshRunnerLists(supervisor, site, nodes); return nil })
 		if watched {
-			supervisor.Go(func() error { tellStorm(supervisor, nodes); return nil })
+			supervisor.Go(func() error { exchangeRecords(supervisor, nodes); return nil })
 		}
 		var mutex sync.Mutex
 		var asked sync.WaitGroup
 		ask := func(path, body string) {
 			at := [2]int{random.IntN(stormNodes), random.IntN(stormNodes)}
 			asked.Go(func() {
-				err := askStorm(nodes[at[0]], path, body)
+				err := sendStorm(nodes[at[0]], path, body)
 				if err != nil {
-					err = askStorm(nodes[at[1]], path, body)
+					err = sendStorm(nodes[at[1]], path, body)
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
-				var told *failure.Error
+				var rejection *failure.Error
 				switch {
 				case path == "/bad":
 					return
 				case err == nil:
 					result.served++
-				case errors.As(err, &told) && told.Code == failure.CodeEndsRunners:
+				case errors.As(err, &rejection) && rejection.Code == failure.CodeEndsRunners:
 					result.refused++
 				}
 				result.asked++
@@ -258,8 +260,8 @@
 	return result
 }
 
-// followStorm has each node read the list of runners each second.
-func followStorm(supervisor *tomb.Tomb, site *stormSite, nodes []*online.Forwarder) {
+// refreshRunnerLists has each node read the list of runners every second.
+func refreshRunnerLists(supervisor *tomb.Tomb, site *stormSite, nodes []*online.Forwarder) {
 	for supervisor.Alive() {
 		for _, node := range nodes {
 			node.Runners.Replace(site.listed(), time.Now(), true)
@@ -268,8 +270,8 @@
 	}
 }
 
-// tellStorm has nodes tell a worker what they learned, and hear from it, as rarely as they may.
-func tellStorm(supervisor *tomb.Tomb, nodes []*online.Forwarder) {
+// exchangeRecords has nodes send their records to a worker and read its records, as rarely as the protocol allows.
+func exchangeRecords(supervisor *tomb.Tomb, nodes []*online.Forwarder) {
 	worker := poison.NewBook(1000)
 	cursors := make([]poison.Cursor, len(nodes))
 	for supervisor.Alive() {
@@ -277,17 +279,17 @@
 		for _, node := range nodes {
 			worker.Learn(node.Ends.Book.TakeUntold(now), now, true)
 		}
-		time.Sleep(stormTold)
+		time.Sleep(stormReportInterval)
 		now = time.Now()
 		for index, node := range nodes {
-			news := worker.Since(cursors[index], now, true)
-			cursors[index] = news.After(cursors[index])
-			node.Ends.Learn(news.Records, false)
+			records := worker.Since(cursors[index], now, true)
+			cursors[index] = records.After(cursors[index])
+			node.Ends.Learn(records.Records, false)
 		}
 	}
 }
 
-func askStorm(node *online.Forwarder, path, body string) error {
+func sendStorm(node *online.Forwarder, path, body string) error {
 	route := &work.Route{
 		Name: "r", Kind: work.Idempotent, MaximumAttempts: 2, Objective: 250 * time.Millisecond, Timeout: 4 * time.Second,
 		Split: []work.WeightedService{{Service: "s", Weight: 1}},
@@ -304,16 +306,17 @@
 	return err
 }
 
-// TestStormOfRequestsThatEndRunners plays the load of an incident: requests that end their runners come again and again at all nodes,
-// among others. Each may be run three times more, by nodes that have to know, after three runners ended under it. A good request
-// that only ran beside them is to be refused as one of them in no more than one of a thousand.
+// TestStormOfRequestsThatEndRunners simulates the load of an incident in which poison requests, which end their runners,
+// arrive repeatedly at all nodes among other requests. Once three runners have ended under one and the records had time to
+// reach all nodes, it may run three more times at most. Of the good requests, which merely ran beside them, no more than one
+// in a thousand may be refused as poison.
 func TestStormOfRequestsThatEndRunners(t *testing.T) {
 	for seed := range uint64(2) {
 		for _, load := range []storm{
 			{seed, 3, 250 * time.Millisecond}, {seed, 10, 250 * time.Millisecond}, {seed, 10, 2 * time.Second},
 		} {
-			before, after := load.play(t, false), load.play(t, true)
-			t.Logf("%+v: nobody remembers %+v, all remember %+v", load, before, after)
+			before, after := load.run(t, false), load.run(t, true)
+			t.Logf("%+v: without detection %+v, with detection %+v", load, before, after)
 			assert.Assert(t, after.late <= 3, "a bad request was run %d times more", after.late)
 			assert.Assert(t, after.refused*1000 <= after.asked, "%d good requests were refused", after.refused)
 			assert.Assert(t, after.ended < before.ended/2, "%d runners ended, %d before", after.ended, before.ended)
--- a/internal/waitline/late.go
+++ b/internal/waitline/late.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// LateLast has the requests that became late while they waited stand behind those of their turn that can be on time: a place is of more
-// use to these.
+// LateLast reorders the queue so that, within each turn, requests that became late while they waited come after those that can
+// still be on time.
 func (l *Line) LateLast(now time.Time) {
 	for _, waiter := range l.waiting {
 		if now.After(waiter.due) {
@@ -19,7 +19,7 @@
 	})
 }
 
-// Waiting returns how many of those that wait can be on time, until when the first of them can, and how many are late.
+// Waiting returns how many waiting requests can still be on time, until when the first of them can, and how many are late.
 func (l *Line) Waiting(now time.Time) (onTime int, until time.Time, late int) {
 	for _, waiter := range l.waiting {
 		if now.After(waiter.OnTime) {
--- a/internal/waitline/late_test.go
+++ b/internal/waitline/late_test.go
@@ -9,35 +9,35 @@
 	"mallowlatch.example/mallowlatch/internal/waitline"
 )
 
-// TestRequestsWaitForGrantsHoweverFewPlacesTheNodeHas has a node with one place, which comes free in 200 ms: where places are granted by others
-// ten requests wait that would be turned away otherwise, but none that no place is of use to.
-func TestRequestsWaitForGrantsHoweverFewPlacesTheNodeHas(t *testing.T) {
-	line := holding(1, 200*time.Millisecond)
-	assert.Assert(t, line.Join(arriving(start), start))
-	assert.Assert(t, !line.Join(arriving(start), start))
+// TestRationedJoinIgnoresLocalSlotCount has a node with one slot, which becomes free in 200 ms. Where slots are granted by
+// others, ten requests must be accepted that would be rejected otherwise, but none for which every slot would be too late.
+func TestRationedJoinIgnoresLocalSlotCount(t *testing.T) {
+	queue := busyLine(1, 200*time.Millisecond)
+	assert.Assert(t, queue.Join(arriving(start), start))
+	assert.Assert(t, !queue.Join(arriving(start), start))
 	for range 10 {
-		assert.Assert(t, line.JoinRationed(arriving(start), start))
+		assert.Assert(t, queue.JoinRationed(arriving(start), start))
 	}
-	assert.Assert(t, !line.JoinRationed(arriving(start.Add(-patience-time.Millisecond)), start))
-	assert.Equal(t, line.Len(), 11)
+	assert.Assert(t, !queue.JoinRationed(arriving(start.Add(-patience-time.Millisecond)), start))
+	assert.Equal(t, queue.Len(), 11)
 }
 
-// TestWhatBecameLateStandsBehindWhatCanBeOnTime has three come one after the other, and the first one become late.
-func TestWhatBecameLateStandsBehindWhatCanBeOnTime(t *testing.T) {
-	var line waitline.Line
+// TestLateRequestsMoveBehindThoseOnTime has three requests arrive one after the other, and the first one become late.
+func TestLateRequestsMoveBehindThoseOnTime(t *testing.T) {
+	var queue waitline.Line
 	first, second, third := arriving(start), arriving(start.Add(100*time.Millisecond)), arriving(start.Add(200*time.Millisecond))
 	for _, waiter := range []*waitline.Waiter{first, second, third} {
-		assert.Assert(t, line.JoinRationed(waiter, start))
+		assert.Assert(t, queue.JoinRationed(waiter, start))
 	}
 	now := start.Add(objective + time.Millisecond)
-	onTime, until, late := line.Waiting(now)
+	onTime, until, late := queue.Waiting(now)
 	assert.Equal(t, onTime, 2)
 	assert.Equal(t, until, second.OnTime)
 	assert.Equal(t, late, 1)
-	line.LateLast(now)
+	queue.LateLast(now)
 	for _, next := range []*waitline.Waiter{second, third, first} {
-		assert.Equal(t, line.Next(), next)
+		assert.Equal(t, queue.Next(), next)
 	}
-	onTime, _, late = line.Waiting(now)
+	onTime, _, late = queue.Waiting(now)
 	assert.Equal(t, onTime+late, 0)
 }
--- a/internal/waitline/waitline.go
+++ b/internal/waitline/waitline.go
@@ -1,7 +1,8 @@
-// Package waitline decides which request gets a place that comes free, and which one can get none in time. While online work
-// takes the places of all runners, requests wait at the node that took them: what waits in the queue of a runner can't be told
-// at once that it will not be served in time, and makes all that comes behind it late too. The package does no I/O; times are
-// arguments.
+// Package waitline is the queue of requests at one node that wait for a runner slot of a service. It decides which request
+// gets a slot that becomes free, and which requests are rejected at once because they would get none in time. Requests wait at
+// the node that accepted them while online work takes the slots of all runners: a request in the queue of a runner can't be
+// rejected early, and delays all requests behind it. The order is by tenant turns, urgency and remaining time; requests of
+// tenants above their share yield to the others. The package does no I/O, and times are arguments.
 package waitline
 
 import (
@@ -13,122 +14,127 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Waiter is a request without a place.
+// Waiter is a request without a slot.
 type Waiter struct {
-	// Tenant is whose request it is; empty where there are no tenants. Rank is the tenant's, zero the most urgent.
+	// Tenant is the tenant of the request; empty where there are no tenants. Rank is the tenant's rank, zero the most urgent.
 	Tenant ident.Tenant
 	Rank   int
-	// Kind is the rank of its kind of request, zero the most urgent: it orders the requests that yield.
+	// Kind is the priority rank of the kind of request, zero the most urgent. It orders only requests that yield.
 	Kind int
-	// OnTime is the last moment at which a place still lets it be answered within its objective, Latest the last one at which a
-	// place is of any use. OnTime is never after Latest.
+	// OnTime is the last moment at which a slot still allows an answer within the objective, Latest the last one at which a
+	// slot is of any use. OnTime is never after Latest.
 	OnTime, Latest time.Time
-	// turn is what the line is ordered by first: the turns that the tenants took one after the other until this one.
+	// turn is the primary sort key of the queue: the number of the round in which the request's tenant takes its turn.
 	turn int
-	// due is what it is ordered by then: OnTime, or Latest for one that came too late to be on time.
+	// due is the secondary sort key: OnTime, or Latest for a request that is too late to be on time.
 	due time.Time
-	// joined is when it began to wait, expected how long that was thought to take, yielded whether it yielded then.
+	// joined is when the request began to wait, expected the wait estimated then, yielded whether it yielded then.
 	joined   time.Time
 	expected time.Duration
 	yielded  bool
 }
 
 const (
-	// runWeight is the part that one run has in their mean time, waitWeight the part that one wait has in the mean factor by
-	// which waits are longer than expected.
+	// runWeight is the weight of one run in the moving average of run times, waitWeight that of one wait in the moving average
+	// of the wait factor.
 	runWeight, waitWeight = 0.05, 0.1
-	// leastLonger and mostLonger bound that factor: a few odd waits must neither close the line nor open it.
-	leastLonger, mostLonger = 0.5, 4
+	// minWaitFactor and maxWaitFactor limit the wait factor, so that a few unusual waits neither close the queue nor open it
+	// to all.
+	minWaitFactor, maxWaitFactor = 0.5, 4
 )
 
-// Line is the requests without a place at one node, for one service, and how fast places come free. The zero Line is empty.
+// Line is the queue of the requests without a slot at one node, for one service, with an estimate of how fast slots become
+// free. The zero Line is empty.
 type Line struct {
-	// Yields says whether a request is to wait behind those that don't yield; nil has none yield. It is set before the line is used.
+	// Yields reports whether a request must wait behind those that don't yield; if nil, none yields. It is set before the
+	// queue is used.
 	Yields func(*Waiter) bool
 	// waiting is ordered by turn and due.
 	waiting []*Waiter
-	// turn is that of the last request that got a place, next the turn of each tenant's next request. Both begin anew with an empty
-	// line: places that nobody has to wait for are nobody's turn.
+	// turn is that of the last request that got a slot, next the turn of each tenant's next request. Both are reset when the
+	// queue is empty, since slots for which nobody waits count as nobody's turn.
 	turn int
 	next map[ident.Tenant]float64
-	// held are the places that this node's requests have, run is the mean time for which they have them.
-	held int
-	run  time.Duration
-	// longer is the mean factor by which waits were longer than expected, longerYielding that of those that yielded; zero is not known.
-	longer, longerYielding float64
-	// extra is the part of a request that the next look may let take a place.
-	extra float64
-	// turned holds until when each request that was turned away would have been in time, for those that still would.
-	turned []time.Time
-	tally  Tally
-}
-
-// Tally is what became of the requests that found no place at once.
+	// slotsInUse is the number of slots that this node's requests use, meanRun the mean time for which they use them.
+	slotsInUse int
+	meanRun    time.Duration
+	// waitFactor is the mean ratio of actual to estimated waits, yieldingWaitFactor that of requests that yielded; zero if
+	// unknown.
+	waitFactor, yieldingWaitFactor float64
+	// extraCredit is the fraction of a request carried over to the next call of Extra.
+	extraCredit float64
+	// rejected contains until when each rejected request would have been in time, without those whose time has passed.
+	rejected []time.Time
+	tally    Tally
+}
+
+// Tally counts what became of the requests that found no free slot at once.
 type Tally struct {
-	// Waited got a place, TurnedAway were told that they would get none in time. Wrongly counts those among them for which
-	// there was a place in time after all: one came free while nobody waited.
-	Waited, TurnedAway, Wrongly int
+	// Waited requests got a slot, Rejected ones were refused because they would get none in time. WronglyRejected counts those of
+	// the latter for which there was a slot in time after all: one became free while nobody waited.
+	Waited, Rejected, WronglyRejected int
 }
 
-// Tally returns the counts since the last call, and the mean factor by which waits were longer than expected.
-func (l *Line) Tally() (counts Tally, longer float64) {
+// Tally returns the counts since the last call, and the mean ratio of actual to estimated waits.
+func (l *Line) Tally() (counts Tally, waitFactor float64) {
 	tally := l.tally
 	l.tally = Tally{}
-	return tally, longerBy(l.longer)
+	return tally, boundedFactor(l.waitFactor)
 }
 
-// Taken notes that a request got a place.
-func (l *Line) Taken() { l.held++ }
+// Taken records that a request got a slot.
+func (l *Line) Taken() { l.slotsInUse++ }
 
-// Freed notes that a request gave its place back after a time. Where nobody waits for it, one that was turned away and
-// would still be in time could have had it.
+// Freed records that a request released its slot after a time. If nobody waits for the slot, a rejected request that would
+// still be in time could have used it.
 func (l *Line) Freed(after time.Duration, now time.Time) {
-	l.held--
+	l.slotsInUse--
 	if len(l.waiting) == 0 {
-		l.noteWrong(now)
+		l.countWrong(now)
 	}
-	if l.run == 0 {
-		l.run = after
+	if l.meanRun == 0 {
+		l.meanRun = after
 	}
-	l.run += time.Duration(runWeight * float64(after-l.run))
+	l.meanRun += time.Duration(runWeight * float64(after-l.meanRun))
 }
 
-// Len returns how many wait.
+// Len returns the number of waiting requests.
 func (l *Line) Len() int { return len(l.waiting) }
 
-// untilPlace is how long it takes until a request gets a place that has some before it: this node's places come free one after
-// the other in the time of a run. A node that has none yet knows nothing, and expects one at once.
-func (l *Line) untilPlace(ahead int, longer float64) time.Duration {
-	if l.held <= 0 {
+// estimateWait returns the estimated time until a request with a number of others ahead of it gets a slot, on the assumption
+// that this node's slots become free one after the other within the time of a run. A node that uses no slot has no data, and
+// expects one at once.
+func (l *Line) estimateWait(ahead int, waitFactor float64) time.Duration {
+	if l.slotsInUse <= 0 {
 		return 0
 	}
-	expected := float64(l.run) * float64(ahead+1) / float64(l.held)
-	return time.Duration(expected * longerBy(longer))
+	expected := float64(l.meanRun) * float64(ahead+1) / float64(l.slotsInUse)
+	return time.Duration(expected * boundedFactor(waitFactor))
 }
 
-// longerBy is the factor that waits are expected to be longer by than the places and the runs say, for the mean so far.
-func longerBy(longer float64) float64 {
-	if longer == 0 {
+// boundedFactor returns the factor to apply to an estimated wait for the mean factor observed so far.
+func boundedFactor(waitFactor float64) float64 {
+	if waitFactor == 0 {
 		return 1
 	}
-	return min(max(longer, leastLonger), mostLonger)
+	return min(max(waitFactor, minWaitFactor), maxWaitFactor)
 }
 
-// Join has a request wait, and returns false where it can't get a place in time: on time, or for one that is late already,
-// while a place is of any use. Nobody's time is taken for a place that does not come.
+// Join adds a request to the queue, and returns false if it can't get a slot in time: on time or, for one that is late
+// already, while a slot is of any use. Rejecting it at once saves its caller a useless wait.
 func (l *Line) Join(waiter *Waiter, now time.Time) bool {
 	position := l.position(waiter, now)
-	expected := l.untilPlace(l.ahead(waiter, position), *l.longerOf(waiter))
+	expected := l.estimateWait(l.ahead(waiter, position), *l.waitFactorOf(waiter))
 	return l.join(waiter, position, expected, now)
 }
 
-// JoinRationed has a request wait where places are granted by others, and how fast this node's own come free tells nothing. It returns
-// false where no place is of any use any more.
+// JoinRationed adds a request where others grant the slots, so that the rate at which this node's own slots become free says
+// nothing about the wait. It returns false if no slot is of any use to the request any more.
 func (l *Line) JoinRationed(waiter *Waiter, now time.Time) bool {
 	return l.join(waiter, l.position(waiter, now), 0, now)
 }
 
-// position is where in the line a request is to stand.
+// position sets the sort keys of a request and returns its index in the queue.
 func (l *Line) position(waiter *Waiter, now time.Time) int {
 	waiter.due = waiter.OnTime
 	if now.After(waiter.due) {
@@ -136,39 +142,39 @@
 	}
 	waiter.turn = l.turnOf(waiter)
 	waiter.yielded = l.yields(waiter)
-	return l.before(waiter)
+	return l.insertIndex(waiter)
 }
 
-// join has a request wait that expects a place after a time, or turns it away.
+// join adds a request with an estimated wait at a position, or rejects it.
 func (l *Line) join(waiter *Waiter, position int, expected time.Duration, now time.Time) bool {
-	if now.Add(l.unsure(waiter, expected)).After(waiter.due) {
-		l.dropLate(now)
-		l.turned = append(l.turned, waiter.due)
-		l.tally.TurnedAway++
+	if now.Add(l.conservativeWait(waiter, expected)).After(waiter.due) {
+		l.dropExpired(now)
+		l.rejected = append(l.rejected, waiter.due)
+		l.tally.Rejected++
 		return false
 	}
-	l.take(waiter)
+	l.countTurn(waiter)
 	waiter.joined, waiter.expected = now, expected
 	l.waiting = slices.Insert(l.waiting, position, waiter)
 	return true
 }
 
-// noteWrong counts a request that was turned away though a place came free in time, if there is one.
-func (l *Line) noteWrong(now time.Time) {
-	l.dropLate(now)
-	if len(l.turned) > 0 {
-		l.turned = slices.Delete(l.turned, 0, 1)
-		l.tally.Wrongly++
+// countWrong counts one rejected request, if there is one left, as wrongly rejected because a slot became free in time.
+func (l *Line) countWrong(now time.Time) {
+	l.dropExpired(now)
+	if len(l.rejected) > 0 {
+		l.rejected = slices.Delete(l.rejected, 0, 1)
+		l.tally.WronglyRejected++
 	}
 }
 
-// dropLate forgets the requests that were turned away and would be late by now.
-func (l *Line) dropLate(now time.Time) {
-	l.turned = slices.DeleteFunc(l.turned, func(due time.Time) bool { return due.Before(now) })
+// dropExpired removes the rejected requests that would be late by now.
+func (l *Line) dropExpired(now time.Time) {
+	l.rejected = slices.DeleteFunc(l.rejected, func(due time.Time) bool { return due.Before(now) })
 }
 
-// before returns how many of those that wait come before one.
-func (l *Line) before(waiter *Waiter) int {
+// insertIndex returns how many waiting requests sort before a request or equal to it.
+func (l *Line) insertIndex(waiter *Waiter) int {
 	index := slices.IndexFunc(l.waiting, func(other *Waiter) bool {
 		return cmp.Or(cmp.Compare(other.turn, waiter.turn), other.due.Compare(waiter.due)) > 0
 	})
@@ -178,8 +184,8 @@
 	return index
 }
 
-// turnOf is the turn of a request: the present one, unless its tenant has had that. So one with many requests waits for its own, and
-// not the others for it. Requests of no tenant have the present turn always.
+// turnOf returns the turn of a request: the current one, or a later one if its tenant has used that. A tenant with many
+// requests thus waits for its own turns, and does not delay the others. Requests of no tenant always have the current turn.
 func (l *Line) turnOf(waiter *Waiter) int {
 	if len(l.waiting) == 0 {
 		l.turn = 0
@@ -188,8 +194,8 @@
 	return max(l.turn, int(l.next[waiter.Tenant]))
 }
 
-// take counts the turn of a request that waits. A tenant has half as many turns as one of the next more urgent rank.
-func (l *Line) take(waiter *Waiter) {
+// countTurn counts the turn of a waiting request. A tenant has half as many turns as one of the next more urgent rank.
+func (l *Line) countTurn(waiter *Waiter) {
 	if waiter.Tenant == "" {
 		return
 	}
@@ -199,40 +205,40 @@
 	l.next[waiter.Tenant] = max(l.next[waiter.Tenant], float64(waiter.turn)) + 1/fairshare.Weight(waiter.Rank)
 }
 
-// Leave takes a request out of the line.
+// Leave removes a request from the queue.
 func (l *Line) Leave(waiter *Waiter) {
 	if index := slices.Index(l.waiting, waiter); index >= 0 {
 		l.waiting = slices.Delete(l.waiting, index, index+1)
 	}
 }
 
-// Next takes the request out of the line whose turn it is, of several the one that has the least time left, or returns nil. Those
-// that yield come last.
+// Next removes and returns the first request of the queue, or nil if it is empty: within a turn, the one with the least time
+// left. Requests that yield come last.
 func (l *Line) Next() *Waiter {
 	if len(l.waiting) == 0 {
 		return nil
 	}
-	position := l.first()
+	position := l.nextIndex()
 	next := l.waiting[position]
 	l.waiting = slices.Delete(l.waiting, position, position+1)
 	l.turn = max(l.turn, next.turn)
 	return next
 }
 
-// Again puts a request back that was taken out and found no place.
+// Again puts a request that Next returned, and that found no slot, back at the head of the queue.
 func (l *Line) Again(waiter *Waiter) { l.waiting = slices.Insert(l.waiting, 0, waiter) }
 
-// Served notes how long a request waited that found a place, so that the next ones are expected better.
+// Served records how long a request waited that got a slot, to improve later estimates.
 func (l *Line) Served(waiter *Waiter, now time.Time) {
 	l.tally.Waited++
 	if waiter.expected <= 0 {
 		return
 	}
-	longer := l.longerOf(waiter)
-	before := longerBy(*longer)
-	this := before * float64(now.Sub(waiter.joined)) / float64(waiter.expected)
-	*longer = before + waitWeight*(min(this, mostLonger)-before)
+	waitFactor := l.waitFactorOf(waiter)
+	before := boundedFactor(*waitFactor)
+	observed := before * float64(now.Sub(waiter.joined)) / float64(waiter.expected)
+	*waitFactor = before + waitWeight*(min(observed, maxWaitFactor)-before)
 }
 
-// Return is how long it takes until all that wait now have a place, and one more.
-func (l *Line) Return() time.Duration { return l.untilPlace(len(l.waiting), l.longer) }
+// ExpectedWait returns the estimated time until all requests that wait now have a slot, and one more.
+func (l *Line) ExpectedWait() time.Duration { return l.estimateWait(len(l.waiting), l.waitFactor) }
--- a/internal/waitline/waitline_test.go
+++ b/internal/waitline/waitline_test.go
@@ -22,130 +22,133 @@
 	return &waitline.Waiter{OnTime: at.Add(objective), Latest: at.Add(patience)}
 }
 
-// holding is a line of a node whose requests have some places, each for the time of a run.
-func holding(places int, run time.Duration) *waitline.Line {
-	line := &waitline.Line{}
-	for range places {
-		line.Taken()
+// busyLine returns the queue of a node whose requests use some slots, each for the time of a run.
+func busyLine(slots int, run time.Duration) *waitline.Line {
+	queue := &waitline.Line{}
+	for range slots {
+		queue.Taken()
 	}
-	line.Taken()
-	line.Freed(run, start)
-	return line
+	queue.Taken()
+	queue.Freed(run, start)
+	return queue
 }
 
-// TestWhatCannotBeOnTimeIsTurnedAwayAtOnce has ten places, each free once in 200 ms: fifteen requests get one within the
-// objective, and no more are kept.
-func TestWhatCannotBeOnTimeIsTurnedAwayAtOnce(t *testing.T) {
-	line := holding(10, 200*time.Millisecond)
-	kept := 0
+// TestRequestsThatCannotBeOnTimeAreRejected has ten slots, each of which becomes free once in 200 ms. Fifteen requests can get
+// one within the objective, and no more may be accepted.
+func TestRequestsThatCannotBeOnTimeAreRejected(t *testing.T) {
+	queue := busyLine(10, 200*time.Millisecond)
+	accepted := 0
 	for range 40 {
-		if line.Join(arriving(start), start) {
-			kept++
+		if queue.Join(arriving(start), start) {
+			accepted++
 		}
 	}
-	assert.Equal(t, kept, 15)
-	assert.Equal(t, line.Return(), 16*20*time.Millisecond)
+	assert.Equal(t, accepted, 15)
+	assert.Equal(t, queue.ExpectedWait(), 16*20*time.Millisecond)
 }
 
-// TestLeastTimeLeftGoesFirst has requests come in any order, and one find no place when it looks.
+// TestLeastTimeLeftGoesFirst has requests arrive in another order than that of their deadlines, and one find no slot and be
+// put back.
 func TestLeastTimeLeftGoesFirst(t *testing.T) {
-	line := holding(10, 200*time.Millisecond)
+	queue := busyLine(10, 200*time.Millisecond)
 	second, first := arriving(start.Add(10*time.Millisecond)), arriving(start)
-	assert.Assert(t, line.Join(second, start) && line.Join(first, start))
-	assert.Equal(t, line.Next(), first)
-	line.Again(first)
-	assert.Equal(t, line.Next(), first)
-	assert.Equal(t, line.Next(), second)
-	assert.Assert(t, line.Next() == nil)
+	assert.Assert(t, queue.Join(second, start) && queue.Join(first, start))
+	assert.Equal(t, queue.Next(), first)
+	queue.Again(first)
+	assert.Equal(t, queue.Next(), first)
+	assert.Equal(t, queue.Next(), second)
+	assert.Assert(t, queue.Next() == nil)
 }
 
-// TestWhatIsLateWaitsBehindTheOthers has one come that can't be on time any more: it is kept where a place comes free while
-// its caller waits.
-func TestWhatIsLateWaitsBehindTheOthers(t *testing.T) {
-	line := holding(10, 200*time.Millisecond)
+// TestLateRequestWaitsBehindOthers has a request arrive that can't be on time any more. It must be accepted as long as a slot
+// becomes free while its caller waits.
+func TestLateRequestWaitsBehindOthers(t *testing.T) {
+	queue := busyLine(10, 200*time.Millisecond)
 	late, onTime := arriving(start.Add(-time.Second)), arriving(start)
-	assert.Assert(t, line.Join(late, start))
-	assert.Assert(t, line.Join(onTime, start))
-	assert.Equal(t, line.Next(), onTime)
-	assert.Equal(t, line.Next(), late)
-	gone := arriving(start.Add(-patience))
-	assert.Assert(t, !line.Join(gone, start.Add(time.Millisecond)))
+	assert.Assert(t, queue.Join(late, start))
+	assert.Assert(t, queue.Join(onTime, start))
+	assert.Equal(t, queue.Next(), onTime)
+	assert.Equal(t, queue.Next(), late)
+	expired := arriving(start.Add(-patience))
+	assert.Assert(t, !queue.Join(expired, start.Add(time.Millisecond)))
 }
 
-// TestNodeThatKnowsNothingTurnsNobodyAway has a node without any request at a runner.
-func TestNodeThatKnowsNothingTurnsNobodyAway(t *testing.T) {
-	line := &waitline.Line{}
+// TestNodeWithoutSlotsRejectsNothing has a node without any request at a runner.
+func TestNodeWithoutSlotsRejectsNothing(t *testing.T) {
+	queue := &waitline.Line{}
 	for range 100 {
-		assert.Assert(t, line.Join(arriving(start), start))
+		assert.Assert(t, queue.Join(arriving(start), start))
 	}
 }
 
-// TestLongerWaitsAreExpectedNextTime has places come free half as fast as the runs say: fewer requests are kept afterwards.
-func TestLongerWaitsAreExpectedNextTime(t *testing.T) {
-	line := holding(10, 200*time.Millisecond)
-	before := line.Return()
+// TestObservedWaitsRaiseExpectedWait has slots become free half as fast as the run times suggest: the expected wait must rise
+// accordingly.
+func TestObservedWaitsRaiseExpectedWait(t *testing.T) {
+	queue := busyLine(10, 200*time.Millisecond)
+	before := queue.ExpectedWait()
 	for range 50 {
 		waiter := arriving(start)
-		expected := line.Return()
-		assert.Assert(t, line.Join(waiter, start))
-		line.Next()
-		if line.Return() < 2*before {
-			line.Served(waiter, start.Add(2*before))
+		expected := queue.ExpectedWait()
+		assert.Assert(t, queue.Join(waiter, start))
+		queue.Next()
+		if queue.ExpectedWait() < 2*before {
+			queue.Served(waiter, start.Add(2*before))
 		}
-		assert.Assert(t, expected <= line.Return()+time.Millisecond)
+		assert.Assert(t, expected <= queue.ExpectedWait()+time.Millisecond)
 	}
-	assert.Assert(t, line.Return() > 2*before*9/10, "%v", line.Return())
+	assert.Assert(t, queue.ExpectedWait() > 2*before*9/10, "%v", queue.ExpectedWait())
 }
 
-// TestWhatIsKeptIsServedInTime draws arrivals at a line whose places come free one after the other at the rate that the runs
-// say. Whatever is kept gets its place before it would be late, and nothing is turned away while nobody waits.
-func TestWhatIsKeptIsServedInTime(t *testing.T) {
+// TestAcceptedRequestsAreServedInTime draws arrivals at a queue whose slots become free one after the other at the rate that
+// the run times imply. Each accepted request must get its slot at most one interval between free slots after its OnTime,
+// and none may be rejected while nobody waits.
+func TestAcceptedRequestsAreServedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(1, 30).Draw(t, "places")
+		slots := rapid.IntRange(1, 30).Draw(t, "places")
 		run := time.Duration(rapid.IntRange(10, 250).Draw(t, "run")) * time.Millisecond
-		line := holding(places, run)
-		each := run / time.Duration(places)
+		queue := busyLine(slots, run)
+		each := run / time.Duration(slots)
 		nextFree := start.Add(each)
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Millisecond)
 			for ; !nextFree.After(now); nextFree = nextFree.Add(each) {
-				if served := line.Next(); served != nil {
+				if served := queue.Next(); served != nil {
 					assert.Assert(t, !nextFree.After(served.OnTime.Add(each)), "served %v late", nextFree.Sub(served.OnTime))
 				}
 			}
-			waiting := line.Len()
-			if kept := line.Join(arriving(now), now); !kept {
-				assert.Assert(t, waiting > 0, "turned away though nobody waits")
+			waiting := queue.Len()
+			if accepted := queue.Join(arriving(now), now); !accepted {
+				assert.Assert(t, waiting > 0, "rejected though nobody waits")
 			}
 		}
 	})
 }
 
-// TestWrongRejectionsAreCounted turns two requests away, and has one place come free that nobody waits for: before they would
-// have been late, and after it.
+// TestWrongRejectionsAreCounted rejects two requests, and then has one slot become free that nobody waits for, before or after
+// they would have been late.
 func TestWrongRejectionsAreCounted(t *testing.T) {
 	for _, freed := range []struct {
-		after   time.Duration
-		wrongly int
+		after           time.Duration
+		wronglyRejected int
 	}{{objective, 1}, {objective + 1, 0}} {
-		line := holding(1, time.Second)
+		queue := busyLine(1, time.Second)
 		for range 2 {
-			assert.Assert(t, !line.Join(arriving(start), start))
+			assert.Assert(t, !queue.Join(arriving(start), start))
 		}
-		line.Freed(time.Second, start.Add(freed.after))
-		tally, _ := line.Tally()
-		assert.DeepEqual(t, tally, waitline.Tally{TurnedAway: 2, Wrongly: freed.wrongly})
+		queue.Freed(time.Second, start.Add(freed.after))
+		tally, _ := queue.Tally()
+		assert.DeepEqual(t, tally, waitline.Tally{Rejected: 2, WronglyRejected: freed.wronglyRejected})
 	}
 }
 
-// TestTenantWithManyRequestsDoesNotHoldUpOthers has one tenant fill the line before others come, each with one request.
+// TestTenantWithManyRequestsDoesNotHoldUpOthers has one tenant fill the queue before others arrive, each with one request.
 func TestTenantWithManyRequestsDoesNotHoldUpOthers(t *testing.T) {
 	now := time.Unix(100, 0)
-	line := &waitline.Line{}
+	queue := &waitline.Line{}
 	join := func(tenant ident.Tenant, rank int) *waitline.Waiter {
 		waiter := &waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}
-		assert.Assert(t, line.Join(waiter, now))
+		assert.Assert(t, queue.Join(waiter, now))
 		return waiter
 	}
 	for range 20 {
@@ -154,26 +157,26 @@
 	quiet := []*waitline.Waiter{join("a", 1), join("b", 1), join("c", 0)}
 	taken := map[*waitline.Waiter]int{}
 	for position := range 23 {
-		taken[line.Next()] = position
+		taken[queue.Next()] = position
 	}
 	for _, waiter := range quiet {
 		assert.Assert(t, taken[waiter] <= 4, "%s waits for %d others", waiter.Tenant, taken[waiter])
 	}
-	assert.Assert(t, line.Next() == nil)
+	assert.Assert(t, queue.Next() == nil)
 }
 
-// TestMoreUrgentTenantHasMoreTurns has two tenants of different ranks keep the line full.
+// TestMoreUrgentTenantHasMoreTurns has two tenants of different ranks keep the queue full.
 func TestMoreUrgentTenantHasMoreTurns(t *testing.T) {
 	now := time.Unix(100, 0)
-	line := &waitline.Line{}
+	queue := &waitline.Line{}
 	for range 40 {
 		for rank, tenant := range []ident.Tenant{"urgent", "other"} {
-			line.Join(&waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}, now)
+			queue.Join(&waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}, now)
 		}
 	}
 	turns := map[ident.Tenant]int{}
 	for range 30 {
-		turns[line.Next().Tenant]++
+		turns[queue.Next().Tenant]++
 	}
 	assert.Assert(t, turns["urgent"] >= 19 && turns["urgent"] <= 21, "%v", turns)
 }
@@ -182,13 +185,13 @@
 func TestLineWithoutTenantsIsOrderedByTheTimeLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		line := &waitline.Line{}
+		queue := &waitline.Line{}
 		for _, left := range rapid.SliceOfN(rapid.IntRange(1, 2000), 1, 40).Draw(t, "left") {
 			onTime := now.Add(time.Duration(left) * time.Millisecond)
-			line.Join(&waitline.Waiter{OnTime: onTime, Latest: onTime.Add(time.Second)}, now)
+			queue.Join(&waitline.Waiter{OnTime: onTime, Latest: onTime.Add(time.Second)}, now)
 		}
 		before := time.Time{}
-		for next := line.Next(); next != nil; next = line.Next() {
+		for next := queue.Next(); next != nil; next = queue.Next() {
 			assert.Assert(t, !next.OnTime.Before(before))
 			before = next.OnTime
 		}
--- a/internal/waitline/yield.go
+++ b/internal/waitline/yield.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Requests of tenants that have more than their share of places yield: they come after the others, and expect longer waits than these
-// do. Among them the more urgent kind comes first.
+// Requests of tenants that use more than their share of slots yield: they are served after the others, and their waits are
+// estimated separately. Among them the more urgent kind is served first.
 
 func (l *Line) yields(waiter *Waiter) bool { return l.Yields != nil && l.Yields(waiter) }
 
-// remembering returns Yields for many requests in a row, most of which are of one tenant and kind.
-func (l *Line) remembering() func(*Waiter) bool {
+// memoizedYields returns a version of Yields that reuses the last result for consecutive requests of one tenant and kind,
+// which are the usual case.
+func (l *Line) memoizedYields() func(*Waiter) bool {
 	var last *Waiter
 	yields := false
 	return func(waiter *Waiter) bool {
@@ -23,31 +24,31 @@
 	}
 }
 
-// first is the position of the next request in the line, which is not empty.
-func (l *Line) first() int {
+// nextIndex returns the index of the next request to serve. The queue must not be empty.
+func (l *Line) nextIndex() int {
 	if l.Yields == nil {
 		return 0
 	}
-	first := 0
-	yields := l.remembering()
+	nextIndex := 0
+	yields := l.memoizedYields()
 	for position, waiter := range l.waiting {
 		if !yields(waiter) {
 			return position
 		}
-		if waiter.Kind < l.waiting[first].Kind {
-			first = position
+		if waiter.Kind < l.waiting[nextIndex].Kind {
+			nextIndex = position
 		}
 	}
-	return first
+	return nextIndex
 }
 
-// ahead is how many of those that wait are served before one that would stand at a position.
+// ahead returns how many waiting requests are served before one that would be inserted at a position.
 func (l *Line) ahead(waiter *Waiter, position int) int {
 	if l.Yields == nil {
 		return position
 	}
 	ahead := 0
-	yields := l.remembering()
+	yields := l.memoizedYields()
 	for index, other := range l.waiting {
 		if isAhead(other, yields(other), waiter, index < position) {
 			ahead++
@@ -56,72 +57,77 @@
 	return ahead
 }
 
-// MustWait says whether a request that comes must not pass some that wait. One that waits is passed only by those that don't yield while it
-// does.
+// MustWait reports whether an arriving request must wait because some waiting request is served before it. A request that does
+// not yield passes all that yield.
 func (l *Line) MustWait(waiter *Waiter) bool {
 	if l.Yields == nil {
 		return len(l.waiting) > 0
 	}
 	waiter.yielded = l.Yields(waiter)
-	yields := l.remembering()
+	yields := l.memoizedYields()
 	return slices.ContainsFunc(l.waiting, func(other *Waiter) bool { return isAhead(other, yields(other), waiter, true) })
 }
 
-// isAhead says whether one that waits, and yields or not, is served before a request; stands says whether it stands before it in the line.
-func isAhead(other *Waiter, yields bool, waiter *Waiter, stands bool) bool {
+// isAhead reports whether a waiting request, which yields or not, is served before another one; earlier says whether it is
+// before that one in the queue.
+func isAhead(other *Waiter, yields bool, waiter *Waiter, earlier bool) bool {
 	switch {
 	case yields != waiter.yielded:
 		return waiter.yielded
 	case yields && other.Kind != waiter.Kind:
 		return other.Kind < waiter.Kind
 	}
-	return stands
+	return earlier
 }
 
-// extraPart of the places that the node's requests have is how many more those that yield may take at one look, leastExtra how many at
-// least: a node that has none yet gets its first.
+// extraFraction of the slots in use by the node is how many more requests that yield may take slots at one check, minExtra the
+// least number: a node that uses none yet thus gets its first.
 const (
-	extraPart  = 1.0 / 8
-	leastExtra = 0.25
+	extraFraction = 1.0 / 8
+	minExtra      = 0.25
 )
 
-// Extra is how many requests that yield may take places at a look, beyond those that this node freed: all nodes see the same places come
-// free at the same time, and together would take them many times over.
+// Extra returns how many requests that yield may try to take slots at a check, beyond the slots that this node freed. The
+// limit is needed because all nodes see the same slots become free at the same time, and together would take each many times
+// over.
 func (l *Line) Extra() int {
-	l.extra += max(extraPart*float64(l.held), leastExtra)
-	whole := int(l.extra)
-	l.extra -= float64(whole)
+	l.extraCredit += max(extraFraction*float64(l.slotsInUse), minExtra)
+	whole := int(l.extraCredit)
+	l.extraCredit -= float64(whole)
 	return whole
 }
 
-// NextYields says whether the request yields whose turn it is; false where nobody waits.
+// NextYields reports whether the next request to serve yields; false if nobody waits.
 func (l *Line) NextYields() bool {
-	return l.Yields != nil && len(l.waiting) > 0 && l.Yields(l.waiting[l.first()])
+	return l.Yields != nil && len(l.waiting) > 0 && l.Yields(l.waiting[l.nextIndex()])
 }
 
-// Unused notes that a request gave its place back that it had no use for: how long it had it tells nothing of runs.
-func (l *Line) Unused() { l.held-- }
+// FreedUnused records that a request released a slot without using it. The time for which it had the slot is not counted as a
+// run.
+func (l *Line) FreedUnused() { l.slotsInUse-- }
 
-// longerOf is the mean factor of waits that a request's is expected by, and counts in.
-func (l *Line) longerOf(waiter *Waiter) *float64 {
+// waitFactorOf returns the wait factor that applies to a request and that its own wait updates.
+func (l *Line) waitFactorOf(waiter *Waiter) *float64 {
 	if waiter.yielded {
-		return &l.longerYielding
+		return &l.yieldingWaitFactor
 	}
-	return &l.longer
+	return &l.waitFactor
 }
 
-// unsureBy is how many times longer than expected a request that yields must be able to wait: others come before it meanwhile.
-const unsureBy = 1.25
+// yieldingSafetyFactor is how many times the estimated wait a request that yields must be able to wait, since others may be
+// served before it meanwhile.
+const yieldingSafetyFactor = 1.25
 
-// unsure is the wait within which a request gets its place as good as surely.
-func (l *Line) unsure(waiter *Waiter, expected time.Duration) time.Duration {
+// conservativeWait returns the wait within which a request gets its slot almost certainly.
+func (l *Line) conservativeWait(waiter *Waiter, expected time.Duration) time.Duration {
 	if !waiter.yielded {
 		return expected
 	}
-	return time.Duration(unsureBy * float64(expected))
+	return time.Duration(yieldingSafetyFactor * float64(expected))
 }
 
-// ReturnYielding is how long it takes until all that wait now have a place, some more that yield, and one after them.
-func (l *Line) ReturnYielding(more int) time.Duration {
-	return l.untilPlace(len(l.waiting)+more, l.longerYielding)
+// ExpectedYieldingWait returns the estimated time until all requests that wait now have a slot, a further number that yield,
+// and one more.
+func (l *Line) ExpectedYieldingWait(more int) time.Duration {
+	return l.estimateWait(len(l.waiting)+more, l.yieldingWaitFactor)
 }
--- a/internal/waitline/yield_test.go
+++ b/internal/waitline/yield_test.go
@@ -11,56 +11,56 @@
 	"mallowlatch.example/mallowlatch/internal/waitline"
 )
 
-// yielding is a line in which the requests of one tenant yield.
-func yielding(places int, run time.Duration) *waitline.Line {
-	line := holding(places, run)
-	line.Yields = func(waiter *waitline.Waiter) bool { return waiter.Tenant == "hot" }
-	return line
+// yieldingLine returns a queue in which the requests of one tenant yield.
+func yieldingLine(slots int, run time.Duration) *waitline.Line {
+	queue := busyLine(slots, run)
+	queue.Yields = func(waiter *waitline.Waiter) bool { return waiter.Tenant == "hot" }
+	return queue
 }
 
-func of(tenant ident.Tenant, kind int, at time.Time) *waitline.Waiter {
+func waiterOf(tenant ident.Tenant, kind int, at time.Time) *waitline.Waiter {
 	waiter := arriving(at)
 	waiter.Tenant, waiter.Kind = tenant, kind
 	return waiter
 }
 
-// TestWhatYieldsWaitsBehindTheOthers has requests of a tenant over its share wait, and one of another tenant come after them: it goes first, and
-// waits no longer than were they not there.
-func TestWhatYieldsWaitsBehindTheOthers(t *testing.T) {
-	line := yielding(10, 200*time.Millisecond)
-	first, second := of("hot", 0, start), of("hot", 0, start)
-	assert.Assert(t, line.Join(first, start) && line.Join(second, start))
-	other := of("other", 0, start.Add(time.Millisecond))
-	assert.Assert(t, !line.MustWait(other))
-	assert.Assert(t, line.MustWait(of("hot", 0, start)))
-	assert.Assert(t, line.Join(other, start.Add(time.Millisecond)))
-	assert.Equal(t, line.Next(), other)
-	assert.Equal(t, line.Next(), first)
-	assert.Equal(t, line.Next(), second)
+// TestYieldingRequestsWaitBehindOthers has requests of a tenant over its share wait, and one of another tenant arrive after
+// them. It must be served first, and wait no longer than if they were not there.
+func TestYieldingRequestsWaitBehindOthers(t *testing.T) {
+	queue := yieldingLine(10, 200*time.Millisecond)
+	first, second := waiterOf("hot", 0, start), waiterOf("hot", 0, start)
+	assert.Assert(t, queue.Join(first, start) && queue.Join(second, start))
+	other := waiterOf("other", 0, start.Add(time.Millisecond))
+	assert.Assert(t, !queue.MustWait(other))
+	assert.Assert(t, queue.MustWait(waiterOf("hot", 0, start)))
+	assert.Assert(t, queue.Join(other, start.Add(time.Millisecond)))
+	assert.Equal(t, queue.Next(), other)
+	assert.Equal(t, queue.Next(), first)
+	assert.Equal(t, queue.Next(), second)
 }
 
-// TestMoreUrgentKindGoesFirstAmongThoseThatYield has a less urgent kind come first.
-func TestMoreUrgentKindGoesFirstAmongThoseThatYield(t *testing.T) {
-	line := yielding(10, 200*time.Millisecond)
-	less, more := of("hot", 2, start), of("hot", 1, start.Add(time.Millisecond))
-	assert.Assert(t, line.Join(less, start) && line.Join(more, start.Add(time.Millisecond)))
-	assert.Equal(t, line.Next(), more)
-	assert.Equal(t, line.Next(), less)
+// TestMoreUrgentKindGoesFirstAmongYielding has the less urgent kind arrive first.
+func TestMoreUrgentKindGoesFirstAmongYielding(t *testing.T) {
+	queue := yieldingLine(10, 200*time.Millisecond)
+	less, more := waiterOf("hot", 2, start), waiterOf("hot", 1, start.Add(time.Millisecond))
+	assert.Assert(t, queue.Join(less, start) && queue.Join(more, start.Add(time.Millisecond)))
+	assert.Equal(t, queue.Next(), more)
+	assert.Equal(t, queue.Next(), less)
 }
 
-// TestLineInWhichNothingYieldsIsAsWithout draws what happens at a line that asks whether requests yield, and at one that does not: the same comes
-// of all requests.
-func TestLineInWhichNothingYieldsIsAsWithout(t *testing.T) {
+// TestYieldsThatIsAlwaysFalseChangesNothing draws operations on a queue with a Yields function that is always false, and on
+// one without: both must treat all requests alike.
+func TestYieldsThatIsAlwaysFalseChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(1, 8).Draw(t, "places")
-		plain, asking := holding(places, 100*time.Millisecond), holding(places, 100*time.Millisecond)
+		slots := rapid.IntRange(1, 8).Draw(t, "places")
+		plain, asking := busyLine(slots, 100*time.Millisecond), busyLine(slots, 100*time.Millisecond)
 		asking.Yields = func(*waitline.Waiter) bool { return false }
 		now, twins := start, map[*waitline.Waiter]*waitline.Waiter{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "comes") {
 				tenant, kind := ident.Tenant(rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant")), rapid.IntRange(0, 2).Draw(t, "kind")
-				one, other := of(tenant, kind, now), of(tenant, kind, now)
+				one, other := waiterOf(tenant, kind, now), waiterOf(tenant, kind, now)
 				assert.Equal(t, plain.MustWait(one), asking.MustWait(other))
 				joined := plain.Join(one, now)
 				assert.Equal(t, joined, asking.Join(other, now))
@@ -76,22 +76,23 @@
 			plain.Served(one, now)
 			asking.Served(other, now)
 		}
-		assert.Equal(t, plain.Return(), asking.Return())
+		assert.Equal(t, plain.ExpectedWait(), asking.ExpectedWait())
 	})
 }
 
-// TestLooksOfThoseThatYieldAreBoundedByWhatTheNodeHas has nodes with few and with many places: all nodes together take an eighth of what they have at a
-// look, and a node that has none gets its first before long.
-func TestLooksOfThoseThatYieldAreBoundedByWhatTheNodeHas(t *testing.T) {
-	for _, places := range []int{0, 1, 4, 8, 100} {
-		line := holding(max(places, 1), 100*time.Millisecond)
-		if places == 0 {
-			line.Freed(100*time.Millisecond, start)
+// TestExtraIsBoundedByNodesSlots has nodes with few and with many slots. Each may let an eighth of its slots be taken at a
+// check, so that all nodes together take an eighth of theirs, and a node that uses none must get its first slot after a few
+// checks.
+func TestExtraIsBoundedByNodesSlots(t *testing.T) {
+	for _, slots := range []int{0, 1, 4, 8, 100} {
+		queue := busyLine(max(slots, 1), 100*time.Millisecond)
+		if slots == 0 {
+			queue.Freed(100*time.Millisecond, start)
 		}
 		taken := 0
 		for range 80 {
-			taken += line.Extra()
+			taken += queue.Extra()
 		}
-		assert.Equal(t, taken, max(10*places, 20))
+		assert.Equal(t, taken, max(10*slots, 20))
 	}
 }
