--- a/internal/connpool/call.go
+++ b/internal/connpool/call.go
@@ -11,70 +11,74 @@
 	"time"
 )
 
-// Call is one request to make.
+// Call describes one request.
 type Call struct {
 	Address string
 	Method  string
-	// Target is the path with its query, as it stands in the request line.
+	// Target is the request target: the path and the query.
 	Target  string
 	Host    string
 	Headers http.Header
 	Body    []byte
-	// Accept says whether an answer belongs to this call; nil accepts all. An answer that is not accepted is read away
-	// and the next one on the connection is looked at.
+	// Accept reports whether a response belongs to this call; nil accepts every response. A rejected response is
+	// discarded and the next one on the connection is read.
 	Accept func(*http.Response) bool
 }
 
-// maximumSurplusAnswers bounds the foreign answers read away before a call's own.
-const maximumSurplusAnswers = 2
+// maxStrayResponses is the maximum number of responses to other requests that are discarded before the response to a
+// call.
+const maxStrayResponses = 2
 
-// maximumSurplusBytes bounds the body of a foreign answer that is read away.
-const maximumSurplusBytes = 1 << 20
+// maxStrayBodyBytes is the maximum body size of a discarded response.
+const maxStrayBodyBytes = 1 << 20
 
-// keepAliveShare is the part of the time the other side says it keeps a connection during which it is used again.
-const keepAliveShare = 0.6
+// keepAliveFraction is the part of the keep-alive timeout announced by the server during which a connection is reused.
+// The rest is a safety margin.
+const keepAliveFraction = 0.6
 
-// Answer is the answer to one call. Its Body must be closed; only a body read to its end leaves the connection open.
+// Answer is the response to one call. Body must be closed. The connection is reused only if Body was read to the end.
 type Answer struct {
 	Response *http.Response
-	// Body is the answer's body. It returns io.EOF only at an end that the framing proves, see Framed.
+	// Body is the response body. It returns io.EOF only at an end that the framing confirms, see Framed.
 	Body io.ReadCloser
-	// Framed says that the answer has a length or chunks. Without, its end is the end of the connection.
+	// Framed reports whether the response has a content length or is chunked. Otherwise the body ends when the
+	// connection is closed.
 	Framed bool
 }
 
-// Do makes one call. When ctx ends, the connection is closed, also while the body is read. The error wraps ErrNotSent
-// or ErrNoAnswer.
+// Do sends one request and reads the response header. When ctx ends, the connection is closed, also while the body is
+// being read. An error wraps ErrNotSent or ErrNoAnswer.
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
-	taken, err := p.take(ctx, call.Address)
+	acquired, err := p.acquire(ctx, call.Address)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = taken.conn.Close() })
-	response, err := taken.exchange(call)
+	stop := context.AfterFunc(ctx, func() { _ = acquired.conn.Close() })
+	response, err := acquired.exchange(call)
 	if err != nil {
 		stop()
-		_ = taken.conn.Close()
-		p.suspect(ctx, taken)
+		_ = acquired.conn.Close()
+		p.dropIdleAfterTimeout(ctx, acquired)
 		return nil, err
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	return &Answer{
 		Response: response,
-		Body:     &body{source: response.Body, pool: p, connection: taken, response: response, stop: stop, framed: framed},
+		Body:     &body{source: response.Body, pool: p, connection: acquired, response: response, stop: stop, framed: framed},
 		Framed:   framed,
 	}, nil
 }
 
-// suspect closes the connections kept beside one on which a call ran out of time. Connections may fall silent all at once
-// and without a reset, while new ones work: the calls after it would each lose their time on the next of them.
-func (p *Pool) suspect(ctx context.Context, failed *connection) {
+// dropIdleAfterTimeout closes the idle connections to an address after a call on a reused connection timed out. All
+// open connections to an address can become unresponsive at once without a reset, while new ones work; without this,
+// each following call would time out on the next idle connection.
+func (p *Pool) dropIdleAfterTimeout(ctx context.Context, failed *connection) {
 	if failed.reused && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		p.Forget(failed.address)
 	}
 }
 
-// exchange writes the request and reads the head of its answer.
+// exchange writes the request and reads the header of its response.
 func (c *connection) exchange(call *Call) (*http.Response, error) {
 	written, err := c.conn.Write(encode(call))
 	if err != nil {
@@ -84,7 +88,7 @@
 		return nil, fmt.Errorf("%w: writing: %w", ErrNoAnswer, err)
 	}
 	request := &http.Request{Method: call.Method}
-	for range maximumSurplusAnswers + 1 {
+	for range maxStrayResponses + 1 {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, fmt.Errorf("%w: reading: %w", ErrNoAnswer, err)
@@ -95,40 +99,40 @@
 		if call.Accept == nil || call.Accept(response) {
 			return response, nil
 		}
-		if _, err := io.CopyN(io.Discard, response.Body, maximumSurplusBytes); err != io.EOF || response.Close {
+		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBodyBytes); err != io.EOF || response.Close {
 			return nil, fmt.Errorf("%w: the answer belongs to another request", ErrNoAnswer)
 		}
 	}
 	return nil, fmt.Errorf("%w: only answers to other requests", ErrNoAnswer)
 }
 
-// encode writes the request as one block, so that it leaves in one system call.
+// encode returns the request as one byte slice, so that it is sent with one system call.
 func encode(call *Call) []byte {
-	block := make([]byte, 0, len(call.Body)+1024)
-	block = append(block, call.Method...)
-	block = append(block, ' ')
-	block = append(block, call.Target...)
-	block = append(block, " HTTP/1.1\r\nHost: "...)
-	block = append(block, call.Host...)
-	block = append(block, "\r\n"...)
+	encoded := make([]byte, 0, len(call.Body)+1024)
+	encoded = append(encoded, call.Method...)
+	encoded = append(encoded, ' ')
+	encoded = append(encoded, call.Target...)
+	encoded = append(encoded, " HTTP/1.1\r\nHost: "...)
+	encoded = append(encoded, call.Host...)
+	encoded = append(encoded, "\r\n"...)
 	for name, values := range call.Headers {
 		for _, value := range values {
-			block = append(block, name...)
-			block = append(block, ": "...)
-			block = append(block, value...)
-			block = append(block, "\r\n"...)
+			encoded = append(encoded, name...)
+			encoded = append(encoded, ": "...)
+			encoded = append(encoded, value...)
+			encoded = append(encoded, "\r\n"...)
 		}
 	}
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut {
-		block = append(block, "Content-Length: "...)
-		block = strconv.AppendInt(block, int64(len(call.Body)), 10)
-		block = append(block, "\r\n"...)
+		encoded = append(encoded, "Content-Length: "...)
+		encoded = strconv.AppendInt(encoded, int64(len(call.Body)), 10)
+		encoded = append(encoded, "\r\n"...)
 	}
-	block = append(block, "\r\n"...)
-	return append(block, call.Body...)
+	encoded = append(encoded, "\r\n"...)
+	return append(encoded, call.Body...)
 }
 
-// body reads an answer's body and gives the connection back at its end.
+// body reads a response body and returns the connection to the pool at the end of the body.
 type body struct {
 	source     io.ReadCloser
 	pool       *Pool
@@ -139,8 +143,8 @@
 	done       bool
 }
 
-// Read returns io.EOF only where the framing says that the body is whole, or the other side closed an answer without
-// a length.
+// Read returns io.EOF only if the framing confirms that the body is complete, or if the server closed the connection
+// after a response without a length.
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.source.Read(buffer)
 	if err == io.EOF && !b.done {
@@ -149,18 +153,18 @@
 	return count, err
 }
 
-// finish keeps the connection if the answer allows it and nothing is left over on it.
+// finish returns the connection to the pool if the response allows reuse and no unread bytes are left on it.
 func (b *body) finish() {
 	b.done = true
-	undisturbed := b.stop()
-	if !undisturbed || !b.framed || b.response.Close || b.connection.reader.Buffered() > 0 {
+	notCanceled := b.stop()
+	if !notCanceled || !b.framed || b.response.Close || b.connection.reader.Buffered() > 0 {
 		_ = b.connection.conn.Close()
 		return
 	}
-	b.pool.keep(b.connection, keepAliveTime(b.response.Header))
+	b.pool.release(b.connection, keepAliveTimeout(b.response.Header))
 }
 
-// Close ends the call; before the end of the body this closes the connection, which tells the other side to stop.
+// Close ends the call. Before the end of the body it closes the connection, which signals the server to stop.
 func (b *body) Close() error {
 	if b.done {
 		return nil
@@ -170,13 +174,13 @@
 	return b.connection.conn.Close()
 }
 
-// keepAliveTime returns how long the connection may be used again, or zero where the other side does not say.
-func keepAliveTime(headers http.Header) time.Duration {
+// keepAliveTimeout returns how long the connection may be reused, or zero if the server did not announce a timeout.
+func keepAliveTimeout(headers http.Header) time.Duration {
 	for _, field := range strings.Split(headers.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if strings.EqualFold(name, "timeout") && err == nil && seconds > 0 {
-			return time.Duration(float64(seconds) * keepAliveShare * float64(time.Second))
+			return time.Duration(float64(seconds) * keepAliveFraction * float64(time.Second))
 		}
 	}
 	return 0
--- a/internal/connpool/connection.go
+++ b/internal/connpool/connection.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// readBufferBytes holds the head of an answer and some events.
+// readBufferBytes is large enough for a response header and some streamed events.
 const readBufferBytes = 4096
 
 // connection is one open connection, used by one call at a time.
@@ -16,7 +16,7 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 	expires time.Time
-	// reused says that the connection was kept after an earlier call.
+	// reused reports whether the connection has served an earlier call.
 	reused bool
 }
 
@@ -24,14 +24,15 @@
 	return &connection{address: address, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 }
 
-// usable says whether a kept connection may take another request: it is within its time, the other side has not
-// closed it, and no bytes came on it that belong to no request.
+// usable reports whether an idle connection may take another request: it has not expired, the other side has not
+// closed it, and no unexpected bytes have arrived on it.
 func (c *connection) usable(now time.Time) bool {
-	return now.Before(c.expires) && c.silent()
+	return now.Before(c.expires) && c.hasNoPendingData()
 }
 
-// silent looks at the socket without waiting: true when there is nothing to read and no end.
-func (c *connection) silent() bool {
+// hasNoPendingData peeks at the socket without blocking. It returns false if there are bytes to read or the other
+// side has closed the connection.
+func (c *connection) hasNoPendingData() bool {
 	source, isSyscall := c.conn.(syscall.Conn)
 	if !isSyscall {
 		return true
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,5 +1,6 @@
-// Package connpool makes HTTP/1.1 calls over kept connections and says of each failed call whether the other side may
-// have seen it. The standard library's client retries and reads ahead by itself, so that it cannot say.
+// Package connpool makes HTTP/1.1 calls over pooled connections and reports for each failed call whether the server
+// may have seen the request. The standard library's client cannot report this, because it retries requests and reads
+// ahead on its own.
 package connpool
 
 import (
@@ -16,27 +17,28 @@
 )
 
 const (
-	// ErrNotSent means that no byte of the request reached the network: it did not run.
+	// ErrNotSent means that no byte of the request was sent, so the request was not executed.
 	ErrNotSent = failure.Kind("connection pool: request not sent")
-	// ErrNoAnswer means that the request was sent, wholly or in part, and no answer of its own came.
+	// ErrNoAnswer means that the request was sent, completely or in part, and no response to it was received.
 	ErrNoAnswer = failure.Kind("connection pool: no answer")
-	// ErrNobodyListens comes with ErrNotSent where the machine is there and no process of it listens at the address.
+	// ErrNobodyListens is wrapped together with ErrNotSent if the connection was refused: the host is reachable, but
+	// no process listens at the address.
 	ErrNobodyListens = failure.Kind("connection pool: nobody listens")
 )
 
-// Options shape a pool.
+// Options configure a pool.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept where the other side does not say.
+	// IdleTimeout is how long an idle connection is reused if the server does not announce a keep-alive timeout.
 	IdleTimeout time.Duration
-	// MaximumIdle bounds the kept connections to one address.
+	// MaximumIdle is the maximum number of idle connections per address.
 	MaximumIdle int
-	// Now is the steady clock.
+	// Now returns the monotonic time; nil is clock.Now.
 	Now func() time.Time
 }
 
-// Pool keeps connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
@@ -64,40 +66,40 @@
 	return p.opened
 }
 
-// Forget closes the kept connections to an address.
+// Forget closes the idle connections to an address.
 func (p *Pool) Forget(address string) {
 	p.mutex.Lock()
-	kept := p.idle[address]
+	pooled := p.idle[address]
 	delete(p.idle, address)
 	p.mutex.Unlock()
-	for _, idle := range kept {
+	for _, idle := range pooled {
 		_ = idle.conn.Close()
 	}
 }
 
-// take returns a kept connection that is still good, or opens one.
-func (p *Pool) take(ctx context.Context, address string) (*connection, error) {
+// acquire returns a usable idle connection, or opens a new one.
+func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
-		kept := p.takeIdle(address)
-		if kept == nil {
+		pooled := p.popIdle(address)
+		if pooled == nil {
 			return p.dial(ctx, address)
 		}
-		if kept.usable(p.options.Now()) {
-			return kept, nil
+		if pooled.usable(p.options.Now()) {
+			return pooled, nil
 		}
-		_ = kept.conn.Close()
+		_ = pooled.conn.Close()
 	}
 }
 
-func (p *Pool) takeIdle(address string) *connection {
+func (p *Pool) popIdle(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	pooled := p.idle[address]
+	if len(pooled) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	last := pooled[len(pooled)-1]
+	p.idle[address] = pooled[:len(pooled)-1]
 	return last
 }
 
@@ -115,18 +117,19 @@
 	return newConnection(address, conn), nil
 }
 
-// keep takes back a connection whose answer was read to its end. A connection already past its time is closed.
-func (p *Pool) keep(returned *connection, idleTimeout time.Duration) {
+// release returns a connection to the pool after its response was read to the end. It closes the connection if the
+// address already has the maximum number of idle connections.
+func (p *Pool) release(returned *connection, idleTimeout time.Duration) {
 	if idleTimeout <= 0 {
 		idleTimeout = p.options.IdleTimeout
 	}
 	returned.reused = true
 	returned.expires = p.options.Now().Add(idleTimeout)
 	p.mutex.Lock()
-	kept := p.idle[returned.address]
-	full := len(kept) >= p.options.MaximumIdle
+	pooled := p.idle[returned.address]
+	full := len(pooled) >= p.options.MaximumIdle
 	if !full {
-		p.idle[returned.address] = append(kept, returned)
+		p.idle[returned.address] = append(pooled, returned)
 	}
 	p.mutex.Unlock()
 	if full {
@@ -134,27 +137,27 @@
 	}
 }
 
-// CloseExpired closes kept connections past their time; callers run it now and then.
+// CloseExpired closes expired idle connections. Callers run it periodically.
 func (p *Pool) CloseExpired() {
 	now := p.options.Now()
-	var closing []*connection
+	var expiredConnections []*connection
 	p.mutex.Lock()
-	for address, kept := range p.idle {
-		var good []*connection
-		for _, idle := range kept {
+	for address, pooled := range p.idle {
+		var remaining []*connection
+		for _, idle := range pooled {
 			if idle.expires.After(now) {
-				good = append(good, idle)
+				remaining = append(remaining, idle)
 				continue
 			}
-			closing = append(closing, idle)
+			expiredConnections = append(expiredConnections, idle)
 		}
-		p.idle[address] = good
-		if len(good) == 0 {
+		p.idle[address] = remaining
+		if len(remaining) == 0 {
 			delete(p.idle, address)
 		}
 	}
 	p.mutex.Unlock()
-	for _, expired := range closing {
+	for _, expired := range expiredConnections {
 		_ = expired.conn.Close()
 	}
 }
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -17,7 +17,8 @@
 	"mallowlatch.example/mallowlatch/internal/connpool"
 )
 
-// serve answers each request of a connection with the given bytes and says how many connections came.
+// serve answers the requests of each connection with the given function until it returns false. It returns the
+// address and the number of accepted connections.
 func serve(t *testing.T, answer func(conn net.Conn, request *http.Request) bool) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -50,26 +51,28 @@
 	return listener.Addr().String(), opened
 }
 
-func whole(headers string) func(net.Conn, *http.Request) bool {
+func fixedResponse(headers string) func(net.Conn, *http.Request) bool {
 	return func(conn net.Conn, _ *http.Request) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n%s\r\nok", headers)
 		return err == nil
 	}
 }
 
-type clock struct{ nanos atomic.Int64 }
+type fakeClock struct{ nanos atomic.Int64 }
 
-func (c *clock) now() time.Time              { return time.Unix(0, c.nanos.Load()) }
-func (c *clock) pass(duration time.Duration) { c.nanos.Add(int64(duration)) }
+func (c *fakeClock) now() time.Time                 { return time.Unix(0, c.nanos.Load()) }
+func (c *fakeClock) advance(duration time.Duration) { c.nanos.Add(int64(duration)) }
 
-func newPool() (*connpool.Pool, *clock) {
-	ticking := &clock{}
-	return connpool.New(connpool.Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaximumIdle: 2, Now: ticking.now}), ticking
+func newPool() (*connpool.Pool, *fakeClock) {
+	fakeTime := &fakeClock{}
+	return connpool.New(connpool.Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaximumIdle: 2, Now: fakeTime.now}), fakeTime
 }
 
 func call(t *testing.T, pool *connpool.Pool, address string) (string, error) {
 	t.Helper()
-	answer, err := pool.Do(context.Background(), &connpool.Call{Address: address, Method: http.MethodPost, Target: "/", Host: "h", Body: []byte("b")})
+	answer, err := pool.Do(context.Background(), &connpool.Call{
+		Address: address, Method: http.MethodPost, Target: "/", Host: "h", Body: []byte("b"),
+	})
 	if err != nil {
 		return "", err
 	}
@@ -79,24 +82,25 @@
 }
 
 func TestConnectionIsKeptWithinItsTime(t *testing.T) {
-	address, opened := serve(t, whole("Keep-Alive: timeout=5\r\n"))
-	pool, ticking := newPool()
+	address, opened := serve(t, fixedResponse("Keep-Alive: timeout=5\r\n"))
+	pool, fakeTime := newPool()
 	for range 3 {
 		body, err := call(t, pool, address)
 		assert.NilError(t, err)
 		assert.Equal(t, body, "ok")
 	}
 	assert.Equal(t, opened.Load(), int64(1))
-	ticking.pass(4 * time.Second)
+	fakeTime.advance(4 * time.Second)
 	_, err := call(t, pool, address)
 	assert.NilError(t, err)
-	assert.Equal(t, opened.Load(), int64(2), "a connection was used near the end of the time its other side told")
+	assert.Equal(t, opened.Load(), int64(2), "a connection was reused close to the keep-alive timeout of the server")
 }
 
-// TestConnectionThatSaysCloseIsNotKept and bytes behind an answer both end the use of a connection.
+// TestConnectionsThatAreNotKept checks that a connection is not reused after "Connection: close" or after surplus
+// bytes behind a response.
 func TestConnectionsThatAreNotKept(t *testing.T) {
 	for name, answer := range map[string]func(net.Conn, *http.Request) bool{
-		"close": whole("Connection: close\r\n"),
+		"close": fixedResponse("Connection: close\r\n"),
 		"surplus": func(conn net.Conn, _ *http.Request) bool {
 			_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
 			return err == nil
@@ -115,7 +119,8 @@
 	}
 }
 
-// TestFailuresSayWhetherTheRequestWasSent is what a promise of not having run rests on.
+// TestFailuresSayWhetherTheRequestWasSent checks the distinction that callers rely on when they report that a request
+// was not executed.
 func TestFailuresSayWhetherTheRequestWasSent(t *testing.T) {
 	pool, _ := newPool()
 	closed, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -128,10 +133,10 @@
 	assert.ErrorIs(t, err, connpool.ErrNoAnswer)
 }
 
-// TestConnectionsBesideASilentOneAreNotUsed has all kept connections fall silent without a reset, while new ones work. One
-// call finds out; the next one gets its answer over a new connection, in place of waiting on each of the others in turn.
-func TestConnectionsBesideASilentOneAreNotUsed(t *testing.T) {
-	var silentUpTo, connections atomic.Int64
+// TestIdleConnectionsAreDroppedAfterATimeout makes all open connections unresponsive without a reset, while new ones
+// work. The first call times out; the next one must use a new connection, not the remaining idle one.
+func TestIdleConnectionsAreDroppedAfterATimeout(t *testing.T) {
+	var unresponsiveUpTo, connections atomic.Int64
 	var numbers sync.Map
 	together := make(chan struct{}, 2)
 	address, opened := serve(t, func(conn net.Conn, request *http.Request) bool {
@@ -140,7 +145,7 @@
 			number = connections.Add(1)
 			numbers.Store(conn, number)
 		}
-		if number.(int64) <= silentUpTo.Load() {
+		if number.(int64) <= unresponsiveUpTo.Load() {
 			_, _ = conn.Read(make([]byte, 1))
 			return false
 		}
@@ -150,7 +155,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		return whole("Keep-Alive: timeout=60\r\n")(conn, request)
+		return fixedResponse("Keep-Alive: timeout=60\r\n")(conn, request)
 	})
 	pool, _ := newPool()
 	var both sync.WaitGroup
@@ -164,7 +169,7 @@
 	}
 	both.Wait()
 	assert.Equal(t, opened.Load(), int64(2))
-	silentUpTo.Store(2)
+	unresponsiveUpTo.Store(2)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := pool.Do(ctx, &connpool.Call{Address: address, Method: http.MethodGet, Target: "/", Host: "h"})
@@ -177,7 +182,8 @@
 	assert.Equal(t, opened.Load(), int64(3))
 }
 
-// TestEndOfTheCallClosesTheConnection: closing is how the other side learns to stop.
+// TestEndOfTheCallClosesTheConnection checks that canceling a call closes its connection, which signals the server to
+// stop.
 func TestEndOfTheCallClosesTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	address, _ := serve(t, func(conn net.Conn, _ *http.Request) bool {
@@ -193,5 +199,5 @@
 	cancel()
 	assert.Assert(t, <-ended != nil)
 	_, err = io.ReadAll(answer.Body)
-	assert.Assert(t, err != nil, "a body cut short looks whole")
+	assert.Assert(t, err != nil, "a truncated body was returned without an error")
 }
--- a/internal/progress/journal.go
+++ b/internal/progress/journal.go
@@ -17,36 +17,37 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// ErrDisk means that an update could not be written. It is kept in memory all the same.
+// ErrDisk means that an update could not be written to disk. It is still applied in memory.
 const ErrDisk = failure.Kind("progress: disk failed")
 
 const (
 	journalName = "outputs"
-	folderPerm  = 0o700
-	filePerm    = 0o600
-	// longestLine bounds a line that is read back: the output of all items of one job at most.
-	longestLine = 16 << 20
+	folderMode  = 0o700
+	fileMode    = 0o600
+	// maxLineBytes is the maximum length of a line that is read: at most the output of all items of one job.
+	maxLineBytes = 16 << 20
 )
 
-// Journal is a Mirror whose outputs outlive its process: updates are appended to a file, which is written anew from memory
-// when it has grown to its bound. Each line carries a checksum; what follows a damaged one is not read. It is safe for
-// concurrent use.
+// Journal is a Mirror whose outputs survive a restart of the process. Updates are appended to a file, which is
+// rewritten from memory when it reaches its maximum size. Each line carries a checksum; reading stops at the first
+// corrupt line. It is safe for concurrent use.
 type Journal struct {
 	Mirror
 	folder string
-	// most bounds the file, in bytes.
-	most int64
+	// maxBytes is the maximum size of the file.
+	maxBytes int64
 
-	file    *os.File
-	written int64
+	file *os.File
+	size int64
 }
 
-// OpenJournal reads what an earlier process left in the folder, and makes it where it is missing.
-func OpenJournal(folder string, most int64, now time.Time) (*Journal, error) {
-	if err := os.MkdirAll(folder, folderPerm); err != nil {
+// OpenJournal opens the journal in the folder and loads the outputs that an earlier process stored there. It creates
+// the folder if it does not exist.
+func OpenJournal(folder string, maxBytes int64, now time.Time) (*Journal, error) {
+	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	j := &Journal{folder: folder, most: most}
+	j := &Journal{folder: folder, maxBytes: maxBytes}
 	if err := j.read(now); err != nil {
 		return nil, err
 	}
@@ -60,7 +61,7 @@
 
 func (j *Journal) path() string { return filepath.Join(j.folder, journalName) }
 
-// read takes over the lines of the file up to the first damaged one.
+// read applies the lines of the file up to the first corrupt one.
 func (j *Journal) read(now time.Time) error {
 	file, err := os.Open(j.path())
 	if errors.Is(err, os.ErrNotExist) {
@@ -70,10 +71,10 @@
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	defer func() { _ = file.Close() }()
-	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, longestLine)
-	for lines.Scan() {
-		update, err := decodeLine(lines.Bytes())
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		update, err := decodeLine(scanner.Bytes())
 		if err != nil {
 			return nil
 		}
@@ -82,10 +83,10 @@
 	return nil
 }
 
-// errDamaged means that a line is not whole.
-const errDamaged = failure.Kind("progress: damaged line")
+// errCorruptLine means that a line is truncated or its checksum does not match.
+const errCorruptLine = failure.Kind("progress: damaged line")
 
-// encodeLine is an update with the checksum of its text before it.
+// encodeLine returns an update as a line: the checksum of its JSON text, a space and the text.
 func encodeLine(update *Update) ([]byte, error) {
 	text, err := json.Marshal(update)
 	if err != nil {
@@ -101,17 +102,17 @@
 	sum, text, _ := bytes.Cut(line, []byte{' '})
 	want, err := strconv.ParseUint(string(sum), 16, 32)
 	if err != nil || uint32(want) != crc32.ChecksumIEEE(text) {
-		return nil, errDamaged
+		return nil, errCorruptLine
 	}
 	update := &Update{}
 	if err := json.Unmarshal(text, update); err != nil {
-		return nil, fmt.Errorf("%w: %w", errDamaged, err)
+		return nil, fmt.Errorf("%w: %w", errCorruptLine, err)
 	}
 	return update, nil
 }
 
-// Keep takes over updates and writes them. It returns the items that are to be sent from the beginning, as Take does. An
-// error wraps ErrDisk: the updates are in memory alone.
+// Keep applies updates in memory and writes them to the file. Like Take, it returns the items whose output must be
+// sent again from the beginning. If an error wraps ErrDisk, the updates are in memory only.
 func (j *Journal) Keep(updates []Update, now time.Time) (gaps []ident.Request, err error) {
 	for index := range updates {
 		gaps = append(gaps, j.Take(&updates[index], now)...)
@@ -121,7 +122,7 @@
 	return gaps, j.append(updates)
 }
 
-// append writes the updates and has them synced. The caller holds the mutex.
+// append writes and syncs the updates. The caller holds the mutex.
 func (j *Journal) append(updates []Update) error {
 	var lines []byte
 	for index := range updates {
@@ -131,50 +132,51 @@
 		}
 		lines = append(lines, line...)
 	}
-	if j.written+int64(len(lines)) > j.most {
+	if j.size+int64(len(lines)) > j.maxBytes {
 		return j.rewrite()
 	}
 	count, err := j.file.Write(lines)
-	j.written += int64(count)
+	j.size += int64(count)
 	if err == nil {
 		err = j.file.Sync()
 	}
 	if err != nil {
-		// Nothing behind a line that is cut short would be read again: the next update has the file written anew.
-		j.written = j.most
+		// Lines behind a truncated one would not be read after a restart, so the next update rewrites the file.
+		j.size = j.maxBytes
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	return nil
 }
 
-// rewrite writes what is in memory to a new file in the place of the old one. What does not fit is left out. The caller
+// rewrite replaces the file by one with the outputs in memory, without those that exceed the size limit. The caller
 // holds the mutex.
 func (j *Journal) rewrite() error {
 	content := j.content()
 	if err := durable.Write(j.path(), content); err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
-	file, err := os.OpenFile(j.path(), os.O_WRONLY|os.O_APPEND, filePerm)
+	file, err := os.OpenFile(j.path(), os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDisk, err)
 	}
 	if j.file != nil {
 		_ = j.file.Close()
 	}
-	j.file, j.written = file, int64(len(content))
+	j.file, j.size = file, int64(len(content))
 	return nil
 }
 
-// content is what is in memory, as lines, half of the bound at most so that room is left for updates.
+// content returns the outputs in memory as lines, up to half of the maximum file size, which leaves free space for
+// updates. The caller holds the mutex.
 func (j *Journal) content() []byte {
 	var content []byte
 	for id, job := range j.jobs {
 		update := &Update{Job: id}
-		for _, kept := range job.outputs {
-			update.Pieces = append(update.Pieces, Piece{Item: kept.Item, Run: kept.Run, LastEvent: kept.LastEvent, Text: kept.Text})
+		for _, stored := range job.outputs {
+			update.Pieces = append(update.Pieces, Piece{Item: stored.Item, Run: stored.Run, LastEvent: stored.LastEvent, Text: stored.Text})
 		}
 		line, err := encodeLine(update)
-		if err == nil && int64(len(content)+len(line)) <= j.most/2 {
+		if err == nil && int64(len(content)+len(line)) <= j.maxBytes/2 {
 			content = append(content, line...)
 		}
 	}
--- a/internal/progress/journal_test.go
+++ b/internal/progress/journal_test.go
@@ -12,9 +12,9 @@
 	"mallowlatch.example/mallowlatch/internal/progress"
 )
 
-func open(t *testing.T, folder string, most int64) *progress.Journal {
+func open(t *testing.T, folder string, maxBytes int64) *progress.Journal {
 	t.Helper()
-	journal, err := progress.OpenJournal(folder, most, start)
+	journal, err := progress.OpenJournal(folder, maxBytes, start)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = journal.Close() })
 	return journal
@@ -31,7 +31,7 @@
 	return gaps
 }
 
-// TestOutputOutlivesTheProcess opens the journal again without closing it, as after a kill, several times.
+// TestOutputOutlivesTheProcess opens the journal several times without closing it, as after the process was killed.
 func TestOutputOutlivesTheProcess(t *testing.T) {
 	folder := t.TempDir()
 	journal := open(t, folder, 1<<20)
@@ -44,14 +44,15 @@
 	assert.DeepEqual(t, keep(t, journal, update("a", 1, 3, "?")), []ident.Request{"a"})
 	assert.Equal(t, len(keep(t, journal, update("a", 7, 3, "\nthree"))), 0)
 	found := map[ident.Request]string{}
-	for _, kept := range open(t, folder, 1<<20).Outputs("j") {
-		found[kept.Item] = fmt.Sprint(kept.LastEvent, " ", string(kept.Text))
+	for _, stored := range open(t, folder, 1<<20).Outputs("j") {
+		found[stored.Item] = fmt.Sprint(stored.LastEvent, " ", string(stored.Text))
 	}
 	assert.DeepEqual(t, found, map[ident.Request]string{"a": "3 one\ntwo\nthree", "b": "1 first"})
 }
 
-// TestDamagedLinesEndTheReading cuts and spoils the file at each byte: what is read back is always a whole prefix.
-func TestDamagedLinesEndTheReading(t *testing.T) {
+// TestReadingStopsAtACorruptLine truncates the file and flips a bit at each byte. The output that is read back must
+// always be a valid prefix.
+func TestReadingStopsAtACorruptLine(t *testing.T) {
 	folder := t.TempDir()
 	journal := open(t, folder, 1<<20)
 	keep(t, journal, update("a", 0, 1, "one"))
@@ -59,30 +60,30 @@
 	content, err := os.ReadFile(filepath.Join(folder, "outputs"))
 	assert.NilError(t, err)
 	for position := range content {
-		spoiled := append([]byte(nil), content...)
-		spoiled[position] ^= 0x01
-		for _, left := range [][]byte{content[:position], spoiled} {
+		flipped := append([]byte(nil), content...)
+		flipped[position] ^= 0x01
+		for _, corrupt := range [][]byte{content[:position], flipped} {
 			damaged := t.TempDir()
-			assert.NilError(t, os.WriteFile(filepath.Join(damaged, "outputs"), left, 0o600))
-			for _, kept := range open(t, damaged, 1<<20).Outputs("j") {
+			assert.NilError(t, os.WriteFile(filepath.Join(damaged, "outputs"), corrupt, 0o600))
+			for _, stored := range open(t, damaged, 1<<20).Outputs("j") {
 				texts := map[int64]string{0: "", 1: "one", 2: "one\ntwo"}
-				assert.Equal(t, string(kept.Text), texts[kept.LastEvent])
+				assert.Equal(t, string(stored.Text), texts[stored.LastEvent])
 			}
 		}
 	}
 }
 
-// TestFileStaysWithinItsBound writes far more than fits.
+// TestFileStaysWithinItsBound writes many times the maximum size of the file.
 func TestFileStaysWithinItsBound(t *testing.T) {
 	folder := t.TempDir()
-	const most = 8 << 10
-	journal := open(t, folder, most)
+	const maxBytes = 8 << 10
+	journal := open(t, folder, maxBytes)
 	for job := range 100 {
 		one := update("a", 0, 1, string(make([]byte, 500)))
 		one.Job = ident.Job(fmt.Sprint(job))
 		keep(t, journal, one)
 		info, err := os.Stat(filepath.Join(folder, "outputs"))
 		assert.NilError(t, err)
-		assert.Assert(t, info.Size() <= most, "%d bytes", info.Size())
+		assert.Assert(t, info.Size() <= maxBytes, "%d bytes", info.Size())
 	}
 }
--- a/internal/progress/mirror.go
+++ b/internal/progress/mirror.go
@@ -1,5 +1,6 @@
-// Package progress keeps the output so far of batch items in the memory of a second node, so that what was made outlives
-// the worker that runs them. It is a cache: what is lost of it is made again, and nothing is acknowledged by it.
+// Package progress stores the partial output of batch items on a second node, so that it survives the failure of the
+// worker that runs them. A Mirror stores it in memory, a Journal also on disk. Both are caches: lost output is
+// generated again, and no acknowledgment depends on it.
 package progress
 
 import (
@@ -10,77 +11,79 @@
 )
 
 const (
-	// keptFor is how long the output of a job is kept without news of it: longer than a job lies unclaimed after its
-	// worker's end.
-	keptFor = time.Minute
-	// keptBytes bounds the output of all jobs: some hundred items of some ten kilobytes each.
-	keptBytes = 24 << 20
+	// retention is how long the output of a job is stored without an update. It is longer than a job stays unclaimed
+	// after its worker failed.
+	retention = time.Minute
+	// maxTotalBytes is the maximum size of the output of all jobs. It fits some hundred items of some tens of
+	// kilobytes each.
+	maxTotalBytes = 24 << 20
 )
 
-// RunID names one run of an item. Two runs of one item make different texts of the same length, so that what is kept of one
-// may only be followed by what that run, or one that was asked to go on behind it, made next.
+// RunID identifies one run of an item. Two runs of one item can produce different texts of the same length. Stored
+// output may therefore be continued only by the run that produced it, or by a run that was asked to continue it.
 type RunID struct {
-	// Claim is the revision of the claim under which the run was begun. It rises with each claim of a job.
+	// Claim is the revision of the claim under which the run was started. It increases with each claim of a job.
 	Claim int64 `json:"claim"`
-	// Number tells the runs of one process apart. The zero value of a RunID names no run.
+	// Number distinguishes the runs of one process. The zero RunID identifies no run.
 	Number int64 `json:"number"`
 }
 
-// Piece is what an item's output grew by.
+// Piece is an addition to the output of an item.
 type Piece struct {
 	Item ident.Request `json:"item"`
-	// Run made the last event of the output after, Before that of the output before.
+	// Run produced the last event of the output including this piece, Before the last event of the output preceding
+	// it.
 	Run    RunID `json:"run"`
 	Before RunID `json:"before"`
-	// Offset is the length of the output before, in bytes.
+	// Offset is the length in bytes of the output preceding this piece.
 	Offset int `json:"offset"`
-	// LastEvent is the id of the last event in the output after.
+	// LastEvent is the id of the last event of the output including this piece.
 	LastEvent int64  `json:"last_event"`
 	Text      []byte `json:"text"`
 }
 
-// Update is what the outputs of a job's items grew by.
+// Update holds additions to the outputs of the items of a job.
 type Update struct {
 	Job    ident.Job `json:"job"`
 	Pieces []Piece   `json:"pieces"`
 }
 
-// Output is what is kept of an item.
+// Output is the stored output of an item.
 type Output struct {
 	Item ident.Request `json:"item"`
-	// Run made the last event.
+	// Run produced the last event.
 	Run       RunID  `json:"run"`
 	LastEvent int64  `json:"last_event"`
 	Text      []byte `json:"text"`
 }
 
-// Mirror keeps outputs for other nodes. It is safe for concurrent use.
+// Mirror stores outputs for other nodes. The zero Mirror is empty. It is safe for concurrent use.
 type Mirror struct {
 	mutex sync.Mutex
-	jobs  map[ident.Job]*mirrored
+	jobs  map[ident.Job]*jobOutputs
 	bytes int
-	// most bounds the output of all jobs, in bytes; zero is keptBytes.
-	most int
+	// maxBytes is the maximum size of the output of all jobs; zero stands for maxTotalBytes.
+	maxBytes int
 }
 
-// mirrored is what is kept of a job.
-type mirrored struct {
+// jobOutputs are the stored outputs of a job.
+type jobOutputs struct {
 	updated time.Time
 	outputs map[ident.Request]*Output
 	bytes   int
 }
 
-// Take takes over an update. It returns the items whose pieces do not follow what is kept: their output is to be sent
-// from the beginning.
+// Take applies an update. It returns the items whose pieces do not continue the stored output: their output must be
+// sent again from the beginning.
 func (m *Mirror) Take(update *Update, now time.Time) []ident.Request {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.jobs == nil {
-		m.jobs = map[ident.Job]*mirrored{}
+		m.jobs = map[ident.Job]*jobOutputs{}
 	}
 	job := m.jobs[update.Job]
 	if job == nil {
-		job = &mirrored{outputs: map[ident.Request]*Output{}}
+		job = &jobOutputs{outputs: map[ident.Request]*Output{}}
 		m.jobs[update.Job] = job
 	}
 	job.updated = now
@@ -92,38 +95,39 @@
 		}
 		m.bytes += grown
 	}
-	m.forget(now)
+	m.evict(now)
 	return gaps
 }
 
-// take adds a piece, and returns by how many bytes the outputs grew. What comes under an older claim than what is kept, or
-// names no run, is passed over: its sender has lost the job, or cannot say what its piece follows.
-func (j *mirrored) take(piece Piece) (grown int, follows bool) {
-	kept := j.outputs[piece.Item]
-	if kept == nil {
-		kept = &Output{Item: piece.Item}
+// take applies a piece and returns by how many bytes the outputs grew. A piece of an older claim than the stored one,
+// or without a run, is ignored: its sender has lost the job, or cannot state which output the piece continues.
+func (j *jobOutputs) take(piece Piece) (grown int, follows bool) {
+	stored := j.outputs[piece.Item]
+	if stored == nil {
+		stored = &Output{Item: piece.Item}
 	}
-	if piece.Run == (RunID{}) || piece.Run.Claim < kept.Run.Claim {
+	if piece.Run == (RunID{}) || piece.Run.Claim < stored.Run.Claim {
 		return 0, true
 	}
-	before := len(kept.Text)
+	before := len(stored.Text)
 	switch {
 	case piece.Offset == 0:
-		kept.Text = nil
-	case piece.Offset != before, piece.Before != kept.Run:
+		stored.Text = nil
+	case piece.Offset != before, piece.Before != stored.Run:
 		return 0, false
 	}
-	j.outputs[piece.Item] = kept
-	kept.Run = piece.Run
-	kept.Text = append(kept.Text, piece.Text...)
-	kept.LastEvent = piece.LastEvent
-	grown = len(kept.Text) - before
+	j.outputs[piece.Item] = stored
+	stored.Run = piece.Run
+	stored.Text = append(stored.Text, piece.Text...)
+	stored.LastEvent = piece.LastEvent
+	grown = len(stored.Text) - before
 	j.bytes += grown
 	return grown, true
 }
 
-// forget drops what is old, and the oldest beyond the bound. The caller holds the mutex.
-func (m *Mirror) forget(now time.Time) {
+// evict removes jobs past the retention period, and the least recently updated ones while the outputs exceed the
+// maximum size. The caller holds the mutex.
+func (m *Mirror) evict(now time.Time) {
 	for {
 		var oldest ident.Job
 		for id, job := range m.jobs {
@@ -131,7 +135,7 @@
 				oldest = id
 			}
 		}
-		if oldest == "" || (m.bytes <= m.bound() && now.Sub(m.jobs[oldest].updated) <= keptFor) {
+		if oldest == "" || (m.bytes <= m.byteLimit() && now.Sub(m.jobs[oldest].updated) <= retention) {
 			return
 		}
 		m.bytes -= m.jobs[oldest].bytes
@@ -139,24 +143,25 @@
 	}
 }
 
-// bound is the most that is kept. The caller holds the mutex.
-func (m *Mirror) bound() int {
-	if m.most == 0 {
-		return keptBytes
+// byteLimit returns the maximum size of the output of all jobs. The caller holds the mutex.
+func (m *Mirror) byteLimit() int {
+	if m.maxBytes == 0 {
+		return maxTotalBytes
 	}
-	return min(m.most, keptBytes)
+	return min(m.maxBytes, maxTotalBytes)
 }
 
-// Bound has no more bytes kept than fit, and returns how many are.
-func (m *Mirror) Bound(most int64, now time.Time) int64 {
+// Bound limits the stored outputs to a number of bytes, evicts those that exceed it, and returns how many bytes are
+// stored.
+func (m *Mirror) Bound(maxBytes int64, now time.Time) int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.most = max(int(most), 1)
-	m.forget(now)
+	m.maxBytes = max(int(maxBytes), 1)
+	m.evict(now)
 	return int64(m.bytes)
 }
 
-// Outputs returns what is kept of a job.
+// Outputs returns the stored outputs of a job.
 func (m *Mirror) Outputs(id ident.Job) []Output {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -165,9 +170,9 @@
 		return nil
 	}
 	outputs := make([]Output, 0, len(job.outputs))
-	for _, kept := range job.outputs {
+	for _, stored := range job.outputs {
 		outputs = append(outputs, Output{
-			Item: kept.Item, Run: kept.Run, LastEvent: kept.LastEvent, Text: append([]byte(nil), kept.Text...),
+			Item: stored.Item, Run: stored.Run, LastEvent: stored.LastEvent, Text: append([]byte(nil), stored.Text...),
 		})
 	}
 	return outputs
--- a/internal/progress/mirror_test.go
+++ b/internal/progress/mirror_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// onlyRun made all output of the tests in which nothing depends on the run.
+// onlyRun produces all output in the tests that do not depend on the run.
 var onlyRun = progress.RunID{Claim: 1, Number: 1}
 
 func update(item string, offset int, last int64, text string) *progress.Update {
@@ -24,8 +24,8 @@
 	}}}
 }
 
-// TestOutputIsAlwaysAPrefix draws updates that are lost, repeated or sent anew: what is kept is always the output up to the
-// event that it names.
+// TestOutputIsAlwaysAPrefix generates updates that are lost, repeated or sent again from the beginning. The stored
+// output must always be the output up to the event that it names.
 func TestOutputIsAlwaysAPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var whole []byte
@@ -46,23 +46,24 @@
 			case rapid.Bool().Draw(t, "answered"):
 				acknowledged = last
 			}
-			for _, kept := range mirror.Outputs("j") {
-				assert.Equal(t, string(kept.Text), string(whole[:ends[kept.LastEvent]]))
+			for _, stored := range mirror.Outputs("j") {
+				assert.Equal(t, string(stored.Text), string(whole[:ends[stored.LastEvent]]))
 			}
 		}
 	})
 }
 
-// sender runs one item under a claim and sends what it makes to a mirror, each run in texts of its own.
+// sender runs one item under a claim and sends the output to a mirror. The text of each event identifies the run that
+// produced it.
 type sender struct {
 	claim, runs int64
-	// events are the runs that made the output so far, one for each event.
+	// events holds, for each event of the output so far, the run that produced it.
 	events []progress.RunID
-	// sent is how many events the mirror acknowledged.
+	// sent is the number of events that the mirror has acknowledged.
 	sent int
 }
 
-// textOf is the output up to an event. All events are of one length, as those of the runs of one item may be.
+// textOf returns the text of the events. All events have the same length, as those of different runs of one item may.
 func textOf(events []progress.RunID) []byte {
 	var text []byte
 	for _, run := range events {
@@ -71,7 +72,7 @@
 	return text
 }
 
-// run makes events in a run that goes on behind what there is.
+// run adds events of a new run that continues the output.
 func (s *sender) run(events int) {
 	s.runs++
 	for range events {
@@ -79,7 +80,7 @@
 	}
 }
 
-// piece is what the mirror lacks, as the sender believes.
+// piece returns the output that the mirror has not acknowledged yet.
 func (s *sender) piece() progress.Piece {
 	piece := progress.Piece{
 		Item: "a", Run: s.events[len(s.events)-1], Offset: len(textOf(s.events[:s.sent])), LastEvent: int64(len(s.events)),
@@ -91,25 +92,26 @@
 	return piece
 }
 
-// TestOutputOfSeveralHoldersIsNeverJoined draws holders of one item that go on beside each other, each from what the mirror
-// kept when it claimed the job. What is kept is always the output of one of them, up to an event.
-func TestOutputOfSeveralHoldersIsNeverJoined(t *testing.T) {
+// TestOutputOfSeveralClaimantsIsNeverJoined generates several claimants of one item that run concurrently, each
+// continuing the output that the mirror had stored when it claimed the job. The stored output must always be the
+// output of one of them, up to an event.
+func TestOutputOfSeveralClaimantsIsNeverJoined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var mirror progress.Mirror
 		var senders []*sender
-		made := map[string]bool{}
+		produced := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if len(senders) == 0 || (len(senders) < 4 && rapid.IntRange(0, 4).Draw(t, "claims") == 0) {
 				one := &sender{claim: int64(len(senders) + 1)}
-				for _, kept := range mirror.Outputs("j") {
-					one.events = runsOf(kept)
+				for _, stored := range mirror.Outputs("j") {
+					one.events = runsOf(stored)
 				}
 				senders = append(senders, one)
 			}
 			one := senders[rapid.IntRange(0, len(senders)-1).Draw(t, "sender")]
 			one.run(rapid.IntRange(1, 2).Draw(t, "events"))
 			for event := range one.events {
-				made[string(textOf(one.events[:event+1]))] = true
+				produced[string(textOf(one.events[:event+1]))] = true
 			}
 			gaps := mirror.Take(&progress.Update{Job: "j", Pieces: []progress.Piece{one.piece()}}, start)
 			switch {
@@ -118,18 +120,18 @@
 			case rapid.Bool().Draw(t, "answered"):
 				one.sent = len(one.events)
 			}
-			for _, kept := range mirror.Outputs("j") {
-				assert.Assert(t, made[string(kept.Text)], "%s was never the output of one holder", kept.Text)
-				assert.Equal(t, kept.Run, runsOf(kept)[kept.LastEvent-1])
+			for _, stored := range mirror.Outputs("j") {
+				assert.Assert(t, produced[string(stored.Text)], "%s was never the output of a single claimant", stored.Text)
+				assert.Equal(t, stored.Run, runsOf(stored)[stored.LastEvent-1])
 			}
 		}
 	})
 }
 
-// runsOf reads the runs of each event out of a kept text.
-func runsOf(kept progress.Output) []progress.RunID {
+// runsOf parses the run of each event from a stored text.
+func runsOf(stored progress.Output) []progress.RunID {
 	var runs []progress.RunID
-	for _, event := range strings.Split(strings.TrimSuffix(string(kept.Text), ";"), ";") {
+	for _, event := range strings.Split(strings.TrimSuffix(string(stored.Text), ";"), ";") {
 		var run progress.RunID
 		_, _ = fmt.Sscanf(event, "%d/%d", &run.Claim, &run.Number)
 		runs = append(runs, run)
@@ -137,14 +139,15 @@
 	return runs
 }
 
-// TestPieceWithoutARunIsPassedOver has a worker of an earlier version send output: nothing is known of what it may follow.
-func TestPieceWithoutARunIsPassedOver(t *testing.T) {
+// TestPieceWithoutARunIsIgnored sends a piece as a worker of an earlier version does, without a run. It must be
+// ignored, because it is not known which output it continues.
+func TestPieceWithoutARunIsIgnored(t *testing.T) {
 	var mirror progress.Mirror
 	mirror.Take(&progress.Update{Job: "j", Pieces: []progress.Piece{{Item: "a", LastEvent: 1, Text: []byte("one")}}}, start)
 	assert.Equal(t, len(mirror.Outputs("j")), 0)
 }
 
-func TestPieceThatDoesNotFollowIsAskedForAnew(t *testing.T) {
+func TestPieceThatDoesNotContinueIsRequestedFromTheBeginning(t *testing.T) {
 	var mirror progress.Mirror
 	assert.DeepEqual(t, mirror.Take(update("a", 3, 2, "two"), start), []ident.Request{"a"})
 	assert.Equal(t, len(mirror.Take(update("a", 0, 1, "one"), start)), 0)
@@ -153,8 +156,8 @@
 	assert.Equal(t, len(mirror.Outputs("unknown")), 0)
 }
 
-// TestOldOutputIsForgotten keeps the memory bounded, by time and by bytes.
-func TestOldOutputIsForgotten(t *testing.T) {
+// TestOldOutputIsEvicted checks that memory is bounded by time and by bytes.
+func TestOldOutputIsEvicted(t *testing.T) {
 	var mirror progress.Mirror
 	mirror.Take(update("a", 0, 1, "one"), start)
 	late := start.Add(10 * time.Minute)
@@ -163,8 +166,10 @@
 	large := make([]byte, 5<<20)
 	for job := range 6 {
 		late = late.Add(time.Millisecond)
-		mirror.Take(&progress.Update{Job: ident.Job(fmt.Sprint(job)), Pieces: []progress.Piece{{Item: "a", Run: onlyRun, LastEvent: 1, Text: large}}}, late)
+		mirror.Take(&progress.Update{
+			Job: ident.Job(fmt.Sprint(job)), Pieces: []progress.Piece{{Item: "a", Run: onlyRun, LastEvent: 1, Text: large}},
+		}, late)
 	}
-	assert.Equal(t, len(mirror.Outputs("0")), 0, "the oldest goes first")
+	assert.Equal(t, len(mirror.Outputs("0")), 0, "the output of the oldest job must be evicted first")
 	assert.Equal(t, len(mirror.Outputs("5")), 1)
 }
