--- a/internal/fleetfeed/changes.go
+++ b/internal/fleetfeed/changes.go
@@ -6,26 +6,27 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// ErrGap means that a node was told changes to a list that it does not have.
-const ErrGap = failure.Kind("fleet feed: changes to a list that the node does not have")
+// ErrGap means that a node received changes to a runner list that it does not have.
+const ErrGap = failure.Kind("fleet feed: received changes to a runner list that this node does not have")
 
-// stepsKept is how many readings are told as changes: a node hears of each reading, and one that missed a few is told them together.
-const stepsKept = 8
+// maxChangeSets is the number of readings whose changes are stored. A node usually receives each reading; one that
+// missed a few receives their changes together.
+const maxChangeSets = 8
 
-// history keeps what the last readings changed in the list of the runners. The zero history has no reading.
+// history stores what the last readings changed in the list of runners. The zero history has no reading.
 type history struct {
-	// from is the reading since which all changes are kept.
-	from  int64
-	steps []step
+	// from is the reading after which all changes are stored.
+	from int64
+	sets []changeSet
 }
 
-// step is what one reading changed.
-type step struct {
+// changeSet is what one reading changed.
+type changeSet struct {
 	reading int64
 	changes changes
 }
 
-// changes are the runners that came or changed, and those that went.
+// changes holds the runners that were added or changed, and the ids of those that were removed.
 type changes struct {
 	changed []work.Runner
 	gone    []ident.Incarnation
@@ -33,29 +34,30 @@
 
 func (c changes) len() int { return len(c.changed) + len(c.gone) }
 
-// note keeps what a reading changed. Where two entries have one id, changes would not tell them apart: the list goes whole.
-func (h *history) note(reading int64, before, after []work.Runner) {
+// record stores what a reading changed. If two entries of a list have the same id, changes cannot distinguish them:
+// the history is reset, so that nodes receive the full list.
+func (h *history) record(reading int64, before, after []work.Runner) {
 	known, unique := byID(before)
 	listed, alsoUnique := byID(after)
 	if h.from == 0 || !unique || !alsoUnique {
 		*h = history{from: reading}
 		return
 	}
-	made := changes{}
+	difference := changes{}
 	for _, runner := range after {
-		if earlier, wasKnown := known[runner.ID]; !wasKnown || earlier != runner {
-			made.changed = append(made.changed, runner)
+		if earlier, existed := known[runner.ID]; !existed || earlier != runner {
+			difference.changed = append(difference.changed, runner)
 		}
 	}
 	for _, runner := range before {
 		if _, stays := listed[runner.ID]; !stays {
-			made.gone = append(made.gone, runner.ID)
+			difference.gone = append(difference.gone, runner.ID)
 		}
 	}
-	h.steps = append(h.steps, step{reading: reading, changes: made})
-	if len(h.steps) > stepsKept {
-		h.from = h.steps[0].reading
-		h.steps = h.steps[1:]
+	h.sets = append(h.sets, changeSet{reading: reading, changes: difference})
+	if len(h.sets) > maxChangeSets {
+		h.from = h.sets[0].reading
+		h.sets = h.sets[1:]
 	}
 }
 
@@ -67,31 +69,32 @@
 	return found, len(found) == len(runners)
 }
 
-// since returns what changed after a reading, and false where that is not kept. The newest change of a runner counts.
+// since returns what changed after a reading, or false if these changes are not stored. If a runner changed several
+// times, only the newest change is returned.
 func (h *history) since(reading int64) (changes, bool) {
 	if h.from == 0 || reading < h.from {
 		return changes{}, false
 	}
-	var made changes
-	told := map[ident.Incarnation]bool{}
-	for index := len(h.steps) - 1; index >= 0 && h.steps[index].reading > reading; index-- {
-		for _, runner := range h.steps[index].changes.changed {
-			if !told[runner.ID] {
-				told[runner.ID] = true
-				made.changed = append(made.changed, runner)
+	var merged changes
+	included := map[ident.Incarnation]bool{}
+	for index := len(h.sets) - 1; index >= 0 && h.sets[index].reading > reading; index-- {
+		for _, runner := range h.sets[index].changes.changed {
+			if !included[runner.ID] {
+				included[runner.ID] = true
+				merged.changed = append(merged.changed, runner)
 			}
 		}
-		for _, id := range h.steps[index].changes.gone {
-			if !told[id] {
-				told[id] = true
-				made.gone = append(made.gone, id)
+		for _, id := range h.sets[index].changes.gone {
+			if !included[id] {
+				included[id] = true
+				merged.gone = append(merged.gone, id)
 			}
 		}
 	}
-	return made, true
+	return merged, true
 }
 
-// apply returns the list with changes made. It leaves the list as it is: others have it too.
+// apply returns the list with the changes applied. It does not modify the given list, which is shared.
 func (c changes) apply(runners []work.Runner) []work.Runner {
 	if c.len() == 0 {
 		return runners
@@ -121,42 +124,42 @@
 	return applied
 }
 
-// Copy is the list of a feed as a node has it. The zero Copy has none.
+// Copy is a node's copy of the runner list of a feed. The zero Copy has no list.
 type Copy struct {
 	incarnation, reading int64
 	runners              []work.Runner
 }
 
-// Tell has a call say which list the node has, so that it is answered with the changes to it.
+// Tell states in a request which list the node has, so that the answer contains only the changes to it.
 func (c *Copy) Tell(known *Known) {
 	known.ListOf, known.List, known.Unpacks = c.incarnation, c.reading, true
 }
 
-// Complete gives a snapshot its whole list, and keeps it. After an error, which wraps ErrGap or jsoncall.ErrDamaged, the node has none, and
-// is told the whole list.
+// Complete restores the full runner list in a snapshot and stores it. After an error, which wraps ErrGap or
+// jsoncall.ErrDamaged, the copy is empty, so that the next answer contains the full list.
 func (c *Copy) Complete(snapshot *Snapshot) error {
-	whole, err := c.whole(snapshot)
+	fullList, err := c.fullList(snapshot)
 	if err != nil {
 		*c = Copy{}
 		return err
 	}
-	snapshot.Runners = whole
-	*c = Copy{incarnation: snapshot.Incarnation, reading: snapshot.Reading, runners: whole}
+	snapshot.Runners = fullList
+	*c = Copy{incarnation: snapshot.Incarnation, reading: snapshot.Reading, runners: fullList}
 	return nil
 }
 
-func (c *Copy) whole(snapshot *Snapshot) ([]work.Runner, error) {
+func (c *Copy) fullList(snapshot *Snapshot) ([]work.Runner, error) {
 	switch {
 	case len(snapshot.Packed) > 0:
-		return unpack(snapshot.Packed)
+		return decompress(snapshot.Packed)
 	case snapshot.Since == 0:
 		return snapshot.Runners, nil
 	case snapshot.Since != c.reading || snapshot.Incarnation != c.incarnation:
 		return nil, ErrGap
 	}
-	whole := changes{changed: snapshot.Changed, gone: snapshot.Gone}.apply(c.runners)
-	if len(whole) != snapshot.Length {
+	fullList := changes{changed: snapshot.Changed, gone: snapshot.Gone}.apply(c.runners)
+	if len(fullList) != snapshot.Length {
 		return nil, ErrGap
 	}
-	return whole, nil
+	return fullList, nil
 }
--- a/internal/fleetfeed/feed.go
+++ b/internal/fleetfeed/feed.go
@@ -1,6 +1,7 @@
-// Package fleetfeed passes what one node read of the runners and the configuration on to nodes of its zone, over drpc.
-// Each reading of the registry has its price; with a feed one node of a zone pays it for all. A snapshot carries its
-// age, so that a node whose feed is old, silent or gone reads for itself.
+// Package fleetfeed forwards the runner list, the configuration and the workers known to one node to other nodes, over
+// drpc. Each reading of the registry has a cost; with a feed, one node of a zone bears it on behalf of the others. Runner
+// lists are sent as changes or compressed where possible. A snapshot carries its age, so that a node whose feed is stale,
+// unresponsive or gone can read the registry itself.
 package fleetfeed
 
 import (
@@ -21,32 +22,34 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Known is what a node already has.
+// Known is a request: it states what the node already has.
 type Known struct {
-	// Reading numbers the feed's readings; zero has none.
+	// Reading is the number of the feed's reading that the node has; zero if it has none.
 	Reading int64 `json:"reading"`
-	// Incarnation tells feeds of different processes apart: their numbers mean nothing to each other.
+	// Incarnation identifies the process of the feed. Reading numbers of different processes are not comparable.
 	Incarnation int64 `json:"incarnation"`
-	// CatalogVersion is that of the configuration in force.
+	// CatalogVersion is the version of the configuration in force.
 	CatalogVersion int64 `json:"catalog_version"`
-	// WaitMs is how long the answer may be held for a newer reading, in milliseconds.
+	// WaitMs is how long the answer may be delayed until there is a newer reading, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
-	// ListOf and List are the incarnation and the reading of the list that the node has, to be told the changes to it alone; zero has none.
-	// Unpacks says that it takes a packed list. A node of an older build says neither, and is told the list whole.
+	// ListOf and List are the incarnation and the reading of the runner list that the node has, so that it receives
+	// only the changes; zero if it has none. Unpacks states that the node accepts a compressed list. A node of an
+	// older version sets none of them and receives the full list.
 	ListOf  int64 `json:"list_of,omitempty"`
 	List    int64 `json:"list,omitempty"`
 	Unpacks bool  `json:"unpacks,omitempty"`
-	// WorkersPrint is the print of the workers that the node was told last; zero was told none.
+	// WorkersPrint is the fingerprint of the workers that the node received last; zero if it received none.
 	WorkersPrint uint64 `json:"workers_print,omitempty"`
 }
 
-// Snapshot is what the feeding node read last.
+// Snapshot holds the newest readings of the feed.
 type Snapshot struct {
 	Incarnation int64 `json:"incarnation"`
 	Reading     int64 `json:"reading"`
-	// Runners are those of the registry at the revision. Where the node said that it has an earlier list, Since is the reading of that, and
-	// Changed and Gone what changed, and Length how many there are then; where it takes a packed list, Packed may be there instead.
-	// Copy.Complete makes either whole.
+	// Runners is the registry's runner list at the revision. If the node stated that it has an earlier list, the
+	// answer may instead contain the changes: Since is the reading of the earlier list, Changed and Gone are the
+	// differences, and Length is the length of the new list. If the node accepts a compressed list, Packed may be set
+	// instead. Copy.Complete restores the full list from either.
 	Runners  []work.Runner       `json:"runners"`
 	Since    int64               `json:"since,omitempty"`
 	Changed  []work.Runner       `json:"changed,omitempty"`
@@ -54,18 +57,19 @@
 	Length   int                 `json:"length,omitempty"`
 	Packed   []byte              `json:"packed,omitempty"`
 	Revision int64               `json:"revision"`
-	// RunnersAgeMs is the time since the reading began, OrdersAgeMs since the newest answer about the orders.
+	// RunnersAgeMs is the time since the reading of the runners began, OrdersAgeMs the time since the newest answer
+	// about the orders.
 	RunnersAgeMs int64 `json:"runners_age_ms"`
 	OrdersAgeMs  int64 `json:"orders_age_ms"`
-	// Catalog is the configuration, or nil where the node has this version.
+	// Catalog is the configuration, or nil if the node already has this version.
 	Catalog *work.Catalog `json:"catalog,omitempty"`
-	// Retire holds the workers to be emptied.
+	// Retire lists the workers to be drained.
 	Retire []work.Retirement `json:"retire,omitempty"`
-	// Workers are those that run batch jobs, as the node last saw them; none means that it does not know, or that they are those of the
-	// print that the asking node has. WorkersPrint is their print.
+	// Workers are the workers last seen by the feeding node. The list is empty if the feed does not know them, or if
+	// the requesting node already has the list with this fingerprint. WorkersPrint is its fingerprint.
 	Workers      []Worker `json:"workers,omitempty"`
 	WorkersPrint uint64   `json:"workers_print,omitempty"`
-	// HeldMs is how long the answer was held; what is left of the call's time was its way.
+	// HeldMs is how long the feed delayed the answer. The rest of the call's duration is transmission time.
 	HeldMs int64 `json:"held_ms"`
 }
 
@@ -73,16 +77,16 @@
 type Worker struct {
 	Node ident.Node `json:"node"`
 	Zone ident.Zone `json:"zone"`
-	// Address is where other nodes call it.
+	// Address is the address for calls from other nodes.
 	Address string `json:"address"`
 }
 
-// Feed holds the newest readings of a node and answers others. It is safe for concurrent use.
+// Feed stores the newest readings of a node and serves them to other nodes. It is safe for concurrent use.
 type Feed struct {
 	Now func() time.Time
-	// Workers returns the nodes that run batch jobs; nil tells none.
+	// Workers returns the nodes that run batch jobs; if it is nil, snapshots list no workers.
 	Workers func() []Worker
-	// Refresh reads the orders anew and notes them here; nil cannot.
+	// Refresh reads the orders anew and passes them to Orders; if it is nil, Newest reports that it cannot read.
 	Refresh func(ctx context.Context) error
 
 	mutex       sync.Mutex
@@ -95,18 +99,20 @@
 	catalog     *work.Catalog
 	retire      []work.Retirement
 	changed     chan struct{}
-	// history is what the last readings changed. packed is the list in its packed form once it was asked for, or nil.
-	history history
-	packed  []byte
+	// history stores the changes of the last readings. compressed is the compressed list, or nil if it was not
+	// requested yet.
+	history    history
+	compressed []byte
 }
 
 // New returns an empty feed.
 func New(now func() time.Time) *Feed {
-	// Drawn: nodes that start at the same moment must not take each other's lists for their own.
+	// The incarnation is random: processes that start at the same time must not have the same one, or a node would
+	// apply the changes of one feed to the list of another.
 	return &Feed{Now: now, incarnation: rand.Int64N(math.MaxInt64) + 1, changed: make(chan struct{})}
 }
 
-// Read notes a reading of the runners that began at the time. One older than the newest is passed over.
+// Read stores a reading of the runners that began at the given time. A reading older than the newest one is ignored.
 func (f *Feed) Read(runners []work.Runner, revision int64, began time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -114,12 +120,12 @@
 		return
 	}
 	f.reading++
-	f.history.note(f.reading, f.runners, runners)
-	f.runners, f.revision, f.readAt, f.packed = runners, revision, began, nil
-	f.wake()
+	f.history.record(f.reading, f.runners, runners)
+	f.runners, f.revision, f.readAt, f.compressed = runners, revision, began, nil
+	f.notifyWaiters()
 }
 
-// Orders notes an answer about the orders as of the time.
+// Orders stores an answer about the orders, as of the given time.
 func (f *Feed) Orders(orders work.Orders, answered time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -128,61 +134,63 @@
 	}
 	if catalog := orders.Catalog; catalog != nil && (f.catalog == nil || catalog.Version > f.catalog.Version) {
 		f.catalog = catalog
-		f.wake()
+		f.notifyWaiters()
 	}
 	for _, retirement := range orders.Retire {
 		if !slices.Contains(f.retire, retirement) {
 			f.retire = append(f.retire, retirement)
 			f.reading++
-			f.wake()
+			f.notifyWaiters()
 		}
 	}
 }
 
-// wake tells those that wait. The caller holds the mutex.
-func (f *Feed) wake() {
+// notifyWaiters wakes the calls that wait for a change. The caller holds the mutex.
+func (f *Feed) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Snapshot answers a node: at once where it lacks something, otherwise when something comes or the wait is over.
+// Snapshot answers a node: at once if the feed has something newer, otherwise at the next change or when the wait
+// time is over.
 func (f *Feed) Snapshot(ctx context.Context, known *Known) (*Snapshot, error) {
 	began := f.Now()
-	timer := time.NewTimer(min(time.Duration(known.WaitMs)*time.Millisecond, longestHold))
+	timer := time.NewTimer(min(time.Duration(known.WaitMs)*time.Millisecond, maxHold))
 	defer timer.Stop()
-	for over := false; ; {
-		// The time held ends where the ages are told: a freeze after that is the answer's way.
+	for waitExpired := false; ; {
+		// HeldMs ends when the ages are computed. If the process freezes after that, the freeze counts as
+		// transmission time.
 		now := f.Now()
-		snapshot, changed, err := f.compare(known, now, over)
+		snapshot, changed, err := f.compare(known, now, waitExpired)
 		if err != nil {
 			return nil, err
 		}
 		if snapshot != nil {
 			snapshot.HeldMs = now.Sub(began).Milliseconds()
-			f.tellWorkers(snapshot, known)
+			f.addWorkers(snapshot, known)
 			return snapshot, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			waitExpired = true
 		case <-ctx.Done():
 			return nil, fmt.Errorf("holding a call for a newer reading: %w", ctx.Err())
 		}
 	}
 }
 
-// longestHold bounds how long an answer is held.
-const longestHold = 5 * time.Second
+// maxHold is the maximum time that an answer is delayed.
+const maxHold = 5 * time.Second
 
-// compare returns the snapshot as of now where the node lacks something or is to be answered anyway, nil otherwise, and what is closed at
-// the next change.
-func (f *Feed) compare(known *Known, now time.Time, anyway bool) (*Snapshot, <-chan struct{}, error) {
+// compare returns the snapshot as of now if the feed has something newer or answerNow is set, otherwise nil. It also
+// returns a channel that is closed at the next change.
+func (f *Feed) compare(known *Known, now time.Time, answerNow bool) (*Snapshot, <-chan struct{}, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	newCatalog := f.catalog != nil && f.catalog.Version > known.CatalogVersion
 	newer := known.Incarnation != f.incarnation || known.Reading != f.reading || newCatalog
-	if !anyway && (!newer || f.readAt.IsZero()) {
+	if !answerNow && (!newer || f.readAt.IsZero()) {
 		return nil, f.changed, nil
 	}
 	snapshot := &Snapshot{
@@ -193,23 +201,24 @@
 	if newCatalog {
 		snapshot.Catalog = f.catalog
 	}
-	return snapshot, f.changed, f.tellRunners(snapshot, known)
+	return snapshot, f.changed, f.addRunners(snapshot, known)
 }
 
-// tellWorkers gives a snapshot the workers, where they are not those that the node was told.
-func (f *Feed) tellWorkers(snapshot *Snapshot, known *Known) {
+// addWorkers adds the workers to a snapshot if they differ from those that the node received last.
+func (f *Feed) addWorkers(snapshot *Snapshot, known *Known) {
 	if f.Workers == nil {
 		return
 	}
 	workers := f.Workers()
-	snapshot.WorkersPrint = print(workers)
+	snapshot.WorkersPrint = workersFingerprint(workers)
 	if snapshot.WorkersPrint != known.WorkersPrint {
 		snapshot.Workers = workers
 	}
 }
 
-// print tells lists of workers apart, in whatever order they are; zero is that of none.
-func print(workers []Worker) uint64 {
+// workersFingerprint returns a hash of a list of workers that does not depend on their order; it is zero for an empty
+// list.
+func workersFingerprint(workers []Worker) uint64 {
 	sum := uint64(0)
 	for _, worker := range workers {
 		sum += xxhash.Sum64String(string(worker.Node) + "\x00" + string(worker.Zone) + "\x00" + worker.Address)
@@ -217,31 +226,32 @@
 	return sum
 }
 
-// tellRunners gives a snapshot the list in the shortest form that the node takes. The caller holds the mutex.
-func (f *Feed) tellRunners(snapshot *Snapshot, known *Known) (err error) {
+// addRunners adds the runner list to a snapshot: as changes, compressed or as it is, depending on what the node
+// accepts. The caller holds the mutex.
+func (f *Feed) addRunners(snapshot *Snapshot, known *Known) (err error) {
 	if known.ListOf == f.incarnation && known.List > 0 {
-		made, kept := f.history.since(known.List)
-		if kept && made.len() <= len(f.runners)/2 {
-			snapshot.Since, snapshot.Changed, snapshot.Gone, snapshot.Length = known.List, made.changed, made.gone, len(f.runners)
+		merged, available := f.history.since(known.List)
+		if available && merged.len() <= len(f.runners)/2 {
+			snapshot.Since, snapshot.Changed, snapshot.Gone, snapshot.Length = known.List, merged.changed, merged.gone, len(f.runners)
 			return nil
 		}
 	}
-	if !known.Unpacks || len(f.runners) < packFrom {
+	if !known.Unpacks || len(f.runners) < compressMinRunners {
 		snapshot.Runners = f.runners
 		return nil
 	}
-	if f.packed == nil {
-		f.packed, err = pack(f.runners)
+	if f.compressed == nil {
+		f.compressed, err = compress(f.runners)
 	}
-	snapshot.Packed = f.packed
+	snapshot.Packed = f.compressed
 	return err
 }
 
-// LongestAge is what is told of a reading that was never made. It is older than any that is used, and can be added to: the time since
-// the zero time can't.
+// LongestAge is the maximum age in a snapshot, and the age of a reading that was never made. It is older than any
+// reading that is used, and can be added to without overflow, unlike the time since the zero time.
 const LongestAge = 24 * time.Hour
 
-// ageMs is how long ago a reading was, in milliseconds.
+// ageMs returns the time since a reading in milliseconds, at most LongestAge.
 func ageMs(at, now time.Time) int64 {
 	if at.IsZero() {
 		return LongestAge.Milliseconds()
@@ -249,18 +259,18 @@
 	return min(now.Sub(at), LongestAge).Milliseconds()
 }
 
-// Newest is what a reading of the configuration for another node brought.
+// Newest is the result of reading the configuration on behalf of another node.
 type Newest struct {
-	// Catalog is the configuration, or nil where the node has this version.
+	// Catalog is the configuration, or nil if the node already has this version.
 	Catalog *work.Catalog `json:"catalog,omitempty"`
-	// Unread says why the configuration could not be read; empty where it was.
+	// Unread is the reason why the configuration could not be read; empty if it was read.
 	Unread string `json:"unread,omitempty"`
 }
 
-// ErrUnread means that a node could not read the configuration for another one.
+// ErrUnread means that a node could not read the configuration on behalf of another node.
 const ErrUnread = failure.Kind("fleet feed: the configuration could not be read")
 
-// Newest answers a node that must not go by what was read before its question: the configuration is read anew.
+// Newest answers a node that must not rely on anything read before its request: it reads the configuration anew.
 func (f *Feed) Newest(ctx context.Context, known *Known) (*Newest, error) {
 	if f.Refresh == nil {
 		return &Newest{Unread: "this node reads for no other"}, nil
@@ -276,7 +286,7 @@
 	return &Newest{Catalog: f.catalog}, nil
 }
 
-// Server answers nodes.
+// Server serves snapshots and the configuration to other nodes.
 type Server interface {
 	Snapshot(ctx context.Context, known *Known) (*Snapshot, error)
 	Newest(ctx context.Context, known *Known) (*Newest, error)
@@ -312,7 +322,7 @@
 	return server.(Server).Newest(ctx, in.(*Known))
 }
 
-// Ask asks the feed behind a connection.
+// Ask requests a snapshot from the feed behind a connection.
 func Ask(ctx context.Context, connection drpc.Conn, known *Known) (*Snapshot, error) {
 	snapshot := &Snapshot{}
 	if err := connection.Invoke(ctx, methodSnapshot, jsoncall.Encoding{}, known, snapshot); err != nil {
@@ -321,7 +331,8 @@
 	return snapshot, nil
 }
 
-// AskNewest has the node behind a connection read the configuration anew, and returns it where its version is newer than the given one.
+// AskNewest requests that the node behind a connection read the configuration anew, and returns it if its version is
+// newer than the given one.
 func AskNewest(ctx context.Context, connection drpc.Conn, version int64) (*work.Catalog, error) {
 	newest := &Newest{}
 	if err := connection.Invoke(ctx, methodNewest, jsoncall.Encoding{}, &Known{CatalogVersion: version}, newest); err != nil {
--- a/internal/fleetfeed/feed_test.go
+++ b/internal/fleetfeed/feed_test.go
@@ -11,8 +11,9 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// TestFeedTellsWhatIsNewAndHowOldItIs asks with and without what the feed has.
-func TestFeedTellsWhatIsNewAndHowOldItIs(t *testing.T) {
+// TestSnapshotHasWhatIsNewAndItsAge requests snapshots as a node that has none of the feed's readings, and as one
+// that has them.
+func TestSnapshotHasWhatIsNewAndItsAge(t *testing.T) {
 	now := time.Unix(100, 0)
 	feed := fleetfeed.New(func() time.Time { return now })
 	ctx := context.Background()
@@ -30,7 +31,7 @@
 	same, err := feed.Snapshot(ctx, known)
 	assert.NilError(t, err)
 	assert.Equal(t, same.Reading, first.Reading)
-	assert.Assert(t, same.Catalog == nil, "a configuration was sent again")
+	assert.Assert(t, same.Catalog == nil, "a configuration that the node has was sent again")
 
 	known.WaitMs = 60_000
 	answered := make(chan *fleetfeed.Snapshot, 1)
@@ -43,26 +44,26 @@
 	assert.Equal(t, (<-answered).Catalog.Version, int64(6))
 }
 
-// TestFreezeBeforeTheAnswerIsNotHeldTime freezes the process after it looked at its clock for the ages. What a node takes off
-// its call's time as held must not contain the freeze, or an old list looks young.
-func TestFreezeBeforeTheAnswerIsNotHeldTime(t *testing.T) {
-	const looksBeforeTheFreeze = 2
-	now, looks := time.Unix(100, 0), 0
+// TestFreezeBeforeTheAnswerIsNotCountedAsHeld freezes the process after it read its clock for the ages. A node
+// subtracts HeldMs from the duration of its call; if HeldMs contained the freeze, an old list would appear recent.
+func TestFreezeBeforeTheAnswerIsNotCountedAsHeld(t *testing.T) {
+	const clockReadsBeforeTheFreeze = 2
+	now, clockReads := time.Unix(100, 0), 0
 	feed := fleetfeed.New(func() time.Time { return now })
 	feed.Read([]work.Runner{{ID: "i-1"}}, 1, now)
 	feed.Now = func() time.Time {
-		if looks++; looks > looksBeforeTheFreeze {
+		if clockReads++; clockReads > clockReadsBeforeTheFreeze {
 			return now.Add(6 * time.Second)
 		}
 		return now
 	}
 	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.Known{})
 	assert.NilError(t, err)
-	assert.Equal(t, snapshot.RunnersAgeMs, snapshot.HeldMs, "the freeze is in one of them only")
+	assert.Equal(t, snapshot.RunnersAgeMs, snapshot.HeldMs, "the freeze is counted in one of the two durations only")
 }
 
-// TestFeedWithoutAReadingAnswersNothing holds a call that comes before the first reading.
-func TestFeedWithoutAReadingAnswersNothing(t *testing.T) {
+// TestFeedWithoutAReadingDelaysItsAnswer checks that a request before the first reading waits.
+func TestFeedWithoutAReadingDelaysItsAnswer(t *testing.T) {
 	feed := fleetfeed.New(time.Now)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
@@ -70,9 +71,9 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// TestFeedThatHasReadNothingSaysSo asks one that has just started: the ages it tells are older than anything that is used, and can be
-// added to.
-func TestFeedThatHasReadNothingSaysSo(t *testing.T) {
+// TestFeedWithoutAReadingReportsTheLongestAge requests a snapshot from a feed that has just started. Its ages must be
+// older than any reading that is used, and small enough to be added to.
+func TestFeedWithoutAReadingReportsTheLongestAge(t *testing.T) {
 	feed := fleetfeed.New(time.Now)
 	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.Known{WaitMs: 1})
 	assert.NilError(t, err)
