--- a/internal/site/await.go
+++ b/internal/site/await.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// startPatience is how long a request may wait at a node that has started and does not know the fleet yet: what is answered within
-	// the usual objectives of some 300 ms after it is still in time, and a caller sent away comes back half a second later.
-	startPatience = 240 * time.Millisecond
-	// startLook is the time between two looks whether the fleet is known.
-	startLook = 5 * time.Millisecond
+	// maxStartWait is how long a request may wait at a node that has just started and does not know the fleet yet.
+	// Usual objectives are some 300 ms, so a request that is served after this wait can still meet its objective; a
+	// rejected client would retry half a second later.
+	maxStartWait = 240 * time.Millisecond
+	// startPollInterval is the interval between checks whether the fleet is known.
+	startPollInterval = 5 * time.Millisecond
 )
 
-// Start is the beginning of a process's service: requests wait until the process knows the fleet.
+// Start delays requests to a process that has just started until the process knows the fleet.
 type Start struct {
-	// Known says whether it knows the configuration and the runners.
+	// Known reports whether the process knows the configuration and the runners.
 	Known func() bool
 	Now   func() time.Time
 }
 
-// Await returns once the fleet is known, or when a request that arrived at a time may wait for it no longer.
+// Await returns when the fleet is known, when the maximum wait since the arrival of the request is over, or when ctx
+// ends.
 func (s *Start) Await(ctx context.Context, arrived time.Time) {
 	if s.Known() {
 		return
 	}
-	ticker := time.NewTicker(startLook)
+	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
-	for s.Now().Sub(arrived) < startPatience && !s.Known() {
+	for s.Now().Sub(arrived) < maxStartWait && !s.Known() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/site/logwriter.go
+++ b/internal/site/logwriter.go
@@ -1,5 +1,6 @@
-// Package site holds what every process on a platform's machine needs around its role: logs that never block, the
-// order of a planned stop, and limits taken from the settings.
+// Package site holds what every process on a platform's machine needs regardless of its role: a log writer that never
+// blocks, the delay of requests during startup, the sequence of a planned stop, and the runtime limits taken from the
+// settings.
 package site
 
 import (
@@ -13,17 +14,18 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written.
-	queuedLines = 1024
-	// linesEachSecond and bytesEachSecond bound what is written; beyond them only lines of failures pass.
-	linesEachSecond = 200
-	bytesEachSecond = 64 << 10
-	// failureBudget is the budget of lines of failures, as a multiple.
-	failureBudget = 2
+	// maxQueuedLines is the capacity of the queue of lines to be written.
+	maxQueuedLines = 1024
+	// maxLinesPerSecond and maxBytesPerSecond limit the output. Beyond them only lines of warnings and errors are
+	// written.
+	maxLinesPerSecond = 200
+	maxBytesPerSecond = 64 << 10
+	// failureBudgetFactor multiplies the limits for lines of warnings and errors.
+	failureBudgetFactor = 2
 )
 
-// LogWriter writes lines in the background. A line that finds the queue full, or the budget of the second spent, is
-// dropped and counted; the count is told with the next line that passes.
+// LogWriter writes log lines in the background. A line is dropped and counted if the queue is full or the limit of
+// the current second is reached. The count is written before the next line.
 type LogWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -37,29 +39,29 @@
 	bytes  int
 }
 
-// NewLogWriter starts writing to destination until Close.
+// NewLogWriter returns a LogWriter that writes to destination until Close is called.
 func NewLogWriter(destination io.Writer, now func() time.Time) *LogWriter {
-	writer := &LogWriter{lines: make(chan []byte, queuedLines), now: now, done: make(chan struct{})}
+	writer := &LogWriter{lines: make(chan []byte, maxQueuedLines), now: now, done: make(chan struct{})}
 	go writer.run(destination)
 	return writer
 }
 
-// Write implements io.Writer for lines of unknown weight.
+// Write implements io.Writer for lines of unknown level.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	return w.write(line, 1)
 }
 
-// WriteLevel implements zerolog.LevelWriter. Lines of failures have twice the budget, so that they are kept before
-// those of successes.
+// WriteLevel implements zerolog.LevelWriter. Lines of warnings and errors have twice the limits, so that they are
+// still written when other lines are dropped.
 func (w *LogWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	if level >= zerolog.WarnLevel {
-		return w.write(line, failureBudget)
+		return w.write(line, failureBudgetFactor)
 	}
 	return w.write(line, 1)
 }
 
 func (w *LogWriter) write(line []byte, factor int) (int, error) {
-	if !w.within(len(line), factor) {
+	if !w.chargeBudget(len(line), factor) {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
@@ -71,14 +73,14 @@
 	return len(line), nil
 }
 
-// within charges a line to the budget of the present second.
-func (w *LogWriter) within(size, factor int) bool {
+// chargeBudget counts a line against the limits of the current second and reports whether it may be written.
+func (w *LogWriter) chargeBudget(size, factor int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if second := w.now().Unix(); second != w.second {
 		w.second, w.count, w.bytes = second, 0, 0
 	}
-	if w.count >= linesEachSecond*factor || w.bytes >= bytesEachSecond*factor {
+	if w.count >= maxLinesPerSecond*factor || w.bytes >= maxBytesPerSecond*factor {
 		return false
 	}
 	w.count++
@@ -96,14 +98,14 @@
 	}
 }
 
-// closeWait bounds the wait for the last lines when a reader has stopped.
-const closeWait = 200 * time.Millisecond
+// closeTimeout is how long Close waits for the queued lines if the destination blocks.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes the queued lines and ends the writer. Nothing may be written after.
+// Close writes the queued lines and stops the writer. Write must not be called afterwards.
 func (w *LogWriter) Close() {
 	w.close.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/site/logwriter_test.go
+++ b/internal/site/logwriter_test.go
@@ -16,22 +16,23 @@
 	"mallowlatch.example/mallowlatch/internal/site"
 )
 
-// TestLogsNeverBlock writes to a reader that has stopped: a pipe that nobody reads.
+// TestLogsNeverBlock writes to a pipe that nobody reads.
 func TestLogsNeverBlock(t *testing.T) {
-	_, stopped := io.Pipe()
+	_, blocked := io.Pipe()
 	second := int64(0)
-	writer := site.NewLogWriter(stopped, func() time.Time { second++; return time.Unix(second, 0) })
+	writer := site.NewLogWriter(blocked, func() time.Time { second++; return time.Unix(second, 0) })
 	for range 5000 {
 		count, err := writer.Write([]byte("line\n"))
 		assert.NilError(t, err)
 		assert.Equal(t, count, 5)
 	}
 	writer.Close()
-	_ = stopped.Close()
+	_ = blocked.Close()
 }
 
-// TestLogsAreBoundedAndTheDroppedAreTold writes more than a second's budget, then one line in the next second.
-func TestLogsAreBoundedAndTheDroppedAreTold(t *testing.T) {
+// TestLogsAreLimitedAndDroppedLinesCounted writes more lines than the limit of a second, then one line in the next
+// second.
+func TestLogsAreLimitedAndDroppedLinesCounted(t *testing.T) {
 	var written bytes.Buffer
 	now := time.Unix(1, 0)
 	writer := site.NewLogWriter(&written, func() time.Time { return now })
@@ -46,14 +47,14 @@
 	text := written.String()
 	lines := strings.Count(text, "line ")
 	assert.Assert(t, lines > 0 && lines < 500, "%d lines", lines)
-	assert.Assert(t, strings.Contains(text, "failure\n"), "a failure was dropped before the successes")
+	assert.Assert(t, strings.Contains(text, "failure\n"), "a line of a failure was dropped")
 	assert.Assert(t, !strings.Contains(text, "success"))
-	told := 0
+	reported := 0
 	for _, found := range regexp.MustCompile(`log_lines_dropped","count":(\d+)`).FindAllStringSubmatch(text, -1) {
 		count, err := strconv.Atoi(found[1])
 		assert.NilError(t, err)
-		told += count
+		reported += count
 	}
-	assert.Equal(t, told, 501-lines)
+	assert.Equal(t, reported, 501-lines)
 	assert.Assert(t, strings.HasSuffix(text, "after\n"))
 }
--- a/internal/site/stop.go
+++ b/internal/site/stop.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// stopLinger is how long a stopping node still takes connections: the platform asks once a second and takes a node
-	// out after two misses.
-	stopLinger = 2600 * time.Millisecond
-	// stopReserve is kept of the grace for the end of the process itself.
+	// maxStopDelay is how long a stopping node still accepts connections: the platform checks readiness once a second
+	// and removes a node after two failed checks.
+	maxStopDelay = 2600 * time.Millisecond
+	// stopReserve is the part of the grace period reserved for the exit of the process.
 	stopReserve = 500 * time.Millisecond
 )
 
-// Lifecycle says whether a node takes new connections.
+// Lifecycle records whether a node is stopping.
 type Lifecycle struct {
 	stopping atomic.Bool
 }
 
-// Stopping says that the node was asked to stop.
+// Stopping reports whether the node was asked to stop.
 func (l *Lifecycle) Stopping() bool { return l.stopping.Load() }
 
-// StopServer ends a server in order: the node is no longer ready, connections get their notice with the answers of the
-// linger, then the rest may finish until shortly before the grace is over.
+// StopServer stops a server gracefully: the node reports that it is not ready, answers on open connections announce
+// the stop during the delay, and the remaining requests may finish until shortly before the end of the grace period.
 func (l *Lifecycle) StopServer(server *http.Server, grace time.Duration) {
 	l.stopping.Store(true)
-	linger := min(stopLinger, grace/3)
-	time.Sleep(linger)
-	ctx, cancel := context.WithTimeout(context.Background(), grace-linger-stopReserve)
+	delay := min(maxStopDelay, grace/3)
+	time.Sleep(delay)
+	ctx, cancel := context.WithTimeout(context.Background(), grace-delay-stopReserve)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close()
--- a/internal/sitesettings/settings.go
+++ b/internal/sitesettings/settings.go
@@ -1,5 +1,5 @@
-// Package sitesettings holds what a process on a platform's machine learns from its settings file. The file is written
-// by the platform from deploy/settings.yaml, in this product's own names.
+// Package sitesettings reads and checks the settings file of a process on a platform's machine. The platform writes
+// the file from deploy/settings.yaml, in the field names of this product.
 package sitesettings
 
 import (
@@ -17,32 +17,33 @@
 )
 
 const (
-	// ErrUnreadable means that the file cannot be read or is not YAML.
+	// ErrUnreadable means that the file cannot be read, is not YAML or has unknown fields.
 	ErrUnreadable = failure.Kind("site settings: unreadable")
-	// ErrInvalid means that a field is missing or wrong; the text names it.
+	// ErrInvalid means that a field is missing or invalid; the error text names it.
 	ErrInvalid = failure.Kind("site settings: invalid")
 )
 
-// Settings are those of one process.
+// Settings are the settings of one process.
 type Settings struct {
 	Node   Node   `yaml:"node"`
 	Listen Listen `yaml:"listen"`
 	Store  Store  `yaml:"store"`
 	Limits Limits `yaml:"limits"`
 	Bounds Bounds `yaml:"bounds"`
-	// Seeds are addresses at which some workers may be asked, also ones that are gone.
+	// Seeds are the addresses of some workers that may be queried at the start. Some of them may no longer exist.
 	Seeds []string `yaml:"seeds"`
-	// PrintKey keys the hashes by which nodes tell each other of requests. It is the same on all machines; empty takes one from
-	// the store's address, which is no secret: whoever knows it can try out texts that they guess.
+	// PrintKey is the key of the request fingerprints that nodes exchange. It is the same on all machines. If it is
+	// empty, the store's address is used, which is not secret: whoever knows it can test guessed request texts
+	// against a fingerprint.
 	PrintKey string `yaml:"print_key"`
 }
 
-// Node names the process and its place.
+// Node identifies the process and its location.
 type Node struct {
 	Name   string `yaml:"name"`
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// FirstStart says that the whole deployment starts for the first time, and all of its processes together.
+	// FirstStart states that the whole deployment starts for the first time, with all of its processes at once.
 	FirstStart bool `yaml:"first_start"`
 	// DataFolder is empty on machines without a disk.
 	DataFolder string `yaml:"data_folder"`
@@ -50,46 +51,46 @@
 	Zones []string `yaml:"zones"`
 }
 
-// Listen holds the addresses the process serves; empty ones are not served.
+// Listen holds the addresses on which the process serves; an empty address is not served.
 type Listen struct {
 	Callers string `yaml:"callers"`
 	Ready   string `yaml:"ready"`
-	// Peers is where other nodes call this one.
+	// Peers is the address for calls from other nodes.
 	Peers string `yaml:"peers"`
 }
 
 // Store is the platform's metadata store.
 type Store struct {
 	Address string `yaml:"address"`
-	// ValueBytes is the largest value.
+	// ValueBytes is the maximum size of a value.
 	ValueBytes int `yaml:"value_bytes"`
-	// ShortestLeaseMs is the shortest time to live of a lease, in milliseconds.
+	// ShortestLeaseMs is the minimum time to live of a lease, in milliseconds.
 	ShortestLeaseMs int `yaml:"shortest_lease_ms"`
 }
 
-// Limits are those of the machine.
+// Limits are the resources of the machine.
 type Limits struct {
 	MemoryMB int `yaml:"memory_mb"`
-	// Cores the processor shows.
+	// Cores is the number of processor cores.
 	Cores int `yaml:"cores"`
-	// Descriptors the process may open.
+	// Descriptors is the maximum number of open file descriptors.
 	Descriptors int `yaml:"descriptors"`
-	// DiskMB is the size of the disk, zero without one.
+	// DiskMB is the size of the disk; zero if there is none.
 	DiskMB float64 `yaml:"disk_mb"`
-	// LinkMbps is the speed of the machine's link in megabits a second.
+	// LinkMbps is the bandwidth of the machine's network link in megabits per second.
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
-// MemoryBytes is the memory of the machine.
+// MemoryBytes returns the size of the memory.
 func (l Limits) MemoryBytes() int64 { return int64(l.MemoryMB) << 20 }
 
-// DiskBytes is the size of the disk.
+// DiskBytes returns the size of the disk.
 func (l Limits) DiskBytes() int64 { return int64(l.DiskMB * 1e6) }
 
-// LinkBytes is what the link carries in bytes a second.
+// LinkBytes returns the bandwidth of the network link in bytes per second.
 func (l Limits) LinkBytes() float64 { return l.LinkMbps * 1e6 / 8 }
 
-// Bounds are the deployment's times. Values in seconds may have fractions.
+// Bounds are the time limits and tolerances of the deployment. Values in seconds may have fractions.
 type Bounds struct {
 	DrainMs          int     `yaml:"drain_ms"`
 	GraceS           float64 `yaml:"grace_s"`
@@ -99,25 +100,26 @@
 	HeartbeatMs      int     `yaml:"heartbeat_ms"`
 	ResultRetentionS float64 `yaml:"result_retention_s"`
 	QuotaOverage     float64 `yaml:"quota_overage"`
-	// QuotaWindowS is the time in which the requests of a tenant count against its limit; zero takes a few seconds.
+	// QuotaWindowS is the time during which a request counts against the limit of its tenant; zero selects the
+	// default.
 	QuotaWindowS float64 `yaml:"quota_window_s"`
-	// LostDisks is how many machines with a disk may be lost at once.
+	// LostDisks is the number of machines with a disk whose simultaneous loss must be tolerated.
 	LostDisks int `yaml:"lost_disks"`
 }
 
-// Grace is how long a process may take to stop.
+// Grace returns the grace period for stopping a process.
 func (b Bounds) Grace() time.Duration { return time.Duration(b.GraceS * float64(time.Second)) }
 
-// Drain is how soon a leaving runner must get no more work.
+// Drain returns the time after which a leaving runner must receive no more work.
 func (b Bounds) Drain() time.Duration { return time.Duration(b.DrainMs) * time.Millisecond }
 
-// Heartbeat is the time between two renewals of a runner's entry in the registry.
+// Heartbeat returns the interval between renewals of a runner's entry in the registry.
 func (b Bounds) Heartbeat() time.Duration { return time.Duration(b.HeartbeatMs) * time.Millisecond }
 
-// defaultQuotaWindow is taken where the deployment states none.
+// defaultQuotaWindow is used if the deployment specifies none.
 const defaultQuotaWindow = 5 * time.Second
 
-// QuotaWindow is the time in which the requests of a tenant count against its limit.
+// QuotaWindow returns the time during which a request counts against the limit of its tenant.
 func (b Bounds) QuotaWindow() time.Duration {
 	if b.QuotaWindowS <= 0 {
 		return defaultQuotaWindow
@@ -125,17 +127,17 @@
 	return time.Duration(b.QuotaWindowS * float64(time.Second))
 }
 
-// ResultRetention is how long results stay readable, counted from the submission of their job.
+// ResultRetention returns how long results stay readable after the submission of their job.
 func (b Bounds) ResultRetention() time.Duration {
 	return time.Duration(b.ResultRetentionS * float64(time.Second))
 }
 
-// ShortestLease is the shortest time to live of a lease.
+// ShortestLease returns the minimum time to live of a lease.
 func (s Store) ShortestLease() time.Duration {
 	return time.Duration(s.ShortestLeaseMs) * time.Millisecond
 }
 
-// Key is what the prints of requests are made with.
+// Key returns the key of the request fingerprints.
 func (s Settings) Key() poison.Key {
 	if s.PrintKey != "" {
 		return poison.Key(s.PrintKey)
@@ -163,7 +165,7 @@
 	return settings, settings.check()
 }
 
-// check reports every fault at once.
+// check reports all invalid fields at once.
 func (s Settings) check() error {
 	var faults []error
 	fault := func(field, message string) {
--- a/internal/sitesettings/settings_test.go
+++ b/internal/sitesettings/settings_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/sitesettings"
 )
 
-const good = `
+const validSettings = `
 node: {name: "n", zone: "z", region: "r", data_folder: "", zones: ["z"]}
 listen: {callers: "127.0.0.1:1", ready: "127.0.0.1:2", peers: "127.0.0.1:3"}
 store: {address: "127.0.0.1:4", value_bytes: 1048576, shortest_lease_ms: 1000}
@@ -20,9 +20,9 @@
 bounds: {drain_ms: 2000, grace_s: 8.5, configuration_ms: 2000, settle_ms: 1000, cancel_ms: 3000, heartbeat_ms: 1200, result_retention_s: 120, quota_overage: 0.1, lost_disks: 1}
 `
 
-func TestGoodSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
-	assert.NilError(t, os.WriteFile(path, []byte(good), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(validSettings), 0o600))
 	settings, err := sitesettings.Load(path)
 	assert.NilError(t, err)
 	assert.Equal(t, settings.Bounds.Grace(), 8500*time.Millisecond)
@@ -32,8 +32,8 @@
 	assert.Equal(t, settings.Store.ShortestLease(), time.Second)
 }
 
-// TestBadSettingsNameTheField replaces one part of good settings at a time.
-func TestBadSettingsNameTheField(t *testing.T) {
+// TestInvalidSettingsNameTheField replaces one field of valid settings at a time.
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := []struct{ from, to, field string }{
 		{`name: "n"`, `name: ""`, "node.name"},
 		{`zone: "z"`, `zone: ""`, "node.zone"},
@@ -49,8 +49,8 @@
 		{`lost_disks: 1`, `lost_disks: -1`, "bounds.lost_disks"},
 	}
 	for _, c := range cases {
-		changed := strings.Replace(good, c.from, c.to, 1)
-		assert.Assert(t, changed != good, c.from)
+		changed := strings.Replace(validSettings, c.from, c.to, 1)
+		assert.Assert(t, changed != validSettings, c.from)
 		_, err := sitesettings.Parse([]byte(changed))
 		assert.ErrorIs(t, err, sitesettings.ErrInvalid)
 		assert.ErrorContains(t, err, c.field)
@@ -58,7 +58,7 @@
 }
 
 func TestUnreadableSettings(t *testing.T) {
-	for _, text := range []string{"", "node: [", good + "\nsurprise: 1\n"} {
+	for _, text := range []string{"", "node: [", validSettings + "\nsurprise: 1\n"} {
 		_, err := sitesettings.Parse([]byte(text))
 		assert.ErrorIs(t, err, sitesettings.ErrUnreadable, text)
 	}
