--- a/cmd/mallowlatch-site/front.go
+++ b/cmd/mallowlatch-site/front.go
@@ -27,36 +27,40 @@
 	"mallowlatch.example/mallowlatch/platform"
 )
 
-// Bounds of a client's connection. The configuration's own are what clients keep to; these only end what is dead.
+// Limits of a client connection. They only close dead connections; the limits that clients must respect are in the
+// configuration.
 const (
-	headerTimeout = 20 * time.Second
-	idleTimeout   = 3 * time.Minute
-	headerBytes   = 256 << 10
-	// peerDialTimeout bounds the opening of a connection to another node.
+	headerTimeout  = 20 * time.Second
+	idleTimeout    = 3 * time.Minute
+	maxHeaderBytes = 256 << 10
+	// peerDialTimeout limits the time to open a connection to another node.
 	peerDialTimeout = 300 * time.Millisecond
 )
 
-// newPeerPool returns connections to other nodes.
+// newPeerPool returns the connection pool for calls to other nodes.
 func newPeerPool() *transport.Pool {
 	return transport.NewPool(transport.PoolOptions{PrivateNetwork: true, DialTimeout: peerDialTimeout, Jitter: rand.Float64})
 }
 
-// runFront answers clients until it is asked to stop.
+// runFront serves client requests until the process is asked to stop.
 func runFront(path string, settings sitesettings.Settings) error {
 	process := newProcess(path, settings, "front")
 	if !settings.Node.FirstStart {
 		process.runners.StartsAgain()
 	}
-	forwarder := &online.Forwarder{Runners: process.runners, Caller: process.caller, Ends: process.ends, Held: process.held, Key: settings.Key(), Logger: process.logger, Now: clock.Now}
+	forwarder := &online.Forwarder{
+		Runners: process.runners, Caller: process.caller, Ends: process.ends, Held: process.heldBytes, Key: settings.Key(),
+		Logger: process.logger, Now: clock.Now,
+	}
 	pool := newPeerPool()
 	defer func() { _ = pool.Close() }()
 	records := process.records()
 	holders := &jobpeer.Holders{
 		Records: records, Zone: ident.Zone(settings.Node.Zone), Connect: pool.ConnAddress, Copies: settings.Bounds.LostDisks + 1,
-		Seeds: settings.Seeds, SeedsFor: process.startGrace(), Heard: process.heard, Now: clock.Now,
+		Seeds: settings.Seeds, SeedsFor: process.startGrace(), Heard: process.reachability, Now: clock.Now,
 	}
 	desk := &jobentry.Desk{
-		Records: records, Logger: process.logger, Holders: holders, LinkBytes: settings.Limits.LinkBytes(), Heard: process.heard,
+		Records: records, Logger: process.logger, Holders: holders, LinkBytes: settings.Limits.LinkBytes(), Heard: process.reachability,
 	}
 	newest := &jobpeer.Newest{Holders: holders, Logger: process.logger}
 	orders := &follower.Follower{
@@ -64,15 +68,15 @@
 	}
 	process.follow(orders)
 	gate := &access.Gate{Routes: process.routes, Refresh: orders.Refresh, Logger: process.logger, Now: clock.Now}
-	teller := process.tellDemand(holders, forwarder)
-	forwarder.Owners = &jobpeer.Owners{Holders: holders, Teller: teller}
-	forwarder.Asks = func() { teller.Changed(true) }
+	reporter := process.startDemandReporter(holders, forwarder)
+	forwarder.Owners = &jobpeer.Owners{Holders: holders, Teller: reporter}
+	forwarder.Asks = func() { reporter.Changed(true) }
 	holders.TellEnds(process.tomb, process.ends)
 	jobs := platform.NewJobAPI(desk, ident.Zone(settings.Node.Zone), gate)
-	jobs.Held = process.held
+	jobs.Held = process.heldBytes
 	start := &site.Start{Known: process.knowsFleet, Now: clock.Now}
 	front := &platform.Front{
-		Routes: process.routes, Serve: forwarder.Serve, Jobs: jobs, Gate: gate, Limiter: process.limiter(holders), Held: process.held,
+		Routes: process.routes, Serve: forwarder.Serve, Jobs: jobs, Gate: gate, Limiter: process.limiter(holders), Held: process.heldBytes,
 		Await: start.Await, Stopping: process.lifecycle.Stopping, Logger: process.logger, Now: clock.Now,
 	}
 	callers, err := process.serve(settings.Listen.Callers, front)
@@ -84,10 +88,10 @@
 	}
 	process.waitForStop()
 	process.lifecycle.StopServer(callers, settings.Bounds.Grace())
-	return process.end()
+	return process.shutdown()
 }
 
-// limiter keeps tenants within their limits, with the workers that keep account of them.
+// limiter returns the limiter that enforces the quotas of tenants together with the ledger owners among the workers.
 func (p *process) limiter(holders *jobpeer.Holders) *access.Limiter {
 	node, now := ident.Node(p.settings.Node.Name), clock.Now()
 	limiter := &access.Limiter{
@@ -98,34 +102,34 @@
 	return limiter
 }
 
-// tellDemand has the workers told of the online work of this node.
-func (p *process) tellDemand(holders *jobpeer.Holders, forwarder *online.Forwarder) *demand.Teller {
-	online := &jobpeer.OnlineWork{
+// startDemandReporter starts reporting the online work of this node to the workers.
+func (p *process) startDemandReporter(holders *jobpeer.Holders, forwarder *online.Forwarder) *demand.Teller {
+	onlineWork := &jobpeer.OnlineWork{
 		Holders: holders, Runners: p.runners, Ends: p.ends, Tenants: forwarder, Waiters: forwarder, Logger: p.logger, Now: clock.Now,
 	}
-	teller := demand.NewTeller(ident.Node(p.settings.Node.Name), online, clock.Now)
-	teller.Tell = online.Tell
-	p.runners.OnOnlineChanged(teller.Changed)
-	teller.Start(p.tomb)
-	return teller
+	reporter := demand.NewTeller(ident.Node(p.settings.Node.Name), onlineWork, clock.Now)
+	reporter.Tell = onlineWork.Tell
+	p.runners.OnOnlineChanged(reporter.Changed)
+	reporter.Start(p.tomb)
+	return reporter
 }
 
-// ready says whether the node can serve: it knows the configuration and the runners, and is not stopping.
+// ready reports whether the node can serve: it knows the configuration and the runners, and is not stopping.
 func (p *process) ready() bool {
 	return !p.lifecycle.Stopping() && p.knowsFleet()
 }
 
-// knowsFleet says whether the node knows the configuration and the runners.
+// knowsFleet reports whether the node knows the configuration and the runners.
 func (p *process) knowsFleet() bool { return p.routes.Catalog() != nil && p.runners.Count() > 0 }
 
-// serve listens on an address and answers with the handler.
+// serve starts an HTTP server for the handler on an address.
 func (p *process) serve(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", address, err)
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 	p.tomb.Go(func() error {
--- a/cmd/mallowlatch-site/main.go
+++ b/cmd/mallowlatch-site/main.go
@@ -1,4 +1,5 @@
-// Command mallowlatch-site runs mallowlatch on the users' platform: one process for each role of a machine.
+// Command mallowlatch-site runs the roles of mallowlatch on a platform's machines, one process per role. It also
+// checks settings files and prints the log lines of a request, a job or an item.
 package main
 
 import (
@@ -21,9 +22,10 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	path := root.PersistentFlags().String("settings", os.Getenv(platform.SettingsVariable), "settings file; the variable "+platform.SettingsVariable+" names it too")
+	path := root.PersistentFlags().String("settings", os.Getenv(platform.SettingsVariable),
+		"settings file (default: variable "+platform.SettingsVariable+" of the environment)")
 	root.AddCommand(
-		roleCommand("front", "Answer clients", path, runFront),
+		roleCommand("front", "Serve client requests", path, runFront),
 		roleCommand("worker", "Run the items of batch jobs", path, runWorker),
 		checkCommand(path),
 		explainCommand(),
@@ -65,7 +67,7 @@
 
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "explain ID FILE...", Short: "Tell the story of a request, a job or an item from log files", Args: cobra.MinimumNArgs(2),
+		Use: "explain ID FILE...", Short: "Print the log lines of a request, a job or an item from log files", Args: cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			var sources []io.Reader
 			for _, name := range arguments[1:] {
--- a/cmd/mallowlatch-site/process.go
+++ b/cmd/mallowlatch-site/process.go
@@ -30,39 +30,40 @@
 	"mallowlatch.example/mallowlatch/platform"
 )
 
-// Connections to runners and to the store.
+// Limits of the connections to runners and to the store.
 const (
-	runnerDialTimeout = 400 * time.Millisecond
-	runnerIdleTimeout = 4 * time.Second
-	runnerIdle        = 32
-	storeDialTimeout  = 500 * time.Millisecond
-	storeIdleTimeout  = 10 * time.Second
-	storeIdle         = 8
-	// idleSweep is the time between closings of connections past their time.
-	idleSweep = 2 * time.Second
-	// figuresEvery is the time between two lines that sum up what was counted: rare enough to cost nothing.
-	figuresEvery = 10 * time.Second
+	runnerDialTimeout        = 400 * time.Millisecond
+	runnerIdleTimeout        = 4 * time.Second
+	maxIdleRunnerConnections = 32
+	storeDialTimeout         = 500 * time.Millisecond
+	storeIdleTimeout         = 10 * time.Second
+	maxIdleStoreConnections  = 8
+	// idleSweepInterval is the interval at which expired idle connections are closed.
+	idleSweepInterval = 2 * time.Second
+	// counterLogInterval is the interval at which counters are logged; it is long enough that the cost is negligible.
+	counterLogInterval = 10 * time.Second
 )
 
-// process is what both roles share: the connections, what is known of the fleet, and the logs.
+// process holds what both roles share: the connections, the view of the fleet, and the logs.
 type process struct {
-	path      string
-	settings  sitesettings.Settings
-	logs      *site.LogWriter
-	logger    zerolog.Logger
-	tomb      *tomb.Tomb
-	store     *storemeter.Store
-	heard     *reach.Watch
-	storePool *connpool.Pool
-	caller    *platform.RunnerCaller
-	runners   *runnertable.Table
-	routes    *routetable.Table
-	lifecycle *site.Lifecycle
-	ends      *endwatch.Watch
-	// held bounds what the process holds for callers.
-	held *heldbytes.OfNode
-	// slept is how long the machine was suspended as of the last look; only the sweep of connections touches it.
-	slept time.Duration
+	path         string
+	settings     sitesettings.Settings
+	logs         *site.LogWriter
+	logger       zerolog.Logger
+	tomb         *tomb.Tomb
+	store        *storemeter.Store
+	reachability *reach.Watch
+	storePool    *connpool.Pool
+	caller       *platform.RunnerCaller
+	runners      *runnertable.Table
+	routes       *routetable.Table
+	lifecycle    *site.Lifecycle
+	ends         *endwatch.Watch
+	// heldBytes limits the memory used for the requests and answers of clients.
+	heldBytes *heldbytes.OfNode
+	// suspended is the total time the machine was suspended, as of the last check. Only closeExpiredConnections
+	// accesses it.
+	suspended time.Duration
 }
 
 func newProcess(path string, settings sitesettings.Settings, role string) *process {
@@ -72,22 +73,22 @@
 	logger := zerolog.New(logs).With().Timestamp().Str("node", settings.Node.Name).Logger()
 	event.SiteStarting.Log(logger).Str("role", role).Str("zone", settings.Node.Zone).Int("memory_mb", settings.Limits.MemoryMB).Send()
 	storePool := connpool.New(connpool.Options{
-		DialTimeout: storeDialTimeout, IdleTimeout: storeIdleTimeout, MaximumIdle: storeIdle,
+		DialTimeout: storeDialTimeout, IdleTimeout: storeIdleTimeout, MaximumIdle: maxIdleStoreConnections,
 	})
 	started := &process{
 		path: path, settings: settings, logs: logs, logger: logger, tomb: new(tomb.Tomb),
-		store:     storemeter.New(&platform.Store{Address: settings.Store.Address, Pool: storePool}),
-		heard:     &reach.Watch{},
-		storePool: storePool,
+		store:        storemeter.New(&platform.Store{Address: settings.Store.Address, Pool: storePool}),
+		reachability: &reach.Watch{},
+		storePool:    storePool,
 		caller: &platform.RunnerCaller{Pool: connpool.New(connpool.Options{
-			DialTimeout: runnerDialTimeout, IdleTimeout: runnerIdleTimeout, MaximumIdle: runnerIdle,
+			DialTimeout: runnerDialTimeout, IdleTimeout: runnerIdleTimeout, MaximumIdle: maxIdleRunnerConnections,
 		})},
 		runners:   runnertable.New(ident.Zone(settings.Node.Zone)),
 		routes:    &routetable.Table{},
 		lifecycle: &site.Lifecycle{},
-		held:      heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(settings.Limits.MemoryBytes())),
+		heldBytes: heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(settings.Limits.MemoryBytes())),
 	}
-	started.store.Heard = started.heard
+	started.store.Heard = started.reachability
 	started.ends = &endwatch.Watch{
 		Book: poison.NewBook(rand.Int64N(math.MaxInt32)), Runners: started.runners, Caller: started.caller, Tomb: started.tomb,
 		Logger: logger, Now: clock.Now,
@@ -96,15 +97,17 @@
 }
 
 const (
-	// firstStartGrace is how long a process waits to be told of the fleet where all start together for the first time: each that
-	// reads the store itself makes four calls, all of them a thousand on a site of 300 machines. Traffic comes ten seconds later.
+	// firstStartGrace is how long a process waits for the fleet from its peers when all processes start together for
+	// the first time. Each process that reads the store itself makes four calls, about a thousand in total on a site
+	// of 300 machines. Client traffic starts only ten seconds later.
 	firstStartGrace = 1500 * time.Millisecond
-	// startGrace is the same for a process that starts alone, or after a loss of power: callers wait for it. It is several times what the
-	// telling takes where some hundred processes start at once.
-	startGrace = 600 * time.Millisecond
+	// restartGrace is the same for a process that starts alone or after a loss of power, when clients are already
+	// waiting. It is several times as long as peers take to answer when some hundred processes start at once.
+	restartGrace = 600 * time.Millisecond
 )
 
-// startGrace is how long this process waits to be told of the fleet before it reads the store; without seeds nobody can tell.
+// startGrace returns how long this process waits for the fleet from its peers before it reads the store; zero without
+// seeds, because no peer can be queried then.
 func (p *process) startGrace() time.Duration {
 	switch {
 	case len(p.settings.Seeds) == 0:
@@ -112,24 +115,24 @@
 	case p.settings.Node.FirstStart:
 		return firstStartGrace
 	}
-	return startGrace
+	return restartGrace
 }
 
-// records are the batch jobs in the store.
+// records returns the batch jobs in the store.
 func (p *process) records() *jobrecord.Records {
 	return &jobrecord.Records{
 		Store: p.store, ValueBytes: p.settings.Store.ValueBytes, Retention: p.settings.Bounds.ResultRetention(), Now: clock.Date,
-		Refused: func(key string, err error) { p.tellRefusal(key, err, 1) },
+		Refused: func(key string, err error) { p.logRefusal(key, err, 1) },
 	}
 }
 
-// registry reads the runners and the operators' orders.
+// registry returns the reader of the runners and the operators' orders.
 func (p *process) registry() *platform.Registry {
-	return &platform.Registry{Store: p.store, Refusals: &refusal.Book{Tell: p.tellRefusal}}
+	return &platform.Registry{Store: p.store, Refusals: &refusal.Book{Tell: p.logRefusal}}
 }
 
-// tellRefusal writes a line of a value that cannot be read, or can be read again.
-func (p *process) tellRefusal(key string, err error, total int) {
+// logRefusal logs that a stored value cannot be read, or is readable again.
+func (p *process) logRefusal(key string, err error, total int) {
 	if err == nil {
 		event.ValueReadable.Log(p.logger).Str("key", key).Int("refused", total).Send()
 		return
@@ -137,19 +140,20 @@
 	event.ValueRefused.Log(p.logger).Str("key", key).Int("refused", total).Err(err).Send()
 }
 
-// follow keeps the runners and the configuration up to date. What the roles differ in is set in the follower given.
+// follow starts keeping the runners and the configuration up to date, and the periodic tasks. The caller sets the
+// fields of the follower that differ between roles.
 func (p *process) follow(role *follower.Follower) {
 	role.Registry, role.Runners, role.Routes = p.registry(), p.runners, p.routes
 	role.Options = follower.OptionsFor(p.settings.Bounds.Drain(), p.settings.Bounds.Heartbeat())
 	role.Options.StartGrace = p.startGrace()
 	role.Logger, role.Now, role.Forget = p.logger, clock.Now, p.caller.Pool.Forget
 	role.Start(p.tomb)
-	p.each(idleSweep, p.sweepConnections)
-	p.each(figuresEvery, p.tellFigures)
+	p.runPeriodically(idleSweepInterval, p.closeExpiredConnections)
+	p.runPeriodically(counterLogInterval, p.logCounters)
 }
 
-// each calls a function again and again until the process ends.
-func (p *process) each(interval time.Duration, do func()) {
+// runPeriodically calls a function at an interval until the process stops.
+func (p *process) runPeriodically(interval time.Duration, do func()) {
 	p.tomb.Go(func() error {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
@@ -164,51 +168,51 @@
 	})
 }
 
-func (p *process) sweepConnections() {
-	p.tellSleep()
+func (p *process) closeExpiredConnections() {
+	p.logSuspension()
 	p.caller.Pool.CloseExpired()
 	p.storePool.CloseExpired()
 }
 
-// tellSleep writes a line where the machine was suspended since the last look.
-func (p *process) tellSleep() {
-	before := p.slept
-	p.slept = clock.Slept()
-	if p.slept > before {
-		event.MachineSlept.Log(p.logger).Dur("slept_ms", p.slept-before).Dur("total_ms", p.slept).Send()
+// logSuspension logs if the machine was suspended since the last check.
+func (p *process) logSuspension() {
+	before := p.suspended
+	p.suspended = clock.Slept()
+	if p.suspended > before {
+		event.MachineSlept.Log(p.logger).Dur("slept_ms", p.suspended-before).Dur("total_ms", p.suspended).Send()
 	}
 }
 
-// tellFigures writes the lines that sum up what was counted since the last ones.
-func (p *process) tellFigures() {
-	p.tellStoreCalls()
-	p.tellHeld()
-	p.tellSlowRunners()
+// logCounters logs what was counted since the last call.
+func (p *process) logCounters() {
+	p.logStoreCalls()
+	p.logHeldBytes()
+	p.logSlowRunners()
 }
 
-func (p *process) tellStoreCalls() {
+func (p *process) logStoreCalls() {
 	if counts := p.store.Take(); len(counts) > 0 {
 		event.StoreCalls.Log(p.logger).Interface("calls", counts).Send()
 	}
 }
 
-// slowRunnersNamed bounds the names in a line on slow runners.
-const slowRunnersNamed = 8
+// maxSlowRunnersLogged is the maximum number of runner names in a log line on slow runners.
+const maxSlowRunnersLogged = 8
 
-// tellSlowRunners writes a line of the runners that turned slow, and what the choices did with them.
-func (p *process) tellSlowRunners() {
+// logSlowRunners logs which runners became slow, and how often they were chosen.
+func (p *process) logSlowRunners() {
 	counted, slow := p.runners.TakeSlowPhases(clock.Now())
 	if counted == (runnertable.SlowPhases{}) && len(slow) == 0 {
 		return
 	}
 	event.RunnersSlow.Log(p.logger).Int("begun", counted.Begun).Int("ended", counted.Ended).
-		Int("slow", len(slow)).Strs("runners", slow[:min(len(slow), slowRunnersNamed)]).
+		Int("slow", len(slow)).Strs("runners", slow[:min(len(slow), maxSlowRunnersLogged)]).
 		Int("choices", counted.Chosen).Int("at_slow", counted.Slow).Int("beyond_pause", counted.Beyond).Send()
 }
 
-// tellHeld writes a line of what is held for callers, where it is much or something was refused or cut for it.
-func (p *process) tellHeld() {
-	tally := p.held.Take()
+// logHeldBytes logs the memory used for clients if it is large or if something was refused or cut off because of it.
+func (p *process) logHeldBytes() {
+	tally := p.heldBytes.Take()
 	if !tally.Telling() {
 		return
 	}
@@ -219,8 +223,7 @@
 		Int("callers_cut", tally.Cut).Send()
 }
 
-// waitForStop returns when the process is asked to stop or a part of it failed. On a hang-up it reads the settings
-// again.
+// waitForStop returns when the process is asked to stop or a part of it failed. On SIGHUP it reloads the settings.
 func (p *process) waitForStop() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -233,24 +236,24 @@
 				event.SiteStopping.Log(p.logger).Str("signal", received.String()).Send()
 				return
 			}
-			p.readSettingsAgain()
+			p.reloadSettings()
 		}
 	}
 }
 
-func (p *process) readSettingsAgain() {
+func (p *process) reloadSettings() {
 	settings, err := sitesettings.Load(p.path)
 	if err != nil {
 		event.SettingsBad.Log(p.logger).Err(err).Send()
 		return
 	}
 	site.ApplyLimits(settings.Limits)
-	p.held.SetLimits(heldbytes.LimitsOf(settings.Limits.MemoryBytes()))
+	p.heldBytes.SetLimits(heldbytes.LimitsOf(settings.Limits.MemoryBytes()))
 	event.SettingsAgain.Log(p.logger).Int("memory_mb", settings.Limits.MemoryMB).Send()
 }
 
-// end stops the process's parts and writes the last lines.
-func (p *process) end() error {
+// shutdown stops the parts of the process and writes the remaining log lines.
+func (p *process) shutdown() error {
 	p.tomb.Kill(nil)
 	err := p.tomb.Wait()
 	event.SiteStopped.Log(p.logger).Err(err).Send()
--- a/cmd/mallowlatch-site/worker.go
+++ b/cmd/mallowlatch-site/worker.go
@@ -20,10 +20,10 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// drainReserve is kept of the grace for giving up the lease and ending the process.
+// drainReserve is the part of the grace period reserved for giving up the lease and exiting.
 const drainReserve = 1500 * time.Millisecond
 
-// runWorker runs the items of batch jobs until it is asked to stop.
+// runWorker runs the items of batch jobs until the process is asked to stop.
 func runWorker(path string, settings sitesettings.Settings) error {
 	process := newProcess(path, settings, "worker")
 	options := jobworker.DefaultOptions
@@ -31,15 +31,16 @@
 	worker := &jobworker.Worker{
 		Node: ident.Node(settings.Node.Name), Zone: ident.Zone(settings.Node.Zone), Address: settings.Listen.Peers,
 		Records: process.records(), Store: process.store, Runners: process.runners, Routes: process.routes,
-		Caller: process.caller, Ends: process.ends, Key: settings.Key(), Registry: process.registry(), Options: options, Logger: process.logger, Now: clock.Now,
+		Caller: process.caller, Ends: process.ends, Key: settings.Key(), Registry: process.registry(),
+		Options: options, Logger: process.logger, Now: clock.Now,
 	}
-	worker.Budget = process.held
+	worker.Budget = process.heldBytes
 	worker.StartsAgain = !settings.Node.FirstStart
-	kept, err := process.openHandoff()
+	handoffLog, err := process.openHandoff()
 	if err != nil {
 		return err
 	}
-	worker.Handoff = kept
+	worker.Handoff = handoffLog
 	if worker.Outputs, err = process.openOutputs(); err != nil {
 		return err
 	}
@@ -55,7 +56,7 @@
 		process.ends.Keep(filepath.Join(settings.Node.DataFolder, endsFile))
 	}
 	worker.Start(process.tomb)
-	process.deliver(kept, worker)
+	process.startDeliverer(handoffLog, worker)
 	ends := &jobpeer.WorkerEnds{Node: worker.Node, Watch: process.ends, Workers: worker.Registered, Peers: peers}
 	ends.Start(process.tomb)
 	feed := fleetfeed.New(clock.Now)
@@ -68,65 +69,67 @@
 	}
 	process.waitForStop()
 	worker.Drain(settings.Bounds.Grace() - drainReserve)
-	return process.end()
+	return process.shutdown()
 }
 
 const (
-	// handoffFolder is the folder of the jobs that the store did not take yet, below the data folder.
+	// handoffFolder is the folder, below the data folder, of the jobs that are not in the store yet.
 	handoffFolder = "handoff"
-	// handoffShare of the disk may be taken by them.
-	handoffShare = 0.5
+	// handoffDiskFraction is the part of the disk that they may use.
+	handoffDiskFraction = 0.5
 )
 
-// openHandoff opens the jobs on the disk; nil where the machine has no disk.
+// openHandoff opens the log of the jobs that are not in the store yet; it returns nil if the machine has no disk.
 func (p *process) openHandoff() (*handoff.Log, error) {
 	if p.settings.Node.DataFolder == "" {
 		return nil, nil
 	}
-	most := int64(handoffShare * float64(p.settings.Limits.DiskBytes()))
-	log, err := handoff.Open(filepath.Join(p.settings.Node.DataFolder, handoffFolder), most)
+	maxBytes := int64(handoffDiskFraction * float64(p.settings.Limits.DiskBytes()))
+	log, err := handoff.Open(filepath.Join(p.settings.Node.DataFolder, handoffFolder), maxBytes)
 	if err != nil {
-		return nil, fmt.Errorf("opening the jobs on the disk: %w", err)
+		return nil, fmt.Errorf("opening the handoff log: %w", err)
 	}
 	return log, nil
 }
 
-// deliver begins to hand the jobs on the disk over; nil has none.
-func (p *process) deliver(log *handoff.Log, worker *jobworker.Worker) {
+// startDeliverer starts writing the jobs of the handoff log to the store. It does nothing if the log is nil.
+func (p *process) startDeliverer(log *handoff.Log, worker *jobworker.Worker) {
 	if log == nil {
 		return
 	}
 	deliverer := &handoff.Deliverer{
 		Log: log, Store: p.records(), Lifetime: p.settings.Bounds.ResultRetention(), Taken: worker.Accepted, Logger: p.logger, Now: clock.Date,
-		Held: p.held,
+		Held: p.heldBytes,
 	}
 	deliverer.Start(p.tomb)
 }
 
 const (
-	// outputsFolder is the folder of the output of other workers' items, below the data folder.
+	// outputsFolder is the folder, below the data folder, of the partial output of other workers' items.
 	outputsFolder = "outputs"
-	// outputsShare of the disk may be taken by it.
-	outputsShare = 0.1
+	// outputsDiskFraction is the part of the disk that it may use.
+	outputsDiskFraction = 0.1
 )
 
-// openOutputs opens the output that this worker keeps for others; nil where the machine has no disk.
+// openOutputs opens the journal of the partial output of other workers' items; it returns nil if the machine has no
+// disk.
 func (p *process) openOutputs() (*progress.Journal, error) {
 	if p.settings.Node.DataFolder == "" {
 		return nil, nil
 	}
-	most := int64(outputsShare * float64(p.settings.Limits.DiskBytes()))
-	outputs, err := progress.OpenJournal(filepath.Join(p.settings.Node.DataFolder, outputsFolder), most, clock.Now())
+	maxBytes := int64(outputsDiskFraction * float64(p.settings.Limits.DiskBytes()))
+	outputs, err := progress.OpenJournal(filepath.Join(p.settings.Node.DataFolder, outputsFolder), maxBytes, clock.Now())
 	if err != nil {
-		return nil, fmt.Errorf("opening the output kept on the disk: %w", err)
+		return nil, fmt.Errorf("opening the output journal: %w", err)
 	}
 	return outputs, nil
 }
 
-// endsFile has which requests end their runners, below the data folder, so that they outlive this process.
+// endsFile is the file, below the data folder, that records which requests crash their runners, so that this survives
+// a restart of the process.
 const endsFile = "ends.json"
 
-// servePeers lets other nodes read the results of the worker's jobs, and what it read of the registry.
+// servePeers serves the worker's calls and its fleet feed to other nodes.
 func (p *process) servePeers(worker *jobworker.Worker, feed *fleetfeed.Feed) error {
 	listener, err := net.Listen("tcp4", p.settings.Listen.Peers)
 	if err != nil {
