--- a/internal/progress/mirror.go
+++ b/internal/progress/mirror.go
@@ -14,7 +14,7 @@
 	// retention is how long the output of a job is stored without an update. It is longer than a job stays unclaimed
 	// after its worker failed.
 	retention = time.Minute
-	// maxTotalBytes is the maximum size of the output of all jobs. It fits some hundred items of some tens of
+	// maxTotalBytes is the maximum size of the output of all jobs. It fits some hundred items of some ten
 	// kilobytes each.
 	maxTotalBytes = 24 << 20
 )
