--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -93,9 +93,9 @@
 	event.KeyRefused.Log(g.Logger).Str("key_hash", digest.Short()).Err(cause).Send()
 	switch cause {
 	case ErrNoKey, ErrUnknownKey:
-		return failure.New(failure.CodeInvalidKey, "the request carries no valid key").WithCause(cause)
+		return failure.New(failure.CodeInvalidKey, "the request carries no key that is known").WithCause(cause)
 	}
-	return failure.New(failure.CodeConfigUnavailable, "this node cannot verify the key now").
+	return failure.New(failure.CodeConfigUnavailable, "this node cannot find out now whether the key is known").
 		WithRetryAfter(retryAfter).WithCause(cause)
 }
 
--- a/internal/access/limiter.go
+++ b/internal/access/limiter.go
@@ -108,7 +108,7 @@
 		return nil
 	}
 	after := verdict.After + time.Duration(rand.Int64N(int64(max(verdict.After, minRetrySpread))))
-	return failure.New(failure.CodeRateLimited, "the tenant has exceeded its request limit").WithRetryAfter(after).WithCause(ErrOverLimit)
+	return failure.New(failure.CodeRateLimited, "the tenant has sent as many requests as it may").WithRetryAfter(after).WithCause(ErrOverLimit)
 }
 
 // await decides on a request that needs credit from the tenant's ledger owner.
--- a/internal/jobpeer/keep.go
+++ b/internal/jobpeer/keep.go
@@ -59,7 +59,7 @@
 func (k *keepOperation) run(ctx context.Context) error {
 	k.jobOutcome = outcome.NotRun
 	if k.needed < 1 || len(k.candidates) < k.needed {
-		return failure.New(failure.CodeShardUnavailable, "%d workers are known but %d must store the job", len(k.candidates), k.needed)
+		return failure.New(failure.CodeShardUnavailable, "%d workers are known and %d must keep the job", len(k.candidates), k.needed)
 	}
 	replies := make(chan *KeepReply, len(k.candidates))
 	for k.asked < min(k.needed+spareCandidates, len(k.candidates)) {
@@ -126,11 +126,11 @@
 // failure returns the error for a job that too few workers have.
 func (k *keepOperation) failure() error {
 	if k.unanswered() {
-		return failure.New(failure.CodeOutcomeUnknown, "no answer from %d workers", k.asked).WithOutcome(outcome.Unknown).
+		return failure.New(failure.CodeOutcomeUnknown, "none of %d workers answered", k.asked).WithOutcome(outcome.Unknown).
 			WithCause(fmt.Errorf("%w: %d asked", handoff.ErrNobodyAnswers, k.asked))
 	}
 	if k.stored > 0 || k.jobOutcome != outcome.NotRun {
-		return failure.New(failure.CodeOutcomeUnknown, "only %d of %d required workers have stored the job", k.stored, k.needed).
+		return failure.New(failure.CodeOutcomeUnknown, "%d of %d workers have the job", k.stored, k.needed).
 			WithOutcome(outcome.Unknown)
 	}
 	return k.refused
--- a/internal/jobworker/assign.go
+++ b/internal/jobworker/assign.go
@@ -17,7 +17,7 @@
 
 // ErrNotAssignable means that this node does not run the job that was claimed for it: the node is stopping, or now has
 // another lease.
-const ErrNotAssignable = failure.Kind("job worker: this node does not run the job")
+const ErrNotAssignable = failure.Kind("job worker: the job is not run here")
 
 // batchReport returns this node's batch load as it is reported to other nodes. A node that takes no jobs reports no lease.
 // The caller must hold the mutex.
--- a/internal/jobworker/handoff.go
+++ b/internal/jobworker/handoff.go
@@ -36,12 +36,12 @@
 	}
 	reservation, err := w.Budget.Reserve(heldbytes.Submission, heldbytes.Whose{Tenant: entry.Tenant}, entry.Bytes())
 	if err != nil {
-		return failure.New(failure.CodeOverloaded, "the memory budget of this worker is exhausted").WithCause(err).
+		return failure.New(failure.CodeOverloaded, "this worker holds as much as it can").WithCause(err).
 			WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
 	}
 	defer reservation.Release()
 	if err := w.Handoff.Put(entry); err != nil {
-		failed := failure.New(failure.CodeShardUnavailable, "the job could not be written to this worker's disk").WithCause(err)
+		failed := failure.New(failure.CodeShardUnavailable, "the job could not be written here").WithCause(err)
 		if errors.Is(err, handoff.ErrDisk) {
 			return failed.WithOutcome(outcome.Unknown)
 		}
@@ -63,10 +63,10 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.draining {
-		return 0, failure.New(failure.CodeShardUnavailable, "this worker is stopping").WithRetryAfter(handoffRetryAfter)
+		return 0, failure.New(failure.CodeShardUnavailable, "this worker is about to stop").WithRetryAfter(handoffRetryAfter)
 	}
 	if bound > 0 && !w.canCountWaiting() {
-		return 0, failure.New(failure.CodeShardUnavailable, "this worker has not loaded the waiting jobs yet").WithRetryAfter(handoffRetryAfter)
+		return 0, failure.New(failure.CodeShardUnavailable, "this worker does not know which jobs wait").WithRetryAfter(handoffRetryAfter)
 	}
 	waiting := max(w.waitingTokens(entry.Queue())+estimateHandedOff(handedOff, len(w.workers), copies), w.queuedTokens(entry.Queue()))
 	if bound > 0 && float64(waiting+entry.Tokens()) > handoffBoundFraction*float64(bound) {
