--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// BenchmarkDecide880 decides over the design size's 880 runners, all of which hold the model: the worst case.
+// BenchmarkDecide880 measures a decision over 880 runners (the design size) that all have the model loaded, the worst case.
 func BenchmarkDecide880(b *testing.B) {
 	snapshot := &Snapshot{Zone: "z0", Distance: map[ident.Zone]float64{}}
 	for zone := range 11 {
@@ -34,7 +34,8 @@
 	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime is the user and system time of the process, which does not depend on what else the machine does.
+// processorTime returns the CPU time (user and system) of the process. Unlike wall-clock time it is independent of other
+// load on the machine.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -8,7 +8,7 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// Options narrow one decision.
+// Options restrict the runners of one decision.
 type Options struct {
 	// AllowedZones are the zones that may serve the request; empty means all.
 	AllowedZones []ident.Zone
@@ -17,29 +17,29 @@
 	Exclude func(ident.Runner) bool
 }
 
-// Candidate is a runner the request may go to.
+// Candidate is a runner that may serve the request.
 type Candidate struct {
 	Runner ident.Runner
-	// Fit is the score of what the runner holds and where it is, 0 to 1.
+	// Fit scores what the runner has cached and loaded, its zone and the deadline, from 0 to 1.
 	Fit float64
-	// Load is the score of how idle the runner is, 0 to 1.
+	// Load scores the free capacity of the runner, from 0 (full) to 1 (idle).
 	Load float64
-	// index is the runner's place in the snapshot.
+	// index is the index of the runner in Snapshot.Runners.
 	index int
 }
 
-// Score is the candidate's combined score, 0 to 1.
-func (c Candidate) Score() float64 { return fitShare*c.Fit + (1-fitShare)*c.Load }
+// Score returns the combined score of the candidate, from 0 to 1.
+func (c Candidate) Score() float64 { return fitWeight*c.Fit + (1-fitWeight)*c.Load }
 
-// fitShare is the weight of the fit group in a combined score.
-const fitShare = 0.5
+// fitWeight is the weight of Fit in the combined score; Load has the rest.
+const fitWeight = 0.5
 
-// Decision is an ordered list of candidates: the first takes the request, the others are for retries.
+// Decision is an ordered list of candidates: the request is sent to the first, retries to the others.
 type Decision struct {
 	Candidates []Candidate
 }
 
-// Decide chooses runners for a request. Exactly one of the decision and the refusal is set.
+// Decide chooses runners for a request. It returns either a decision with at least one candidate or a refusal.
 func Decide(snapshot *Snapshot, request *inference.Request, now time.Time, random *rand.Rand, options Options) (Decision, *Refusal) {
 	candidates, refusal := filter(snapshot, request, now, options)
 	if refusal != nil {
--- a/internal/schedule/decide_test.go
+++ b/internal/schedule/decide_test.go
@@ -58,7 +58,7 @@
 	return request
 }
 
-// TestDecisionNeverOffersAnUnfitRunner checks every candidate, not only the first: retries go to the others.
+// TestDecisionNeverOffersAnUnfitRunner checks every candidate, not only the first, because retries use the others.
 func TestDecisionNeverOffersAnUnfitRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := &Snapshot{Zone: "a", Distance: map[ident.Zone]float64{"b": 2}}
@@ -97,16 +97,16 @@
 	assert.Assert(t, candidate.Load >= 0 && candidate.Load <= 1, "load %v", candidate.Load)
 }
 
-// TestPrefixHistoryAgainstPlainModel compares the bounded index with a plain map of the last time each block was sent to
-// each runner, while nothing is evicted.
+// TestPrefixHistoryAgainstPlainModel compares the history with a map of the last time each block was sent to each runner.
+// The limit is high enough that nothing is evicted.
 func TestPrefixHistoryAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := NewPrefixHistory(100)
-		type held struct {
+		type sentBlock struct {
 			runner ident.Runner
 			block  uint64
 		}
-		sentAt := map[held]time.Time{}
+		sentAt := map[sentBlock]time.Time{}
 		runners := []ident.Runner{"a", "b", "c"}
 		drawBlocks := rapid.SliceOfN(rapid.Uint64Range(1, 6), 0, 5)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -114,7 +114,7 @@
 			blocks, now := drawBlocks.Draw(t, "sent"), simulationStart.Add(time.Duration(step)*time.Second)
 			history.Sent(runner, blocks, now)
 			for _, block := range blocks {
-				sentAt[held{runner, block}] = now
+				sentAt[sentBlock{runner, block}] = now
 			}
 		}
 		blocks := drawBlocks.Draw(t, "prompt")
@@ -123,7 +123,7 @@
 		for _, runner := range runners {
 			expected := PrefixMatch{}
 			for _, block := range blocks {
-				at, sent := sentAt[held{runner, block}]
+				at, sent := sentAt[sentBlock{runner, block}]
 				if !sent {
 					break
 				}
@@ -137,7 +137,7 @@
 	})
 }
 
-// TestPrefixHistoryIsBounded fills it beyond its limits of blocks and of runners for a block.
+// TestPrefixHistoryIsBounded exceeds the limit of blocks and the limit of runners per block.
 func TestPrefixHistoryIsBounded(t *testing.T) {
 	history := NewPrefixHistory(10)
 	for block := range uint64(100) {
@@ -152,8 +152,9 @@
 	assert.Equal(t, len(history.Match([]uint64{99}, simulationStart)), maxRunnersPerBlock)
 }
 
-// TestPrefixAndZoneAreFollowedUntilHot checks that affinity wins while the runner has room, and yields when it has not.
-func TestPrefixAndZoneAreFollowedUntilHot(t *testing.T) {
+// TestPrefixAffinityYieldsUnderLoad checks that the runner with the cached prefix is chosen while it has free capacity, and
+// not chosen when it is nearly full.
+func TestPrefixAffinityYieldsUnderLoad(t *testing.T) {
 	newSnapshot := func(running int) *Snapshot {
 		snapshot := &Snapshot{Zone: "a", Distance: map[ident.Zone]float64{"b": 1}}
 		for index := range 10 {
@@ -176,8 +177,9 @@
 	}
 }
 
-// TestARunnerThatHasRoomAgainIsUsed ends requests that the newest report of a full runner still counts.
-func TestARunnerThatHasRoomAgainIsUsed(t *testing.T) {
+// TestRunnerWithFreedCapacityIsUsed checks that requests that ended after the newest report of a full runner are subtracted
+// from it, so that the runner takes new requests before its next report.
+func TestRunnerWithFreedCapacityIsUsed(t *testing.T) {
 	runner := Runner{ID: "r", SlowStart: 1, OwnInFlight: 10, Report: &engine.LoadReport{
 		Measured: simulationStart, RunningOnline: 8, WaitingOnline: 2, MaxSequences: 8, Models: []engine.LoadedModel{{Name: "m"}},
 	}}
--- a/internal/schedule/filter.go
+++ b/internal/schedule/filter.go
@@ -7,23 +7,23 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// overloadFactor bounds a runner's online work as a multiple of the sequences it can run at once. Above one, some
-// requests wait on the engine; the bound keeps that wait short, so that goodput does not fall under overload.
+// overloadFactor limits a runner's online work to a multiple of the sequences it can run at once. A factor above one lets
+// some requests queue in the engine; the limit keeps that queue short, so that goodput does not drop under overload.
 const overloadFactor = 1.15
 
-// filter returns the runners that may take the request, or why there is none. A later stage's reason is the better
-// explanation, because the runner got further.
+// filter returns the runners that may take the request, or a refusal if there is none. The refusal states the reason of
+// the latest check that any runner reached, because it describes the obstacle closest to success.
 func filter(snapshot *Snapshot, request *inference.Request, now time.Time, options Options) ([]Candidate, *Refusal) {
 	candidates := make([]Candidate, 0, len(snapshot.Runners))
 	reason := ReasonNoRunner
 	for index := range snapshot.Runners {
 		runner := &snapshot.Runners[index]
-		found := check(runner, request, now, options)
-		if found == 0 {
+		rejection := rejectionReason(runner, request, now, options)
+		if rejection == 0 {
 			candidates = append(candidates, Candidate{Runner: runner.ID, index: index})
 			continue
 		}
-		reason = max(reason, found)
+		reason = max(reason, rejection)
 	}
 	if len(candidates) == 0 {
 		return nil, refuse(reason)
@@ -31,8 +31,8 @@
 	return preferAdapter(snapshot, request, candidates), nil
 }
 
-// check returns why a runner may not take the request, or zero.
-func check(runner *Runner, request *inference.Request, now time.Time, options Options) Reason {
+// rejectionReason returns why the runner may not take the request, or zero if it may.
+func rejectionReason(runner *Runner, request *inference.Request, now time.Time, options Options) Reason {
 	switch {
 	case !runner.hasModel(request.Model):
 		return ReasonNoRunner
@@ -54,31 +54,32 @@
 
 func overloaded(runner *Runner, now time.Time) bool {
 	capacity := runner.capacity()
-	return capacity > 0 && runner.online(now) >= takes(capacity)
+	return capacity > 0 && runner.online(now) >= onlineLimit(capacity)
 }
 
-func takes(capacity float64) float64 { return max(1, capacity*overloadFactor) }
+// onlineLimit returns the limit of online work on a runner of the given capacity, in requests.
+func onlineLimit(capacity float64) float64 { return max(1, capacity*overloadFactor) }
 
-// Takes returns how many online requests the runner takes at once, or zero if it takes none or that is not known.
+// Takes returns the limit of online requests on the runner, or zero if it accepts none or its capacity is unknown.
 func (r *Runner) Takes() float64 {
 	capacity := r.capacity()
 	if r.Leaving || r.Ejected || capacity == 0 {
 		return 0
 	}
-	return takes(capacity)
+	return onlineLimit(capacity)
 }
 
-// preferAdapter keeps only runners that have the request's adapter, if any has. If none has, all stay: the reports
-// lag, and a runner without the adapter refuses the request without running it.
+// preferAdapter returns only the candidates that have the request's adapter loaded, or all of them if none has. Reports
+// lag, so a runner may have loaded the adapter since; one that has not refuses the request without running it.
 func preferAdapter(snapshot *Snapshot, request *inference.Request, candidates []Candidate) []Candidate {
 	if request.Adapter == "" {
 		return candidates
 	}
-	hasIt := func(candidate Candidate) bool {
+	hasLoaded := func(candidate Candidate) bool {
 		return snapshot.Runners[candidate.index].hasAdapter(request.Adapter)
 	}
-	if !slices.ContainsFunc(candidates, hasIt) {
+	if !slices.ContainsFunc(candidates, hasLoaded) {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(candidate Candidate) bool { return !hasIt(candidate) })
+	return slices.DeleteFunc(candidates, func(candidate Candidate) bool { return !hasLoaded(candidate) })
 }
--- a/internal/schedule/herd_test.go
+++ b/internal/schedule/herd_test.go
@@ -12,13 +12,13 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// fleet is a simulation of many dispatchers that decide on the same stale snapshot.
+// fleet simulates many dispatchers that decide on the same stale load reports.
 type fleet struct {
-	random   *rand.Rand
-	deciders int
-	perRound int
-	load     []int
-	choose   func([]Candidate, *rand.Rand) Candidate
+	random      *rand.Rand
+	dispatchers int
+	perRound    int
+	load        []int
+	choose      func([]Candidate, *rand.Rand) Candidate
 }
 
 const (
@@ -28,12 +28,12 @@
 
 var simulationStart = time.Unix(1_800_000_000, 0)
 
-// round lets every dispatcher place its requests on the snapshot of the round's beginning, and returns the largest
-// number of requests any runner got as a multiple of the mean.
+// round makes every dispatcher place its requests by the load at the start of the round. It returns the largest number of
+// requests placed on one runner as a multiple of the mean.
 func (f *fleet) round() float64 {
 	placed := make([]int, len(f.load))
 	request := &inference.Request{Model: "m"}
-	for range f.deciders {
+	for range f.dispatchers {
 		snapshot := f.snapshot()
 		for range f.perRound {
 			candidates, refusal := filter(snapshot, request, simulationStart, Options{})
@@ -67,7 +67,7 @@
 }
 
 func simulate(seed uint64, choose func([]Candidate, *rand.Rand) Candidate) (worst float64) {
-	simulated := &fleet{random: rand.New(rand.NewPCG(seed, seed)), deciders: 40, perRound: 20, choose: choose}
+	simulated := &fleet{random: rand.New(rand.NewPCG(seed, seed)), dispatchers: 40, perRound: 20, choose: choose}
 	for range simulatedRunners {
 		simulated.load = append(simulated.load, simulated.random.IntN(simulatedCapacity/2))
 	}
@@ -77,21 +77,21 @@
 	return worst
 }
 
-// TestNoHerdOnStaleSnapshots shows that 40 dispatchers on the same stale figures spread their requests, and that the
-// herd is there once the random draw is taken away.
+// TestNoHerdOnStaleSnapshots checks that 40 dispatchers with the same stale load reports spread their requests. As a
+// control it checks that without the random choice they overload the same runner.
 func TestNoHerdOnStaleSnapshots(t *testing.T) {
 	const bound, herd = 3.0, 6.0
 	for seed := range uint64(3) {
 		drawn := simulate(seed, twoChoices)
 		assert.Assert(t, drawn < bound, "seed %d: most loaded runner got %.2f times the mean", seed, drawn)
-		best := simulate(seed, idlest)
-		t.Logf("seed %d: two random choices %.2f, always the idlest %.2f times the mean", seed, drawn, best)
+		best := simulate(seed, leastLoaded)
+		t.Logf("seed %d: two random choices %.2f, always the least loaded %.2f times the mean", seed, drawn, best)
 		assert.Assert(t, best > herd, "seed %d: control without randomness got only %.2f", seed, best)
 	}
 }
 
-// idlest is the control: always the best load score.
-func idlest(candidates []Candidate, _ *rand.Rand) Candidate {
+// leastLoaded is the control: it always chooses the runner with the best load score.
+func leastLoaded(candidates []Candidate, _ *rand.Rand) Candidate {
 	best := candidates[0]
 	for _, candidate := range candidates {
 		if candidate.Load > best.Load || (candidate.Load == best.Load && candidate.index < best.index) {
--- a/internal/schedule/crowd_test.go
+++ b/internal/schedule/imbalance_test.go
@@ -12,9 +12,10 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// TestCrowdedRunnerIsNotChosenForItsCache gives one runner a cached prompt. It takes it while its online work is near its
-// zone's mean, however much that is and however idle other zones are; much above, an idler runner of the zone takes it.
-func TestCrowdedRunnerIsNotChosenForItsCache(t *testing.T) {
+// TestImbalancedRunnerIsNotChosenForItsCache checks that a runner that caches the prompt is chosen while its online work is
+// near the mean of its zone, whatever that mean is and even if other zones are idle, and that a less loaded runner of the
+// same zone is chosen when it is far above the mean.
+func TestImbalancedRunnerIsNotChosenForItsCache(t *testing.T) {
 	request := &inference.Request{Model: "m", PrefixBlocks: []uint64{1, 2, 3, 4}}
 	random := rand.New(rand.NewPCG(1, 1))
 	chosen := func(holder, others int) ident.Runner {
@@ -36,6 +37,6 @@
 		assert.Equal(t, chosen(4, 0), ident.Runner("r3"))
 		assert.Equal(t, chosen(30, 25), ident.Runner("r3"))
 		assert.Assert(t, chosen(12, 1) != "r3")
-		assert.Assert(t, len(chosen(12, 1)) == 2, "the request left its zone")
+		assert.Assert(t, len(chosen(12, 1)) == 2, "the request was sent to another zone")
 	}
 }
--- a/internal/schedule/pick.go
+++ b/internal/schedule/pick.go
@@ -3,18 +3,19 @@
 import "math/rand/v2"
 
 const (
-	// fitTolerance is how far below the best fit a runner may be and still count as equally fit.
+	// fitTolerance is how far below the best fit score a candidate may be and still count as an equal fit.
 	fitTolerance = 0.1
-	// hotLoad is the load score below which a runner no longer takes work just because it fits best.
+	// hotLoad is the load score below which a runner is hot: too loaded to be preferred for its fit.
 	hotLoad = 0.2
-	// maxCandidates bounds the candidates of a decision: a request is not tried more often.
+	// maxCandidates limits the candidates of a decision, and with them the attempts of a request.
 	maxCandidates = 4
 )
 
-// pickTwoChoices orders the candidates. Among those that fit about equally well and are not hot, two are drawn at
-// random and the idler goes first. Always taking the idlest would send the work of every dispatcher to the same runner
-// until their snapshots are renewed; with two random choices a runner is drawn with probability 2/n however idle it
-// looks, which bounds its load under any staleness. The best others follow by score, for retries.
+// pickTwoChoices orders the candidates by the power of two random choices: among those within fitTolerance of the best fit
+// that are not hot, two are drawn at random and the less loaded one is placed first. If the least loaded runner were
+// always chosen, all dispatchers would send their work to the same runner until their snapshots are refreshed. With two
+// random choices each runner is drawn with probability 2/n however idle it appears, which bounds its load at any
+// staleness. The best of the other candidates follow by score, for retries.
 func pickTwoChoices(candidates []Candidate, random *rand.Rand) []Candidate {
 	random.Shuffle(len(candidates), func(i, j int) {
 		candidates[i], candidates[j] = candidates[j], candidates[i]
@@ -26,22 +27,22 @@
 	return append(candidates[:1], bestOf(candidates[1:], maxCandidates-1)...)
 }
 
-// bestOf moves the best count candidates by score to the front, in order, and returns them.
+// bestOf sorts the count candidates with the highest scores to the front and returns them.
 func bestOf(candidates []Candidate, count int) []Candidate {
 	count = min(count, len(candidates))
-	for place := range count {
-		best := place
-		for index := place + 1; index < len(candidates); index++ {
+	for position := range count {
+		best := position
+		for index := position + 1; index < len(candidates); index++ {
 			if candidates[index].Score() > candidates[best].Score() {
 				best = index
 			}
 		}
-		candidates[place], candidates[best] = candidates[best], candidates[place]
+		candidates[position], candidates[best] = candidates[best], candidates[position]
 	}
 	return candidates[:count]
 }
 
-// moveTierFirst moves the candidates to draw from to the front, keeping their random order, and returns their number.
+// moveTierFirst moves the candidates that the random choice may draw to the front and returns their number.
 func moveTierFirst(candidates []Candidate) int {
 	threshold, limit := tierBounds(candidates)
 	tier := 0
@@ -55,17 +56,17 @@
 	return tier
 }
 
-// tierBounds returns the least fit and the least load score of the candidates to draw from. Hot runners count only if
-// all are hot.
+// tierBounds returns the minimum fit score and load score of the candidates that the random choice may draw. Hot runners
+// are excluded unless all are hot.
 func tierBounds(candidates []Candidate) (leastFit, leastLoad float64) {
-	best, anyCool := 0.0, false
+	best, anyNotHot := 0.0, false
 	for _, candidate := range candidates {
 		if candidate.Load >= hotLoad {
 			best = max(best, candidate.Fit)
-			anyCool = true
+			anyNotHot = true
 		}
 	}
-	if anyCool {
+	if anyNotHot {
 		return best - fitTolerance, hotLoad
 	}
 	for _, candidate := range candidates {
--- a/internal/schedule/prefix.go
+++ b/internal/schedule/prefix.go
@@ -8,35 +8,35 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// PrefixHistory remembers which runners were lately sent which prompt blocks. It is bounded and forgets the least
-// recently used block first. It is not safe for concurrent use.
+// PrefixHistory records which prompt blocks were recently sent to which runners. It is an LRU cache: above its limit the
+// least recently sent block is evicted. It is not safe for concurrent use.
 type PrefixHistory struct {
 	limit  int
 	blocks map[uint64]*list.Element
 	recent *list.List
 }
 
-// prefixEntry is one remembered block and the runners it was lately sent to, the latest last.
+// prefixEntry is a block and the runners it was sent to, the most recent last.
 type prefixEntry struct {
 	block   uint64
 	holders []prefixHolder
 }
 
-// prefixHolder is a runner that probably caches a block, since it was sent there.
+// prefixHolder is a runner that probably caches a block, because the block was sent to it.
 type prefixHolder struct {
 	runner ident.Runner
 	sentAt time.Time
 }
 
-// maxRunnersPerBlock bounds the runners remembered for one block; the oldest is forgotten first.
+// maxRunnersPerBlock limits the runners stored for one block; the one with the oldest send is evicted.
 const maxRunnersPerBlock = 8
 
-// NewPrefixHistory returns a history of at most limit blocks. A block takes about 300 bytes.
+// NewPrefixHistory returns a history of at most limit blocks. A block takes about 300 bytes of memory.
 func NewPrefixHistory(limit int) *PrefixHistory {
 	return &PrefixHistory{limit: max(1, limit), blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Sent records that a prompt with these blocks went to the runner.
+// Sent records that a prompt with these blocks was sent to the runner.
 func (h *PrefixHistory) Sent(runner ident.Runner, blocks []uint64, now time.Time) {
 	for _, block := range blocks {
 		h.sent(prefixHolder{runner: runner, sentAt: now}, block)
@@ -59,15 +59,15 @@
 	}
 }
 
-// PrefixMatch is what the history says of one runner and one prompt.
+// PrefixMatch is how much of a prompt was recently sent to one runner.
 type PrefixMatch struct {
-	// Depth counts the leading blocks that were sent to the runner, without a gap.
+	// Depth counts the consecutive leading blocks that were sent to the runner.
 	Depth int
-	// Fresh counts those of them that were all sent after the time asked for.
+	// Fresh counts the consecutive leading blocks that were sent after the freshAfter time of Match.
 	Fresh int
 }
 
-// Match returns what is known of each runner that was sent the first block. What was sent after freshAfter is fresh.
+// Match returns the match of each runner that was sent the first block. Blocks sent after freshAfter count as fresh.
 func (h *PrefixHistory) Match(blocks []uint64, freshAfter time.Time) map[ident.Runner]PrefixMatch {
 	var matched map[ident.Runner]PrefixMatch
 	for depth, block := range blocks {
@@ -85,7 +85,7 @@
 	return matched
 }
 
-// extendMatch lengthens the match of runners that matched every earlier block, and reports whether there was any.
+// extendMatch extends the match of the runners that matched every earlier block, and reports whether there was any.
 func extendMatch(matched map[ident.Runner]PrefixMatch, holders []prefixHolder, depth int, freshAfter time.Time) bool {
 	extended := false
 	for _, holder := range holders {
@@ -103,7 +103,7 @@
 	return extended
 }
 
-// Len returns the number of blocks remembered.
+// Len returns the number of blocks stored.
 func (h *PrefixHistory) Len() int { return len(h.blocks) }
 
 func (h *PrefixHistory) evict() {
--- a/internal/schedule/refusal.go
+++ b/internal/schedule/refusal.go
@@ -6,30 +6,30 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// Reason says why no runner was chosen.
+// Reason is why no runner was chosen. Later values stand for later checks of the filter.
 type Reason uint8
 
 const (
-	// ReasonNoRunner means that no runner that may serve the request has its model loaded.
+	// ReasonNoRunner means that no runner in an allowed zone has the model loaded.
 	ReasonNoRunner Reason = iota + 1
 	// ReasonLeaving means that every runner with the model is leaving.
 	ReasonLeaving
-	// ReasonUnhealthy means that every runner left is out of use after failures, or was excluded by the caller.
+	// ReasonUnhealthy means that every remaining runner is ejected after failures or was excluded by the caller.
 	ReasonUnhealthy
-	// ReasonOverloaded means that every runner left has as much online work as it may queue.
+	// ReasonOverloaded means that every remaining runner is at its limit of online work or asked for a pause.
 	ReasonOverloaded
-	// ReasonDeadline means that no runner left can be expected to answer before the deadline.
+	// ReasonDeadline means that no remaining runner is expected to return its first token before the deadline.
 	ReasonDeadline
 )
 
-// Refusal states that a request was not given to any runner. It was not run.
+// Refusal states that a request was not sent to any runner, and why.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when a retry may succeed.
+	// RetryAfter is the delay after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
-// Advice to callers on when to come back.
+// Retry delays sent to callers.
 const (
 	retryAfterNoRunner  = 5 * time.Second
 	retryAfterUnhealthy = 2 * time.Second
@@ -47,7 +47,7 @@
 	}
 }
 
-// Failure returns the refusal as the caller sees it.
+// Failure returns the error that is sent to the caller.
 func (r *Refusal) Failure() *failure.Error {
 	return r.failure().WithRetryAfter(r.RetryAfter)
 }
--- a/internal/schedule/score.go
+++ b/internal/schedule/score.go
@@ -6,37 +6,37 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// scorer rates one runner for one request from 0 (worst) to 1 (best). It abstains by returning false when it knows
-// nothing; an abstaining scorer neither helps nor harms a runner.
+// scorer rates one runner for one request from 0 (worst) to 1 (best). It returns false to abstain when it has no data; the
+// scorer is then left out of the weighted mean.
 type scorer func(snapshot *Snapshot, runner *Runner, request *inference.Request, now time.Time) (score float64, known bool)
 
-// weighted is a scorer and its weight within its group.
-type weighted struct {
+// weightedScorer is a scorer and its weight within its group.
+type weightedScorer struct {
 	score  scorer
 	weight float64
 }
 
-// fitScorers rate what a runner holds and where it is. They change slowly.
-var fitScorers = []weighted{
+// fitScorers rate the prefix cache, zone, adapters and step time of a runner. These change slowly.
+var fitScorers = []weightedScorer{
 	{scorePrefix, 3},
 	{scoreZone, 2},
 	{scoreAdapter, 2},
 	{scoreDeadline, 1},
 }
 
-// loadScorers rate how idle a runner is. They are stale the moment they are known, so the picker never trusts them
-// alone: see pickTwoChoices.
-var loadScorers = []weighted{
+// loadScorers rate the free capacity of a runner. Their inputs are always stale, so pickTwoChoices combines them with a
+// random choice.
+var loadScorers = []weightedScorer{
 	{scoreInFlight, 2},
 	{scoreReport, 1},
 	{scoreMemory, 1},
 }
 
-// neutral is the score of a group in which every scorer abstained.
-const neutral = 0.5
+// neutralScore is the score of a group in which every scorer abstained.
+const neutralScore = 0.5
 
 func scoreAll(snapshot *Snapshot, request *inference.Request, now time.Time, candidates []Candidate) {
-	markCrowded(snapshot, candidates, now)
+	markImbalanced(snapshot, candidates, now)
 	for index := range candidates {
 		candidate := &candidates[index]
 		runner := &snapshot.Runners[candidate.index]
@@ -46,7 +46,7 @@
 }
 
 // combine returns the weighted mean of the scorers that did not abstain.
-func combine(group []weighted, snapshot *Snapshot, runner *Runner, request *inference.Request, now time.Time) float64 {
+func combine(group []weightedScorer, snapshot *Snapshot, runner *Runner, request *inference.Request, now time.Time) float64 {
 	sum, weights := 0.0, 0.0
 	for _, member := range group {
 		score, known := member.score(snapshot, runner, request, now)
@@ -57,7 +57,7 @@
 		weights += member.weight
 	}
 	if weights == 0 {
-		return neutral
+		return neutralScore
 	}
 	return sum / weights
 }
--- a/internal/schedule/score_inflight.go
+++ b/internal/schedule/score_inflight.go
@@ -6,9 +6,9 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// scoreInFlight rates a runner by the online requests that this dispatcher and its peers know they have there.
-// Inputs: own in-flight, peers' hints, capacity. Range: 1 with none, falling to 0 at capacity; with an unknown
-// capacity 1/(1+n). It never abstains: it is the only figure without lag.
+// scoreInFlight rates a runner by the online requests that this dispatcher and its peers have in flight on it.
+// Inputs: own in-flight count, counts reported by peers, capacity. Range: 1 with no request, falling to 0 at capacity;
+// 1/(1+n) for n requests if the capacity is unknown. It never abstains, because its own count has no lag.
 func scoreInFlight(_ *Snapshot, runner *Runner, _ *inference.Request, _ time.Time) (float64, bool) {
 	known := runner.knownOnline()
 	capacity := runner.capacity()
--- a/internal/schedule/score_memory.go
+++ b/internal/schedule/score_memory.go
@@ -6,9 +6,9 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// scoreMemory rates a runner by the KV cache memory left after it has taken the request.
-// Inputs: load report, prompt and answer tokens. Range: share of the cache left free, 0 to 1. It abstains without a
-// report of the cache's size or with one older than maxReportAge.
+// scoreMemory rates a runner by the share of its KV cache that stays free with the request's tokens added.
+// Inputs: load report, prompt tokens, maximum answer tokens. Range: 0 to 1. It abstains if no report states the size of
+// the cache or the report is older than maxReportAge.
 func scoreMemory(_ *Snapshot, runner *Runner, request *inference.Request, now time.Time) (float64, bool) {
 	age, reported := runner.reportAge(now)
 	if !reported || age > maxReportAge || runner.Report.MemoryTokens <= 0 {
--- a/internal/schedule/score_report.go
+++ b/internal/schedule/score_report.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	// maxReportAge is the age at which a load report says nothing more about load.
+	// maxReportAge is the age above which a load report is ignored.
 	maxReportAge = 10 * time.Second
-	// reportHalfLife is the age at which a load report counts half.
+	// reportHalfLife is the age at which a load report has half its weight.
 	reportHalfLife = 2 * time.Second
-	// batchLoadShare is what a running batch sequence counts against an online one, since it yields to it.
-	batchLoadShare = 0.1
-	// waitingLoadShare is what a waiting online sequence counts: it says that the engine is already full.
-	waitingLoadShare = 2.0
+	// batchLoadWeight is the load of a running batch sequence relative to an online one. It is low because batch sequences
+	// are preempted for online work.
+	batchLoadWeight = 0.1
+	// waitingLoadWeight is the load of a waiting online sequence relative to a running one. It is high because a waiting
+	// sequence shows that the engine is full.
+	waitingLoadWeight = 2.0
 )
 
-// scoreReport rates a runner by its last load report, drawn towards neutral as the report ages.
-// Inputs: load report, its age, and the online work known without it, which the report never talks down. Range: 1 when idle to 0 when full, 0.5 when old. It abstains without a report, with
-// one older than maxReportAge, and while the capacity is not known.
+// scoreReport rates a runner by its last load report. The score moves towards neutralScore as the report ages.
+// Inputs: load report, its age, and the in-flight count as a lower bound of the reported online work. Range: 1 when idle
+// to 0 when full, towards 0.5 with age. It abstains without a report, with one older than maxReportAge, and if the
+// capacity is unknown.
 func scoreReport(_ *Snapshot, runner *Runner, _ *inference.Request, now time.Time) (float64, bool) {
 	age, reported := runner.reportAge(now)
 	capacity := runner.capacity()
@@ -28,9 +31,9 @@
 		return 0, false
 	}
 	report := runner.Report
-	load := float64(report.RunningOnline) + waitingLoadShare*float64(report.WaitingOnline)
+	load := float64(report.RunningOnline) + waitingLoadWeight*float64(report.WaitingOnline)
 	load = max(load, runner.knownOnline())
-	load += batchLoadShare * float64(report.RunningBatch)
-	trust := math.Exp2(-age.Seconds() / reportHalfLife.Seconds())
-	return trust*clamp(1-load/capacity) + (1-trust)*neutral, true
+	load += batchLoadWeight * float64(report.RunningBatch)
+	freshness := math.Exp2(-age.Seconds() / reportHalfLife.Seconds())
+	return freshness*clamp(1-load/capacity) + (1-freshness)*neutralScore, true
 }
--- a/internal/schedule/score_zone.go
+++ b/internal/schedule/score_zone.go
@@ -6,12 +6,12 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// farDistance is the one-way delay, in milliseconds, at which a zone scores half of the dispatcher's own.
-const farDistance = 10.0
+// halfScoreDistanceMs is the one-way delay, in milliseconds, at which a zone has half the score of the own zone.
+const halfScoreDistanceMs = 10.0
 
-// scoreZone rates a runner by the network distance of its zone.
-// Inputs: the two zones, the distance table. Range: 1 in the own zone, 1/(1+d/farDistance) elsewhere, 0 for a zone of
-// unknown distance. It abstains when the dispatcher has no zone.
+// scoreZone rates a runner by the network distance to its zone.
+// Inputs: the zones of dispatcher and runner, the distance table. Range: 1 in the own zone, 1/(1+d/halfScoreDistanceMs) at
+// distance d, 0 at unknown distance. It abstains if the dispatcher has no zone.
 func scoreZone(snapshot *Snapshot, runner *Runner, _ *inference.Request, _ time.Time) (float64, bool) {
 	if snapshot.Zone == "" {
 		return 0, false
@@ -23,5 +23,5 @@
 	if !known {
 		return 0, true
 	}
-	return 1 / (1 + max(0, distance)/farDistance), true
+	return 1 / (1 + max(0, distance)/halfScoreDistanceMs), true
 }
