--- a/internal/credit/credit.go
+++ b/internal/credit/credit.go
@@ -1,6 +1,7 @@
-// Package credit decides how much batch work one runner may carry now. It is pure: the figures and the time go in, the
-// credits come out. The runner's owner asks it whenever anything changes, so credits are revoked the moment online work
-// is known, without waiting for a load report.
+// Package credit computes how much batch work one runner may run beside its online work: limits on batch sequences and on
+// outstanding batch prefill, and when the prompt of a batch item may be sent. It does no I/O and takes the time as an
+// argument. The runner's owner calls it on every change, so that credits are revoked as soon as online work is known,
+// without waiting for a load report.
 package credit
 
 import (
@@ -10,167 +11,169 @@
 	"mallowlatch.example/mallowlatch/internal/engine"
 )
 
-// Input is what the owner of a runner knows now.
+// Input is the runner's state as its owner currently knows it.
 type Input struct {
-	// KnownOnline counts online requests on the runner by the owner's own dispatches and its peers' hints.
+	// KnownOnline counts the online requests on the runner that the owner dispatched or its peers reported.
 	KnownOnline int
-	// Report is the newest load report, or nil. It must not be changed.
+	// Report is the newest load report, or nil. It must not be modified.
 	Report *engine.LoadReport
-	// RunningBatch counts the batch sequences the owner has on the runner.
+	// RunningBatch counts the batch sequences that the owner has in flight on the runner.
 	RunningBatch int
-	// Leaving says that the runner takes no new work.
+	// Leaving is true if the runner accepts no new work.
 	Leaving bool
-	// ShareBesideOnline bounds the share of the sequences that batch fills while online work is on the runner, above 0 to
-	// 1; one sequence is always allowed. It is the operator's choice between the tail of online latency and batch
-	// throughput; zero means 1.
+	// ShareBesideOnline limits the share of the sequences that batch may use while online work is on the runner, greater
+	// than 0 and at most 1; one sequence is always allowed. The operator sets it to trade tail latency of online requests
+	// against batch throughput. Zero means 1.
 	ShareBesideOnline float64
 }
 
-// Credits is the batch work a runner may carry.
+// Credits limits the batch work of a runner.
 //
 // Invariant: Sequences is at most Hold.
 type Credits struct {
-	// Hold bounds the batch sequences that may run on. Those above it are to be preempted at once.
+	// Hold limits the batch sequences that may stay in flight. The owner preempts those above it immediately.
 	Hold int
-	// Sequences bounds the batch sequences when one is started. It leaves a reserve free, so that an online arrival
-	// finds room without a preemption; the reserve is restored as batch sequences end.
+	// Sequences limits the batch sequences in flight when another one is started. It leaves a reserve of free sequences, so
+	// that an online request can start without a preemption. The reserve is restored as batch sequences end.
 	Sequences int
-	// PrefillTokens bounds the prompt tokens of batch items that were sent and have given no token yet.
+	// PrefillTokens limits the prompt tokens of batch items that were sent and have not returned a token yet.
 	PrefillTokens int
 }
 
 // Parameters of the controller.
 const (
-	// maxReportAge is the age at which a load report counts no more; without one there are no credits.
+	// maxReportAge is the age above which a load report is ignored. Without a valid report there are no credits.
 	maxReportAge = 5 * time.Second
-	// reserveShare is the least share of a runner's sequences kept free for online arrivals.
-	reserveShare = 1.0 / 64
-	// reserveOfRise is the part of the largest recent rise of online work that is kept free for the next one.
-	reserveOfRise = 0.5
-	// riseHalfLife is the time in which the memory of a rise halves.
+	// minReserveShare is the minimum share of a runner's sequences that is reserved for online requests.
+	minReserveShare = 1.0 / 64
+	// reserveRiseShare is the share of the largest recent rise of online work that is reserved for the next rise.
+	reserveRiseShare = 0.5
+	// riseHalfLife is the time in which a recorded rise decays to half.
 	riseHalfLife = 2 * time.Second
-	// riseWindow is the time within which arrivals count as one rise: about what it takes to preempt.
+	// riseWindow is the time within which arrivals count as one rise. It is about the duration of a preemption.
 	riseWindow = 50 * time.Millisecond
-	// prefillAlone and prefillBeside bound outstanding batch prefill without and with online work on the runner. Beside
-	// online work the pace spreads it; the bound only matters on an engine that falls behind.
-	prefillAlone  = 4096
-	prefillBeside = 1024
-	// crowdedFactor is how many batch sequences make room for each online one that waits for room.
-	crowdedFactor = 2
-	// memoryFull is the share of the KV cache in use above which batch may not grow.
+	// prefillTokensAlone and prefillTokensBesideOnline limit outstanding batch prefill without and with online work on the
+	// runner. Beside online work the pacing spreads prefill; the limit only takes effect if the engine falls behind.
+	prefillTokensAlone        = 4096
+	prefillTokensBesideOnline = 1024
+	// preemptionsPerWaiting is the number of batch sequences preempted for each online one that waits for capacity.
+	preemptionsPerWaiting = 2
+	// memoryFull is the share of KV cache in use at which no further batch sequence is started.
 	memoryFull = 0.95
-	// stepTarget is the smoothed step time, in the presence of online work, above which batch shrinks. It leaves room
-	// under the 47 ms between tokens.
+	// stepTarget is the smoothed step time above which batch is reduced while online work is on the runner. It leaves a
+	// margin to the objective of 47 ms between tokens.
 	stepTarget = 42 * time.Millisecond
-	// stepSmoothing is the weight of a new report's step time: a single step with much prefill says little.
+	// stepSmoothing is the weight of a new report's step time. It is low because a single step with a large prefill is not
+	// representative.
 	stepSmoothing = 0.2
-	// stepShrink and stepGrow change the step limit once for each report.
+	// stepShrink (a factor) and stepGrow (an increment) change the step limit once for each report.
 	stepShrink = 0.85
 	stepGrow   = 1.0 / 16
 )
 
-// Controller decides the credits of one runner. It belongs to one goroutine.
+// Controller computes the credits of one runner. It is not safe for concurrent use.
 type Controller struct {
 	history  history
 	rise     float64
 	riseTime time.Time
-	// stepLimit is the share of the runner's sequences that batch may use as the step time allows.
+	// stepLimit is the share of the runner's sequences that batch may use, adapted to the step time.
 	stepLimit    float64
 	lastMeasured time.Time
 	// stepTime is the smoothed step time.
 	stepTime time.Duration
-	pace     pace
+	pacer    pacer
 	steps    stepClock
-	// known is the newest known online count, arrived when it last rose, and prefilled when batch prefill last started.
-	known              int
-	arrived, prefilled time.Time
-	// beside is true while online work is on the runner, as of the last decision.
-	beside bool
+	// knownOnline is the newest known online count, lastArrival the time it last rose, and lastPrefill the time batch
+	// prefill last started.
+	knownOnline              int
+	lastArrival, lastPrefill time.Time
+	// onlinePresent is true if online work was on the runner at the last call of Decide.
+	onlinePresent bool
 }
 
-// NewController returns the controller of a runner nothing is known of yet.
+// NewController returns the controller of a runner without any recorded state.
 func NewController() *Controller { return &Controller{stepLimit: 1} }
 
-// Decide returns the credits now. Calls must not go back in time.
+// Decide returns the current credits. The time must not decrease between calls.
 func (c *Controller) Decide(input Input, now time.Time) Credits {
 	c.history.add(now, input.KnownOnline)
 	c.trackRise(now)
-	if input.KnownOnline > c.known {
-		c.arrived = now
+	if input.KnownOnline > c.knownOnline {
+		c.lastArrival = now
 	}
-	c.known = input.KnownOnline
+	c.knownOnline = input.KnownOnline
 	report := input.Report
 	if input.Leaving || report == nil || now.Sub(report.Measured) > maxReportAge {
 		return Credits{}
 	}
-	online := input.KnownOnline + c.unexplained(report)
+	online := input.KnownOnline + c.unknownOnline(report)
 	c.trackStep(report, online)
-	c.beside = online > 0
+	c.onlinePresent = online > 0
 	capacity := float64(report.MaxSequences)
 	hold := max(0, report.MaxSequences-online)
-	if crowded(report) {
-		hold = min(hold, max(0, input.RunningBatch-crowdedFactor*report.WaitingOnline))
+	if overcommitted(report) {
+		hold = min(hold, max(0, input.RunningBatch-preemptionsPerWaiting*report.WaitingOnline))
 	}
-	free := min(float64(hold), capacity-float64(online)-c.reserve(capacity), math.Floor(capacity*c.stepLimit))
-	if c.beside && input.ShareBesideOnline > 0 {
-		free = min(free, max(1, math.Floor(capacity*input.ShareBesideOnline)))
+	limit := min(float64(hold), capacity-float64(online)-c.reserve(capacity), math.Floor(capacity*c.stepLimit))
+	if c.onlinePresent && input.ShareBesideOnline > 0 {
+		limit = min(limit, max(1, math.Floor(capacity*input.ShareBesideOnline)))
 	}
-	sequences := max(0, int(free))
+	sequences := max(0, int(limit))
 	if report.MemoryUsed >= memoryFull {
 		sequences = min(sequences, input.RunningBatch)
 	}
 	return Credits{Hold: hold, Sequences: sequences, PrefillTokens: prefillLimit(online)}
 }
 
-// MayPrefill reports whether the prompt of another batch item may be sent now. Beside online work batch prefill stays out
-// of the steps in which a new online prompt waits, and no step gets much of it. While the engine's steps are not known, it
-// keeps to a pace instead.
+// MayPrefill reports whether the prompt of another batch item may be sent now. Beside online work, batch prefill is kept
+// out of the steps that prefill a new online prompt and is limited for every step. While the step times of the engine are
+// unknown, a constant rate and a pause after each online arrival are used instead.
 func (c *Controller) MayPrefill(now time.Time) bool {
-	if !c.beside {
+	if !c.onlinePresent {
 		return true
 	}
-	starved := now.Sub(c.prefilled) >= longestQuiet
-	if c.steps.followed(now) {
-		return c.steps.open(now) && (starved || !c.steps.busy(c.arrived))
+	starved := now.Sub(c.lastPrefill) >= maxQuietTime
+	if c.steps.predictable(now) {
+		return c.steps.sendWindowOpen(now) && (starved || !c.steps.mayPrefillOnline(c.lastArrival))
 	}
-	quiet := now.Sub(c.arrived) < quietTime && !starved
-	return !quiet && c.pace.clear(now)
+	quiet := now.Sub(c.lastArrival) < quietTime && !starved
+	return !quiet && c.pacer.ready(now)
 }
 
-// Prefilling records that a prompt of a batch item was sent, in tokens.
+// Prefilling records that the prompt of a batch item, of the given number of tokens, was sent.
 func (c *Controller) Prefilling(tokens int, now time.Time) {
-	c.prefilled = now
-	if c.steps.followed(now) {
+	c.lastPrefill = now
+	if c.steps.predictable(now) {
 		c.steps.spent += tokens
 		return
 	}
-	c.pace.spend(tokens, now)
-	if !c.beside {
-		c.pace.debt = min(c.pace.debt, paceTokens)
+	c.pacer.spend(tokens, now)
+	if !c.onlinePresent {
+		c.pacer.debt = min(c.pacer.debt, paceTokens)
 	}
 }
 
-// crowded reports whether online work waits on the engine because there is no room for it. Work that waits beside free
-// room only waits for the next step.
-func crowded(report *engine.LoadReport) bool {
-	wanted := report.RunningOnline + report.RunningBatch + report.WaitingOnline
-	return report.WaitingOnline > 0 && (wanted > report.MaxSequences || report.MemoryUsed >= memoryFull)
+// overcommitted reports whether online work waits in the engine for capacity. Work that waits while there is free capacity
+// only waits for the next step.
+func overcommitted(report *engine.LoadReport) bool {
+	demand := report.RunningOnline + report.RunningBatch + report.WaitingOnline
+	return report.WaitingOnline > 0 && (demand > report.MaxSequences || report.MemoryUsed >= memoryFull)
 }
 
-// unexplained returns the online work of the report beyond what the owner knew when it was measured. What the owner
-// knew is not counted again: the report lags, and its requests may long have ended.
-func (c *Controller) unexplained(report *engine.LoadReport) int {
+// unknownOnline returns the online work of the report that the owner did not know of when the report was measured. Known
+// requests are not counted again: the report lags, and they may have ended since.
+func (c *Controller) unknownOnline(report *engine.LoadReport) int {
 	reported := report.RunningOnline + report.WaitingOnline
-	return max(0, reported-c.history.mostAround(report.Measured))
+	return max(0, reported-c.history.maxAround(report.Measured))
 }
 
-// reserve returns the sequences to keep free for online arrivals.
+// reserve returns the number of sequences reserved for online requests.
 func (c *Controller) reserve(capacity float64) float64 {
-	least := math.Ceil(capacity * reserveShare)
-	return max(least, math.Ceil(reserveOfRise*c.rise))
+	minimum := math.Ceil(capacity * minReserveShare)
+	return max(minimum, math.Ceil(reserveRiseShare*c.rise))
 }
 
-// trackRise remembers the largest recent rise of online work, fading with time.
+// trackRise records the largest recent rise of online work and lets it decay with riseHalfLife.
 func (c *Controller) trackRise(now time.Time) {
 	if !c.riseTime.IsZero() {
 		c.rise *= math.Exp2(-now.Sub(c.riseTime).Seconds() / riseHalfLife.Seconds())
@@ -185,18 +188,19 @@
 		return
 	}
 	c.lastMeasured = report.Measured
-	c.steps.observe(report)
+	c.steps.observeReport(report)
 	c.stepTime += time.Duration(stepSmoothing * float64(report.StepTime-c.stepTime))
 	if online > 0 && c.stepTime > stepTarget {
-		c.stepLimit = max(reserveShare, c.stepLimit*stepShrink)
+		c.stepLimit = max(minReserveShare, c.stepLimit*stepShrink)
 		return
 	}
 	c.stepLimit = min(1, c.stepLimit+stepGrow)
 }
 
+// prefillLimit returns the limit of outstanding batch prefill, in tokens.
 func prefillLimit(online int) int {
 	if online == 0 {
-		return prefillAlone
+		return prefillTokensAlone
 	}
-	return prefillBeside
+	return prefillTokensBesideOnline
 }
--- a/internal/credit/credit_test.go
+++ b/internal/credit/credit_test.go
@@ -16,9 +16,9 @@
 	return &engine.LoadReport{Measured: measured, MaxSequences: sequences, StepTime: 20 * time.Millisecond}
 }
 
-// TestCreditsNeverReachIntoKnownOnline checks, over random histories, that batch and known online work fit the runner
-// together with a free sequence left, that there are no credits without a fresh report or on a leaving runner, and that
-// batch makes room while online work waits for it.
+// TestCreditsNeverReachIntoKnownOnline checks over random histories that batch and known online work together leave at
+// least one sequence free when batch work is started, that there are no credits without a recent report or on a leaving
+// runner, and that batch sequences are preempted while online work waits for capacity.
 func TestCreditsNeverReachIntoKnownOnline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller := NewController()
@@ -48,17 +48,18 @@
 			assert.Assert(t, known+credits.Hold <= sequences, "known %d hold %d of %d", known, credits.Hold, sequences)
 			assert.Assert(t, credits.Sequences == 0 || known+credits.Sequences < sequences, "known %d credits %d of %d", known, credits.Sequences, sequences)
 			if report.WaitingOnline > 0 && report.RunningOnline+report.RunningBatch == sequences {
-				assert.Assert(t, credits.Hold <= max(0, running-report.WaitingOnline), "online work waits for room")
+				assert.Assert(t, credits.Hold <= max(0, running-report.WaitingOnline), "online work waits for capacity")
 			}
 			if report.MemoryUsed > memoryFull {
-				assert.Assert(t, credits.Sequences <= running, "batch grows into full memory")
+				assert.Assert(t, credits.Sequences <= running, "batch grows although the memory is full")
 			}
 			running = max(min(running, credits.Hold), credits.Sequences)
 		}
 	})
 }
 
-// TestSurgeRevokesAtOnce steps online work from nothing to the whole runner, with no new report.
+// TestSurgeRevokesAtOnce checks that credits are revoked without a new report when online work rises from zero to the whole
+// capacity.
 func TestSurgeRevokesAtOnce(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
@@ -71,17 +72,19 @@
 	assert.Assert(t, half.Sequences < 32)
 }
 
-// TestArrivalTakesTheReserveFirst lets one online request arrive on a runner that batch fills.
+// TestArrivalTakesTheReserveFirst checks that an online request that arrives on a runner full of batch work uses the
+// reserve and preempts nothing.
 func TestArrivalTakesTheReserveFirst(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
 	before := controller.Decide(Input{Report: report}, begin)
 	after := controller.Decide(Input{KnownOnline: 1, Report: report, RunningBatch: before.Sequences}, begin.Add(time.Millisecond))
-	assert.Assert(t, after.Hold >= before.Sequences, "the arrival preempts although there was room")
+	assert.Assert(t, after.Hold >= before.Sequences, "the arrival preempts although a sequence was free")
 	assert.Assert(t, after.Sequences < before.Sequences, "the reserve is not restored")
 }
 
-// TestLaggingReportIsNotCountedTwice ends the online work the report still shows.
+// TestLaggingReportIsNotCountedTwice checks that known online work that has ended is not counted because a lagging report
+// still includes it, and that reported online work unknown to the owner is counted.
 func TestLaggingReportIsNotCountedTwice(t *testing.T) {
 	controller := NewController()
 	idle := reportAt(begin, 64)
@@ -92,15 +95,15 @@
 	credits := controller.Decide(Input{KnownOnline: 0, Report: lagging}, now)
 	idleAfter := controller.Decide(Input{KnownOnline: 0, Report: reportAt(now, 64)}, now)
 	assert.Equal(t, credits.Sequences, idleAfter.Sequences, "work that has ended still counts")
-	later := now.Add(2 * reportSlack)
+	later := now.Add(2 * reportTimeError)
 	unknown := reportAt(later, 64)
 	unknown.RunningOnline = 50
 	credits = controller.Decide(Input{KnownOnline: 0, Report: unknown}, later)
-	assert.Assert(t, credits.Sequences <= 14, "%d credits beside 50 online sequences nobody told of", credits.Sequences)
+	assert.Assert(t, credits.Sequences <= 14, "%d credits beside 50 online sequences that no peer reported", credits.Sequences)
 }
 
-// TestSteadyLoadLeavesLittleUnused checks the share of the idle sequences that batch may use once online work is
-// steady, at several levels.
+// TestSteadyLoadLeavesLittleUnused checks, at several levels of constant online work, that batch may use at least 95% of
+// the remaining sequences.
 func TestSteadyLoadLeavesLittleUnused(t *testing.T) {
 	for _, online := range []int{0, 8, 24} {
 		controller := NewController()
@@ -117,7 +120,8 @@
 	}
 }
 
-// TestOnlineWorkBetweenTwoStepsTakesNothing shows waiting online work beside free room: it waits for the next step.
+// TestOnlineWorkBetweenTwoStepsTakesNothing checks that an online request that waits while sequences are free reduces no
+// credits, because it only waits for the next step.
 func TestOnlineWorkBetweenTwoStepsTakesNothing(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
@@ -126,7 +130,7 @@
 	assert.Assert(t, credits.Sequences >= 54, "%d credits", credits.Sequences)
 }
 
-// TestSlowStepsShrinkBatchOnlyBesideOnline checks the step limit.
+// TestSlowStepsShrinkBatchOnlyBesideOnline checks that long steps reduce batch only while online work is on the runner.
 func TestSlowStepsShrinkBatchOnlyBesideOnline(t *testing.T) {
 	decide := func(online int) int {
 		controller := NewController()
@@ -145,8 +149,8 @@
 	assert.Assert(t, decide(0) >= 60)
 }
 
-// TestShareBoundsBatchOnlyBesideOnline sets the operator's share: it bounds what may start beside online work, preempts
-// nothing and leaves a quiet runner alone. Unset, it bounds nothing.
+// TestShareBoundsBatchOnlyBesideOnline checks that ShareBesideOnline limits which batch sequences may start beside online
+// work, that it neither preempts nor affects a runner without online work, and that zero means no limit.
 func TestShareBoundsBatchOnlyBesideOnline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sequences := rapid.IntRange(1, 128).Draw(t, "sequences")
--- a/internal/credit/history.go
+++ b/internal/credit/history.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// historyTime is how long known online counts are kept: longer than a load report lags.
-const historyTime = maxReportAge + time.Second
+// historyRetention is how long known online counts are stored. It exceeds the maximum age of a load report.
+const historyRetention = maxReportAge + time.Second
 
-// reportSlack is how exactly the moment of a report is known.
-const reportSlack = 250 * time.Millisecond
+// reportTimeError is the maximum error of the time at which a report was measured.
+const reportTimeError = 250 * time.Millisecond
 
-// history keeps the known online counts of the last while, as changes.
+// history stores the known online counts of the last historyRetention as a list of changes.
 type history struct {
 	changes []change
 }
 
-// change is a count that held from a moment on.
+// change is a count and the time from which it was valid.
 type change struct {
 	since time.Time
 	count int
 }
 
-// add records the count now.
+// add records the current count.
 func (h *history) add(now time.Time, count int) {
 	if len(h.changes) == 0 || h.last() != count {
 		h.changes = append(h.changes, change{since: now, count: count})
 	}
-	h.forget(now.Add(-historyTime))
+	h.evict(now.Add(-historyRetention))
 }
 
-// forget drops changes that no longer held at the given time.
-func (h *history) forget(before time.Time) {
-	keep := 0
-	for keep+1 < len(h.changes) && !h.changes[keep+1].since.After(before) {
-		keep++
+// evict removes the changes that were superseded by the given time.
+func (h *history) evict(before time.Time) {
+	first := 0
+	for first+1 < len(h.changes) && !h.changes[first+1].since.After(before) {
+		first++
 	}
-	h.changes = h.changes[keep:]
+	h.changes = h.changes[first:]
 }
 
 // last returns the newest count.
@@ -44,33 +44,33 @@
 	return h.changes[len(h.changes)-1].count
 }
 
-// mostAround returns the largest count that held within reportSlack of the moment.
-func (h *history) mostAround(moment time.Time) int {
-	from, until := moment.Add(-reportSlack), moment.Add(reportSlack)
-	most := 0
+// maxAround returns the largest count that was valid within reportTimeError of the given time.
+func (h *history) maxAround(moment time.Time) int {
+	from, until := moment.Add(-reportTimeError), moment.Add(reportTimeError)
+	largest := 0
 	for index, held := range h.changes {
 		endsBefore := index+1 < len(h.changes) && h.changes[index+1].since.Before(from)
 		if endsBefore || held.since.After(until) {
 			continue
 		}
-		most = max(most, held.count)
+		largest = max(largest, held.count)
 	}
-	return most
+	return largest
 }
 
-// riseWithin returns how much the newest count lies above the least of the window before it.
+// riseWithin returns the difference between the newest count and the smallest one in the window before it.
 func (h *history) riseWithin(window time.Duration) int {
 	if len(h.changes) == 0 {
 		return 0
 	}
 	newest := h.changes[len(h.changes)-1]
 	from := newest.since.Add(-window)
-	least := newest.count
+	smallest := newest.count
 	for index := len(h.changes) - 2; index >= 0; index-- {
-		least = min(least, h.changes[index].count)
+		smallest = min(smallest, h.changes[index].count)
 		if h.changes[index].since.Before(from) {
 			break
 		}
 	}
-	return newest.count - least
+	return newest.count - smallest
 }
--- a/internal/credit/pace_test.go
+++ b/internal/credit/pace_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestPrefillKeepsToItsPaceBesideOnline starts prompts of random length whenever the pace allows, for any look period,
-// and checks that any window stays within the rate, the burst and one prompt, and that the rate is reached.
+// TestPrefillKeepsToItsPaceBesideOnline starts prompts of random length whenever allowed, for random polling intervals, and
+// checks that the total never exceeds the rate plus the burst and one prompt, and that the rate is reached.
 func TestPrefillKeepsToItsPaceBesideOnline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller := NewController()
 		now := begin
 		online := Input{KnownOnline: 1, Report: reportAt(begin, 64)}
 		controller.Decide(online, now)
-		tick := time.Duration(rapid.IntRange(1, 30).Draw(t, "milliseconds between looks")) * time.Millisecond
+		tick := time.Duration(rapid.IntRange(1, 30).Draw(t, "milliseconds between polls")) * time.Millisecond
 		total, largest := 0, 0
 		for range 200 {
 			now = now.Add(tick)
@@ -34,7 +34,8 @@
 	})
 }
 
-// TestPrefillAloneLeavesNoDebt prefills much on a quiet runner: an online arrival does not stop batch for long.
+// TestPrefillAloneLeavesNoDebt checks that a large prefill on a runner without online work does not stop batch for longer
+// than one pace interval or quiet time after an online arrival.
 func TestPrefillAloneLeavesNoDebt(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
@@ -48,7 +49,8 @@
 	assert.Assert(t, controller.MayPrefill(begin.Add(max(paceTime, quietTime))))
 }
 
-// TestPrefillStaysOutOfAnArrivalsSteps lets online requests arrive, once and then without a pause.
+// TestPrefillStaysOutOfAnArrivalsSteps checks that batch prefill pauses for quietTime after an online arrival, and that
+// continuous arrivals do not starve it.
 func TestPrefillStaysOutOfAnArrivalsSteps(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
@@ -57,9 +59,9 @@
 	assert.Assert(t, controller.MayPrefill(now))
 	controller.Prefilling(1, now)
 	controller.Decide(Input{KnownOnline: 2, Report: report}, now)
-	assert.Assert(t, !controller.MayPrefill(now.Add(quietTime-time.Millisecond)), "an arrival is given no quiet")
+	assert.Assert(t, !controller.MayPrefill(now.Add(quietTime-time.Millisecond)), "batch prefill did not pause after an arrival")
 	assert.Assert(t, controller.MayPrefill(now.Add(quietTime)))
-	for online := 3; online < 3+int(longestQuiet/(10*time.Millisecond)); online++ {
+	for online := 3; online < 3+int(maxQuietTime/(10*time.Millisecond)); online++ {
 		now = now.Add(10 * time.Millisecond)
 		controller.Decide(Input{KnownOnline: online, Report: report}, now)
 	}
--- a/internal/credit/steps_test.go
+++ b/internal/credit/steps_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// steppedSend is a batch prompt as an engine with known steps gets it.
+// steppedSend is a batch prompt sent to an engine with known steps.
 type steppedSend struct {
 	at     time.Time
 	step   int
 	tokens int
 }
 
-// steppedRun lets an engine step at random durations and online requests come and go, asks the controller each
-// millisecond, and returns what was sent, the arrivals and when the steps began.
+// steppedRun simulates an engine with steps of random duration and arriving online requests, and polls the controller each
+// millisecond. It returns the prompts sent, the arrivals and the start times of the steps.
 func steppedRun(t *rapid.T, controller *Controller, sequences int) (sends []steppedSend, arrivals, steps []time.Time) {
 	now, report, online := begin, reportAt(begin, sequences), 1
 	controller.Decide(Input{KnownOnline: online, Report: report}, now)
@@ -49,9 +49,9 @@
 	return sends, arrivals, steps
 }
 
-// TestPrefillStaysOutOfAnArrivalsStepsWhenTheyAreKnown checks that a prompt is sent neither in the step in which an online
-// request arrives nor in the one after it, where that is prefilled, unless none was sent for longestQuiet; that no step
-// gets more than its budget, or one prompt; and that batch does not starve.
+// TestPrefillStaysOutOfAnArrivalsStepsWhenTheyAreKnown checks that no batch prompt is sent in the step in which an online
+// request arrives nor in the next one, which prefills that request, unless none was sent for maxQuietTime; that no step
+// gets more than its budget or a single prompt; and that batch does not starve.
 func TestPrefillStaysOutOfAnArrivalsStepsWhenTheyAreKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sequences := rapid.IntRange(8, 64).Draw(t, "sequences")
@@ -59,8 +59,8 @@
 		last := begin
 		perStep, prompts := map[int]int{}, map[int]int{}
 		for _, send := range sends {
-			assert.Assert(t, send.at.Sub(last) <= longestQuiet+time.Millisecond+steps[1].Sub(steps[0])*3, "batch starved for %s", send.at.Sub(last))
-			starved := send.at.Sub(last) >= longestQuiet
+			assert.Assert(t, send.at.Sub(last) <= maxQuietTime+time.Millisecond+steps[1].Sub(steps[0])*3, "batch starved for %s", send.at.Sub(last))
+			starved := send.at.Sub(last) >= maxQuietTime
 			last = send.at
 			perStep[send.step] += send.tokens
 			prompts[send.step]++
@@ -73,14 +73,14 @@
 			}
 		}
 		for step, tokens := range perStep {
-			assert.Assert(t, tokens <= stepPrefill*sequences || prompts[step] == 1, "%d tokens, %d prompts in a step", tokens, prompts[step])
+			assert.Assert(t, tokens <= stepPrefillPerSequence*sequences || prompts[step] == 1, "%d tokens, %d prompts in a step", tokens, prompts[step])
 		}
 		assert.Assert(t, len(sends) >= 10, "%d prompts in 1.5 s", len(sends))
 	})
 }
 
-// TestPrefillIsSentJustBeforeAStepEnds checks that of steady steps' time only the last part is used, and that LookAt names
-// the moment.
+// TestPrefillIsSentJustBeforeAStepEnds checks that with constant step times prompts are only sent in the last part of a step,
+// and that LookAt returns the start of that part.
 func TestPrefillIsSentJustBeforeAStepEnds(t *testing.T) {
 	controller := NewController()
 	now := begin
@@ -92,17 +92,17 @@
 	}
 	assert.Assert(t, !controller.MayPrefill(now))
 	at := controller.LookAt(now)
-	assert.Assert(t, at.After(now.Add(step-2*sendLead)) && at.Before(now.Add(step)), "%s after the step began", at.Sub(now))
+	assert.Assert(t, at.After(now.Add(step-2*sendLead)) && at.Before(now.Add(step)), "%s after the step started", at.Sub(now))
 	assert.Assert(t, !controller.MayPrefill(at.Add(-time.Nanosecond)))
 	assert.Assert(t, controller.MayPrefill(at))
 	assert.Assert(t, controller.LookAt(at).IsZero())
 	silent := now.Add(silentSteps * step)
-	assert.Assert(t, controller.LookAt(silent).IsZero(), "steps are followed without a token")
+	assert.Assert(t, controller.LookAt(silent).IsZero(), "steps are predicted without a token")
 	assert.Assert(t, controller.MayPrefill(silent), "the pace allows it")
 }
 
-// TestExpectedStepOutlastsStrayTokens feeds steps in halves, as late tokens would show them: the expectation keeps near the
-// reported time, so that tokens of one step go on being told from the next.
+// TestExpectedStepOutlastsStrayTokens records two step ends for each reported step time, as late tokens cause them, and checks
+// that the expected step time stays near the reported one, so that tokens of different steps are still distinguished.
 func TestExpectedStepOutlastsStrayTokens(t *testing.T) {
 	controller := NewController()
 	now := begin
@@ -113,6 +113,6 @@
 	}
 	assert.Assert(t, controller.StepGap() >= 10*time.Millisecond, "%s", controller.StepGap())
 	sendAfter := controller.LookAt(now).Sub(now)
-	least := time.Duration(leastOfReported*float64(20*time.Millisecond)) - sendLead
-	assert.Assert(t, sendAfter >= least, "prompts are sent %s after a step began", sendAfter)
+	minimum := time.Duration(minReportedShare*float64(20*time.Millisecond)) - sendLead
+	assert.Assert(t, sendAfter >= minimum, "prompts are sent %s after a step started", sendAfter)
 }
