--- a/internal/dispatch/answer/aggregate.go
+++ b/internal/dispatch/answer/aggregate.go
@@ -13,16 +13,16 @@
 const (
 	// ErrMalformed means that a chunk is not a JSON object of the endpoint's dialect.
 	ErrMalformed = failure.Kind("answer: malformed chunk")
-	// ErrIncomplete means that an answer was asked for before its final chunk.
+	// ErrIncomplete means that the answer was requested before its final chunk was received.
 	ErrIncomplete = failure.Kind("answer: not complete")
 	// ErrTooLarge means that the answer is larger than maxAnswerBytes.
 	ErrTooLarge = failure.Kind("answer: too large")
 )
 
-// maxAnswerBytes bounds the text of one whole answer.
+// maxAnswerBytes limits the total size of the chunks of one answer.
 const maxAnswerBytes = 16 << 20
 
-// Aggregate is a Sink that joins the chunks of an answer to one OpenAI JSON answer. It is not safe for concurrent use.
+// Aggregate is a Sink that joins the chunks of an answer into one OpenAI JSON response. It is not safe for concurrent use.
 type Aggregate struct {
 	endpoint inference.Endpoint
 	id       string
@@ -40,20 +40,20 @@
 	return &Aggregate{endpoint: endpoint, choices: map[int]*choice{}}
 }
 
-// choice is one alternative answer as far as it was received.
+// choice accumulates one of the alternative answers.
 type choice struct {
 	role, finishReason       string
 	content, refusal, reason []byte
 	toolCalls                map[int]*toolCall
 }
 
-// toolCall is a function call as far as it was received.
+// toolCall accumulates a function call.
 type toolCall struct {
 	id, kind, name string
 	arguments      []byte
 }
 
-// chunkObject is a chunk in either dialect.
+// chunkObject is a chunk of a chat completion or a text completion.
 type chunkObject struct {
 	ID      string        `json:"id"`
 	Created int64         `json:"created"`
@@ -171,13 +171,13 @@
 	}
 }
 
-// Stored takes a stored whole answer in place of chunks.
+// Stored sets a stored whole answer in place of chunks.
 func (a *Aggregate) Stored(stored ledger.Answer) error {
 	a.stored = &stored
 	return nil
 }
 
-// Reset forgets every chunk received so far.
+// Reset discards every chunk received so far.
 func (a *Aggregate) Reset() bool {
 	*a = *NewAggregate(a.endpoint)
 	return true
@@ -186,8 +186,8 @@
 // Usage returns the token counts of a complete answer.
 func (a *Aggregate) Usage() inference.Usage { return a.usage }
 
-// Answer returns the whole answer: a stored one as it was stored, or the JSON object joined from the chunks. It
-// returns ErrIncomplete before the final chunk.
+// Answer returns the whole answer: a stored one unchanged, or the JSON object joined from the chunks. It returns
+// ErrIncomplete before the final chunk.
 func (a *Aggregate) Answer() (ledger.Answer, error) {
 	if a.stored != nil {
 		return *a.stored, nil
--- a/internal/dispatch/answer/answer_test.go
+++ b/internal/dispatch/answer/answer_test.go
@@ -11,7 +11,8 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// TestForwardedChunksTileTheAnswer offers chunks in any order, repeated and overlapping.
+// TestForwardedChunksTileTheAnswer checks that chunks offered in any order, repeated and overlapping, are forwarded in order,
+// without gap or duplicate, and that nothing is forwarded after the final chunk.
 func TestForwardedChunksTileTheAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var position Position
@@ -30,7 +31,7 @@
 				continue
 			}
 			assert.Assert(t, !ended, "forwarded after the final chunk")
-			assert.Equal(t, chunk.Offset, next, "forwarded out of place")
+			assert.Equal(t, chunk.Offset, next, "forwarded out of order")
 			next += chunk.Tokens
 			ended = chunk.Final
 			assert.Equal(t, position.Next(), next)
@@ -38,8 +39,8 @@
 	})
 }
 
-// TestPositionRefusesWhatItCannotPlace names the errors.
-func TestPositionRefusesWhatItCannotPlace(t *testing.T) {
+// TestPositionRejectsInvalidChunks checks the error for each kind of chunk that can be neither forwarded nor dropped.
+func TestPositionRejectsInvalidChunks(t *testing.T) {
 	at := func(next int) *Position { return &Position{next: next} }
 	cases := []struct {
 		position *Position
@@ -59,7 +60,7 @@
 	}
 }
 
-// TestAggregateJoinsChoicesAndToolCalls joins a chat answer with two choices, one of which calls a function.
+// TestAggregateJoinsChoicesAndToolCalls joins a chat answer of two choices, one of which calls a function.
 func TestAggregateJoinsChoicesAndToolCalls(t *testing.T) {
 	aggregate := NewAggregate(inference.ChatCompletions)
 	for _, data := range []string{
@@ -81,7 +82,7 @@
 		`"usage":{"prompt_tokens":0,"completion_tokens":4,"total_tokens":0}}`)
 }
 
-// TestStoredAnswerAsStreamIsTheSameAnswer writes a stored answer as one chunk and joins it again.
+// TestStoredAnswerAsStreamIsTheSameAnswer checks that a stored answer rendered as one chunk and joined again is unchanged.
 func TestStoredAnswerAsStreamIsTheSameAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		endpoint := rapid.SampledFrom([]inference.Endpoint{inference.ChatCompletions, inference.Completions}).Draw(t, "endpoint")
@@ -104,7 +105,7 @@
 	})
 }
 
-// TestStoredToolCallsStayApart streams a stored answer with two function calls.
+// TestStoredToolCallsStayApart checks that two function calls of a stored answer rendered as one chunk are not merged.
 func TestStoredToolCallsStayApart(t *testing.T) {
 	first := NewAggregate(inference.ChatCompletions)
 	data := `{"id":"x","choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","function":{"name":"f"}},{"index":1,"id":"b","function":{"name":"g"}}]}}]}`
@@ -128,7 +129,7 @@
 	return fmt.Appendf(nil, `{"id":"x","choices":[{"index":0,"delta":{"content":%s}}]}`, encoded)
 }
 
-// FuzzAggregate feeds it what an engine might send.
+// FuzzAggregate checks that whatever chunk an engine sends is either rejected or joined into valid JSON.
 func FuzzAggregate(f *testing.F) {
 	f.Add([]byte(`{"id":"c1","choices":[{"index":0,"delta":{"content":"x"}}]}`), true)
 	f.Add([]byte(`{"choices":[{"index":-1,"text":null,"delta":{"tool_calls":[{"index":9}]}}]}`), false)
--- a/internal/dispatch/answer/position.go
+++ b/internal/dispatch/answer/position.go
@@ -5,11 +5,12 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// Failures of the order of chunks. Each breaks the stream; nothing of the chunk is forwarded.
+// Errors of the chunk order. Each ends the stream; the chunk is not forwarded.
 const (
 	// ErrGap means that tokens before the chunk are missing.
 	ErrGap = failure.Kind("answer: gap in the stream")
-	// ErrOverlap means that the chunk repeats some tokens and adds others, so that it can't be cut.
+	// ErrOverlap means that the chunk repeats forwarded tokens but cannot be dropped, because it also adds tokens or is the
+	// final chunk. The data of a chunk cannot be split.
 	ErrOverlap = failure.Kind("answer: chunk overlaps what was forwarded")
 	// ErrTruncated means that the stream ended without a final chunk.
 	ErrTruncated = failure.Kind("answer: stream ended without a final chunk")
@@ -17,33 +18,33 @@
 	ErrWrongLength = failure.Kind("answer: usage does not match the tokens received")
 )
 
-// Verdict says what to do with a chunk.
+// Verdict is the action for a chunk.
 type Verdict uint8
 
 const (
-	// Drop means that everything in the chunk was forwarded before.
+	// Drop means that the chunk is not forwarded: all of it was forwarded before, or it is invalid.
 	Drop Verdict = iota
-	// Forward means that the chunk is the next one.
+	// Forward means that the chunk is the next one and is to be forwarded.
 	Forward
 )
 
-// Position is how far an answer has been forwarded. The zero value is its start.
+// Position tracks how far an answer has been forwarded. The zero value is the start of an answer.
 //
-// Invariant: the chunks that Accept let through have offsets and lengths that tile [0, Next) exactly once, in order.
+// Invariant: the chunks that Accept decides to forward cover [0, Next) exactly once, in order.
 type Position struct {
 	next int
-	// emptyAt is one more than the offset at which a chunk without tokens was last forwarded, so that zero means none.
+	// emptyAt is the offset of the last forwarded chunk without tokens plus one; zero means that there was none.
 	emptyAt int
 	final   bool
 }
 
-// Next is the offset of the next token.
+// Next returns the offset of the next token.
 func (p *Position) Next() int { return p.next }
 
-// Final reports whether the last chunk was forwarded.
+// Final reports whether the final chunk was forwarded.
 func (p *Position) Final() bool { return p.final }
 
-// Accept decides on a chunk and moves the position on if it is to be forwarded.
+// Accept decides what to do with a chunk, and advances the position if the chunk is to be forwarded.
 func (p *Position) Accept(chunk *inference.Chunk) (Verdict, error) {
 	if p.final {
 		return Drop, nil
@@ -55,13 +56,14 @@
 	if chunk.Offset == p.next {
 		return p.acceptNext(chunk, end)
 	}
-	// A final chunk carries the end of the answer: one that repeats tokens can be neither forwarded nor dropped.
+	// A final chunk ends the answer, so one that repeats tokens can be neither forwarded nor dropped.
 	if end > p.next || chunk.Final {
 		return Drop, ErrOverlap
 	}
 	return Drop, nil
 }
 
+// acceptNext handles a chunk that starts at the next token. Only the first chunk without tokens at an offset is forwarded.
 func (p *Position) acceptNext(chunk *inference.Chunk, end int) (Verdict, error) {
 	if chunk.Final && chunk.Usage.CompletionTokens != 0 && chunk.Usage.CompletionTokens != end {
 		return Drop, ErrWrongLength
--- a/internal/dispatch/answer/sink.go
+++ b/internal/dispatch/answer/sink.go
@@ -1,4 +1,5 @@
-// Package answer checks the order of an answer's chunks and joins them to whole answers. It does no I/O.
+// Package answer checks the order of an answer's chunks, joins them into whole answers, renders stored answers as a chunk,
+// and defines the interfaces of receivers of answers. It does no I/O.
 package answer
 
 import (
@@ -8,30 +9,31 @@
 
 // Sink receives an answer chunk by chunk, in order, without gap or duplicate.
 type Sink interface {
-	// Chunk takes the next chunk. Its Data is only valid during the call. An error means that the caller is gone.
+	// Chunk receives the next chunk. Its Data is only valid during the call. An error means that the caller has disconnected
+	// or that the chunk cannot be processed.
 	Chunk(chunk inference.Chunk) error
 }
 
-// BufferedSink is a Sink that can keep chunks for a moment, so that several that are at hand together are sent together.
+// BufferedSink is a Sink that can buffer chunks, so that several chunks that are available together are sent together.
 type BufferedSink interface {
 	Sink
-	// Buffer takes the next chunk as Chunk does, but may keep it until the next call of Chunk or Flush. Nothing may be
-	// waited for between the two.
+	// Buffer receives the next chunk as Chunk does, but may buffer it until the next call of Chunk or Flush. The caller must
+	// not block between the two calls.
 	Buffer(chunk inference.Chunk) error
-	// Flush sends what Buffer kept.
+	// Flush sends the buffered chunks.
 	Flush() error
 }
 
-// StoredSink is a Sink that can take a stored whole answer, as a resend of a non-repeatable request gets it. A sink
-// without this method gets the stored answer as one chunk.
+// StoredSink is a Sink that can receive a stored whole answer, which is the reply to a resent non-repeatable request. Other
+// sinks receive the stored answer as one chunk.
 type StoredSink interface {
 	Sink
 	Stored(stored ledger.Answer) error
 }
 
-// Resetter is a Sink that has passed nothing on yet and can forget what it received, so that a repeatable request may
-// run again from its start.
+// Resetter is implemented by sinks that may be able to discard what they received, so that a repeatable request can run
+// again from its start.
 type Resetter interface {
-	// Reset forgets every chunk received so far, and reports whether it could.
+	// Reset discards every chunk received so far. It returns false if that is not possible because some were passed on.
 	Reset() bool
 }
--- a/internal/dispatch/answer/whole.go
+++ b/internal/dispatch/answer/whole.go
@@ -8,7 +8,7 @@
 	"mallowlatch.example/mallowlatch/internal/ledger"
 )
 
-// wholeAnswer is a whole answer in either dialect.
+// wholeAnswer is a whole chat completion or text completion.
 type wholeAnswer struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -40,6 +40,7 @@
 	Function chunkFunction `json:"function"`
 }
 
+// objectOf returns the object name of a whole answer of the endpoint.
 func objectOf(endpoint inference.Endpoint) string {
 	if endpoint == inference.Completions {
 		return "text_completion"
@@ -47,7 +48,7 @@
 	return "chat.completion"
 }
 
-// chunkObjectOf is the object name of a chunk of the endpoint.
+// chunkObjectOf returns the object name of a chunk of the endpoint.
 func chunkObjectOf(endpoint inference.Endpoint) string {
 	if endpoint == inference.Completions {
 		return "text_completion"
@@ -99,7 +100,7 @@
 	FinishReason string        `json:"finish_reason"`
 }
 
-// AsChunk renders a stored whole answer as one final chunk, for a caller who asked for a stream.
+// AsChunk renders a stored whole answer as one final chunk, for a caller that requested a stream.
 func AsChunk(endpoint inference.Endpoint, stored ledger.Answer) (inference.Chunk, error) {
 	var whole wholeAnswer
 	if err := json.Unmarshal(stored.Body, &whole); err != nil {
@@ -118,7 +119,7 @@
 	return inference.Chunk{Tokens: whole.Usage.CompletionTokens, Data: data, Final: true, FinishReason: finishReason, Usage: whole.Usage}, nil
 }
 
-// streamed turns a whole choice into the delta of a chunk; in a delta each tool call states its index.
+// streamed converts a whole choice to the choice of a chunk, where each tool call states its index.
 func (c wholeChoice) streamed() streamedChoice {
 	if c.Message != nil {
 		for index := range c.Message.ToolCalls {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// errSink means that the sink refused a chunk: the caller is gone.
+	// errSink means that the sink returned an error, which usually means that the caller has disconnected.
 	errSink = failure.Kind("dispatch: caller gone")
-	// errNoEngine means that the runner left the machine list since it was chosen.
+	// errNoEngine means that the runner was removed from the machine list after it was chosen.
 	errNoEngine = failure.Kind("dispatch: runner no longer listed")
-	// errStalled means that no chunk came in time.
+	// errStalled means that no chunk arrived within the time-out.
 	errStalled = failure.Kind("dispatch: stream stalled")
 )
 
-// maxResumes bounds the resumptions of one attempt on its runner without any progress between them.
+// maxResumes limits consecutive resumptions of one attempt without progress.
 const maxResumes = 3
 
 // attemptFailure is the failure of one attempt on one runner.
 type attemptFailure struct {
 	outcome    outcome.Outcome
 	retryAfter time.Duration
-	// final says that no other runner could do better.
+	// final is true if a retry on another runner cannot succeed.
 	final bool
 	cause error
 }
 
-// attempt runs the request on one runner, resuming there after a broken stream.
+// attempt runs the request on one runner and resumes it there after a broken stream.
 func (f *flight) attempt(ctx context.Context, runner ident.Runner) *attemptFailure {
 	f.attempts++
 	f.tried = append(f.tried, runner)
@@ -47,7 +47,7 @@
 	table := f.dispatcher.config.Table
 	table.Start(runner, f.request.PrefixBlocks)
 	defer table.End(runner)
-	f.begun = f.dispatcher.config.Now()
+	f.attemptStart = f.dispatcher.config.Now()
 	failed := f.runOn(ctx, target)
 	f.observe(runner, failed)
 	if failed != nil && failed.outcome != outcome.NotRun {
@@ -67,7 +67,7 @@
 		if failed.outcome != outcome.Unknown || ctx.Err() != nil {
 			return failed
 		}
-		// The engine may have received the request: if so, its stream can be read from where this answer stands.
+		// The engine may have received the request. If so, its stream can be read from the current position.
 		return f.resume(ctx, target, failed)
 	}
 	err = f.relay(stream, watch)
@@ -81,7 +81,8 @@
 	return f.resume(ctx, target, failed)
 }
 
-// resume reads on from the engine's kept stream until the answer is whole or resuming makes no progress.
+// resume reads the stream buffered by the engine from the current position, until the answer is complete or repeated
+// resumptions make no progress. It returns the original failure if it does not succeed.
 func (f *flight) resume(ctx context.Context, target engine.Engine, failed *attemptFailure) *attemptFailure {
 	for tries := 0; tries < maxResumes; {
 		before := f.position.Next()
@@ -93,7 +94,7 @@
 		if errors.Is(err, errSink) {
 			return relayFailure(err)
 		}
-		if ctx.Err() != nil || !worthResuming(err) {
+		if ctx.Err() != nil || !mayResume(err) {
 			break
 		}
 		tries++
@@ -104,8 +105,8 @@
 	return failed
 }
 
-// worthResuming reports whether another resumption on the same runner may get further.
-func worthResuming(err error) bool {
+// mayResume reports whether another resumption on the same runner can succeed after the error.
+func mayResume(err error) bool {
 	return !errors.Is(err, engine.ErrGone) && !errors.Is(err, engine.ErrUnreachable) && !errors.Is(err, errStalled)
 }
 
@@ -119,8 +120,8 @@
 	return f.relay(stream, watch)
 }
 
-// relay passes chunks of a stream on until the answer is whole. Whatever ends it, the sink has been told to send all
-// that it took.
+// relay passes the chunks of a stream to the sink until the answer is complete. In every case it flushes the sink before it
+// returns.
 func (f *flight) relay(stream engine.Stream, watch *stallWatch) error {
 	defer stream.Close()
 	out := newRelayOutput(f.sink, stream)
@@ -151,7 +152,7 @@
 		if verdict == answer.Drop {
 			continue
 		}
-		f.firstChunk()
+		f.reportFirstChunk()
 		f.sent = true
 		if err := out.chunk(chunk); err != nil {
 			return fmt.Errorf("%w: %w", errSink, err)
@@ -160,16 +161,16 @@
 	return nil
 }
 
-// firstChunk tells how long the runner took to the first chunk of the running attempt.
-func (f *flight) firstChunk() {
-	if f.begun.IsZero() {
+// reportFirstChunk reports the time to the first chunk of the current attempt, once.
+func (f *flight) reportFirstChunk() {
+	if f.attemptStart.IsZero() {
 		return
 	}
-	f.dispatcher.config.FirstToken(f.request, f.dispatcher.config.Now().Sub(f.begun))
-	f.begun = time.Time{}
+	f.dispatcher.config.FirstToken(f.request, f.dispatcher.config.Now().Sub(f.attemptStart))
+	f.attemptStart = time.Time{}
 }
 
-// generateFailure reads the outcome of a call that gave no stream. An error that states none is Unknown.
+// generateFailure describes a call that returned no stream. The outcome is Unknown if the error does not state one.
 func generateFailure(err error) *attemptFailure {
 	failed := &attemptFailure{outcome: outcome.Unknown, cause: err}
 	var stated *engine.AttemptError
@@ -181,12 +182,12 @@
 	return failed
 }
 
-// relayFailure describes a stream that broke: the engine had begun the request.
+// relayFailure describes a broken stream. The outcome is Ran because the engine had started the request.
 func relayFailure(err error) *attemptFailure {
 	return &attemptFailure{outcome: outcome.Ran, cause: err, final: errors.Is(err, errSink)}
 }
 
-// observe tells the table what the attempt showed of the runner.
+// observe updates the table with the result of the attempt.
 func (f *flight) observe(runner ident.Runner, failed *attemptFailure) {
 	table, now := f.dispatcher.config.Table, f.dispatcher.config.Now()
 	f.dispatcher.metrics.attempted(failed)
@@ -196,7 +197,7 @@
 	case errors.Is(failed.cause, engine.ErrLeaving):
 		table.ObserveLeaving(runner, true, now)
 	case errors.Is(failed.cause, engine.ErrBusy):
-		table.ObserveBusy(runner, now.Add(max(failed.retryAfter, shortestBusyPause)))
+		table.ObserveBusy(runner, now.Add(max(failed.retryAfter, minBusyPause)))
 	case errors.Is(failed.cause, engine.ErrModelNotLoaded):
 		table.ObserveNotLoaded(runner, f.request.Model, f.request.Adapter)
 	case errors.Is(failed.cause, engine.ErrRejected), errors.Is(failed.cause, errSink), errors.Is(failed.cause, context.Canceled):
@@ -208,5 +209,5 @@
 	}
 }
 
-// shortestBusyPause is how long a full runner is left alone if it gave no advice.
-const shortestBusyPause = 100 * time.Millisecond
+// minBusyPause is the minimum time for which a runner that refused work as busy gets no requests.
+const minBusyPause = 100 * time.Millisecond
--- a/internal/dispatch/background.go
+++ b/internal/dispatch/background.go
@@ -6,14 +6,14 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Background supervises goroutines that callers outside it may ask for at any time, also while it is being closed.
+// Background runs goroutines that may be started at any time, also concurrently with Close.
 type Background struct {
 	mutex  sync.Mutex
 	closed bool
 	tomb   tomb.Tomb
 }
 
-// NewBackground returns a supervisor that runs until Close.
+// NewBackground returns a Background that accepts functions until Close.
 func NewBackground() *Background {
 	created := &Background{}
 	created.tomb.Go(func() error {
@@ -23,7 +23,7 @@
 	return created
 }
 
-// Go runs the function, or reports that the supervisor is closed.
+// Go runs the function in a goroutine, or returns false if Close was called.
 func (b *Background) Go(run func()) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Close refuses further functions and waits for those that run.
+// Close rejects further functions and waits until the running ones return.
 func (b *Background) Close() error {
 	b.mutex.Lock()
 	b.closed = true
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -22,10 +22,10 @@
 // benchmarkTokens is the length of an answer in the benchmarks.
 const benchmarkTokens = 1000
 
-// tokenData is a chunk of usual size.
+// tokenData is a chunk of typical size.
 var tokenData = []byte(`{"id":"chatcmpl-0123456789abcdef","object":"chat.completion.chunk","created":1800000000,"model":"base","choices":[{"index":0,"delta":{"content":" word"},"finish_reason":null}]}`)
 
-// memoryEngine gives an answer of benchmarkTokens chunks at once.
+// memoryEngine returns an answer of benchmarkTokens chunks without delay.
 type memoryEngine struct{ engine.Engine }
 
 func (memoryEngine) Generate(context.Context, engine.Call) (engine.Stream, error) {
@@ -48,11 +48,12 @@
 
 func (s *memoryStream) Close() error { return nil }
 
-type oneEngine struct{ only engine.Engine }
+// singleEngine returns the same engine for every runner.
+type singleEngine struct{ target engine.Engine }
 
-func (o oneEngine) Engine(ident.Runner) (engine.Engine, bool) { return o.only, true }
+func (s singleEngine) Engine(ident.Runner) (engine.Engine, bool) { return s.target, true }
 
-// countSink counts bytes, as a writer would.
+// countSink counts the bytes it receives.
 type countSink struct{ bytes int }
 
 func (s *countSink) Chunk(chunk inference.Chunk) error {
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// processorTime is the user and system time of the process, which does not depend on what else the machine does.
+// processorTime returns the CPU time (user and system) of the process. Unlike wall-clock time it is independent of other
+// load on the machine.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -71,7 +73,7 @@
 
 func benchmarkRelay(b *testing.B, target engine.Engine) {
 	at := newClock()
-	dispatcher := newDispatcher(newTable(runnerNames(1), at), oneEngine{target}, nil, at)
+	dispatcher := newDispatcher(newTable(runnerNames(1), at), singleEngine{target}, nil, at)
 	request := &inference.Request{ID: "r", Model: "m", Endpoint: inference.ChatCompletions, Body: []byte(`{"model":"m","messages":[]}`), Repeatable: true, Stream: true}
 	sink := &countSink{}
 	b.ReportAllocs()
@@ -85,11 +87,11 @@
 	assert.NilError(b, dispatcher.Close())
 }
 
-// BenchmarkRelayDispatcher is the dispatcher's own cost of a token, without any network.
+// BenchmarkRelayDispatcher measures the dispatcher's cost per token without a network.
 func BenchmarkRelayDispatcher(b *testing.B) { benchmarkRelay(b, memoryEngine{}) }
 
-// BenchmarkRelayHTTP adds the engine adapter and a connection with one write for each token. The server's share is in
-// the figure.
+// BenchmarkRelayHTTP adds the engine adapter and a connection with one write per token. The result includes the cost of the
+// server.
 func BenchmarkRelayHTTP(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(writeAnswer))
 	defer server.Close()
@@ -106,7 +108,7 @@
 	fmt.Fprintf(writer, "id: %d+0\ndata: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n\ndata: [DONE]\n\n", benchmarkTokens, benchmarkTokens)
 }
 
-// BenchmarkSnapshot880 copies the runners of one decision at the design size, all of which hold the model.
+// BenchmarkSnapshot880 measures a snapshot of 880 runners (the design size) that all have the model loaded.
 func BenchmarkSnapshot880(b *testing.B) {
 	at := newClock()
 	table := newTable(runnerNames(880), at)
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -4,20 +4,21 @@
 
 // Parameters of the retry budget.
 const (
-	// DefaultRetryShare is the number of retries a node may make for each request it dispatches.
+	// DefaultRetryShare is the number of retries that a node may make per dispatched request.
 	DefaultRetryShare = 0.2
-	// retryReserve is the most retries it may save up; it also is what a node starts with.
+	// retryReserve is the maximum number of retries that a node can accumulate. A node starts with it.
 	retryReserve = 20.0
 )
 
-// RetryBudget limits retries to a share of traffic, so that they cannot multiply an overload. Safe for concurrent use.
+// RetryBudget limits retries to a share of the requests, so that retries cannot amplify an overload. It is safe for
+// concurrent use.
 type RetryBudget struct {
 	share float64
 	mutex sync.Mutex
 	left  float64
 }
 
-// NewRetryBudget returns a budget with a full reserve that earns a share of a retry for each request.
+// NewRetryBudget returns a budget with a full reserve that earns the given share of a retry per request.
 func NewRetryBudget(share float64) *RetryBudget {
 	return &RetryBudget{share: share, left: retryReserve}
 }
@@ -29,7 +30,7 @@
 	b.left = min(retryReserve, b.left+b.share)
 }
 
-// Spend takes one retry, or reports that there is none left.
+// Spend takes one retry, or returns false if none is left.
 func (b *RetryBudget) Spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/dispatch/counthistory_test.go
+++ b/internal/dispatch/counthistory_test.go
@@ -12,7 +12,8 @@
 
 const historyLag = 200 * time.Millisecond
 
-// fullTable returns a table whose report of a runner counts ten requests, of which one ended before the report came.
+// fullTable returns a table with a report of ten requests on a runner, one of which ended after the report was measured and
+// before it arrived.
 func fullTable() *Table {
 	table := NewTable()
 	table.SetMachines(machine.List{Runners: []machine.Runner{{ID: "r", State: machine.Live}}}, begin)
@@ -30,7 +31,8 @@
 	return engine.LoadReport{Measured: measured, RunningOnline: 8, WaitingOnline: 2, MaxSequences: 8, Models: []engine.LoadedModel{{Name: "m"}}}
 }
 
-// TestEndedRequestsCountAgainstALateReport ends requests that the newest report still counts.
+// TestEndedRequestsCountAgainstALateReport checks that requests that ended after the newest report was measured are subtracted
+// from it.
 func TestEndedRequestsCountAgainstALateReport(t *testing.T) {
 	table := fullTable()
 	now := begin.Add(historyLag)
@@ -44,14 +46,15 @@
 	assert.Equal(t, shared.RunningOnline, 6)
 	snapshot := table.Snapshot("", nil, "m", nil, now)
 	assert.Equal(t, snapshot.Runners[0].SinceReport, -4)
-	// A report measured after they ended counts by itself.
+	// A report measured after they ended is not corrected.
 	later := now.Add(historyLag)
 	table.ObserveReport("r", engine.LoadReport{Measured: now.Add(time.Millisecond), RunningOnline: 6, MaxSequences: 8}, later)
 	view, _ = table.Runner("r", later)
 	assert.Equal(t, view.SinceReport, 0)
 }
 
-// TestPeersCountsReachEveryoneThroughOneReport passes the same report on twice with newer counts, the second time faster.
+// TestPeersCountsReachEveryoneThroughOneReport checks that a report that is shared again with newer counts replaces the earlier
+// one although its measuring time appears slightly older, because the message was faster.
 func TestPeersCountsReachEveryoneThroughOneReport(t *testing.T) {
 	table := NewTable()
 	table.SetMachines(machine.List{Runners: []machine.Runner{{ID: "r", State: machine.Live}}}, begin)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,7 @@
-// Package dispatch gives online requests to runners and relays the answers. It keeps the rules that a request told as
-// not run was not run, that a non-repeatable request runs at most once, and that a caller gets the whole answer to its
-// own request or a typed error.
+// Package dispatch sends online requests to runners and relays their answers, with retries, resumption of broken streams and
+// outlier ejection. It guarantees that a request reported as not run was not run, that a non-repeatable request runs at most
+// once, with an idempotency key also across resends, and that a caller receives the complete answer to its own request or a
+// typed error. The package also holds the node's table of runners: load reports, in-flight counts, health and cached prompts.
 package dispatch
 
 import (
@@ -25,7 +26,7 @@
 // Sink receives an answer chunk by chunk.
 type Sink = answer.Sink
 
-// Aggregate is a Sink that joins chunks to a whole answer.
+// Aggregate is a Sink that joins chunks into a whole answer.
 type Aggregate = answer.Aggregate
 
 // NewAggregate returns an empty aggregate for the endpoint.
@@ -37,19 +38,20 @@
 	Engine(runner ident.Runner) (engine.Engine, bool)
 }
 
-// Limits bound the waiting of one request. Zero values take the defaults.
+// Limits are the time-outs and retry limits of requests. Zero values select the defaults.
 type Limits struct {
-	// FirstChunk is the longest wait for the first chunk of an attempt.
+	// FirstChunk is the maximum wait for the first chunk of an attempt.
 	FirstChunk time.Duration
-	// Stall is the longest wait between chunks.
+	// Stall is the maximum wait between chunks.
 	Stall time.Duration
-	// OnceDuration is the longest run of a non-repeatable request whose caller has gone.
+	// OnceDuration is the maximum duration of a non-repeatable request with an idempotency key, which continues if its
+	// caller disconnects.
 	OnceDuration time.Duration
-	// Abort is the longest wait for an engine to confirm an abort.
+	// Abort is the maximum wait for an engine to confirm an abort.
 	Abort time.Duration
-	// Attempts is the most runners tried for one request.
+	// Attempts is the maximum number of runners tried for one request.
 	Attempts int
-	// RetryShare is the number of retries for each request that the node may make.
+	// RetryShare is the number of retries that the node may make per request.
 	RetryShare float64
 }
 
@@ -81,35 +83,35 @@
 	return l
 }
 
-// Config is what a Dispatcher needs.
+// Config configures a Dispatcher.
 type Config struct {
-	// Node and Zone are this node's own.
+	// Node and Zone identify this node.
 	Node ident.Node
 	Zone ident.Zone
 	// Table is the node's table of runners.
 	Table *Table
-	// Engines finds engines.
+	// Engines finds the engine of a runner.
 	Engines Engines
-	// Catalog is the configuration.
+	// Catalog is the source of the configuration.
 	Catalog catalog.Source
-	// Ledger records non-repeatable requests.
+	// Ledger records non-repeatable requests with an idempotency key.
 	Ledger ledger.Ledger
-	// Limits bound waiting.
+	// Limits are the time-outs and retry limits.
 	Limits Limits
-	// FirstToken is told how long a runner took to the first chunk of a request; nil means that nobody is. It must not
+	// FirstToken is called with the time that a runner took to the first chunk of a request, if it is not nil. It must not
 	// block.
 	FirstToken func(request *inference.Request, took time.Duration)
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Seed makes decisions repeatable in tests; zero takes a random one.
+	// Seed makes decisions reproducible in tests; zero selects a random seed.
 	Seed uint64
-	// Logger gets the node's events.
+	// Logger logs the node's events.
 	Logger zerolog.Logger
-	// Registerer gets the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// Dispatcher gives requests to runners. It is safe for concurrent use.
+// Dispatcher sends requests to runners. It is safe for concurrent use.
 type Dispatcher struct {
 	config  Config
 	budget  *RetryBudget
@@ -118,7 +120,7 @@
 	randomMutex sync.Mutex
 	random      *rand.Rand
 
-	// background supervises aborts that outlive their request.
+	// background runs aborts that may take longer than their request.
 	background *Background
 	running    inFlight
 }
@@ -145,7 +147,7 @@
 }
 
 // Dispatch runs a request and passes its answer to the sink. The error is a *failure.Error that states whether the
-// request ran. A sink that got chunks before an error has a truncated answer and must say so to its caller.
+// request ran. A sink that received chunks before an error has a truncated answer and must report that to its caller.
 func (d *Dispatcher) Dispatch(ctx context.Context, request *inference.Request, sink Sink) error {
 	if !d.running.enter() {
 		return failure.New(failure.CodeDraining, "this node is stopping; send the request to another").WithRetryAfter(drainRetryAfter)
@@ -158,10 +160,10 @@
 	return asError(d.runOnce(ctx, request, sink))
 }
 
-// drainRetryAfter is the advice of a stopping node: another node can take the request at once.
+// drainRetryAfter is the retry delay sent by a stopping node. It is short because another node can take the request.
 const drainRetryAfter = 100 * time.Millisecond
 
-// asError avoids a non-nil error interface around a nil pointer.
+// asError converts a nil pointer to a nil interface.
 func asError(failed *failure.Error) error {
 	if failed == nil {
 		return nil
@@ -169,7 +171,7 @@
 	return failed
 }
 
-// run dispatches under the request's deadline.
+// run dispatches the request within its deadline.
 func (d *Dispatcher) run(ctx context.Context, request *inference.Request, sink Sink) *failure.Error {
 	if !request.Deadline.IsZero() {
 		deadlineContext, cancel := context.WithDeadlineCause(ctx, request.Deadline, errDeadline)
@@ -188,10 +190,10 @@
 // InFlight returns the number of requests in flight.
 func (d *Dispatcher) InFlight() int { return d.running.count() }
 
-// Close waits for background aborts to end. Requests in flight should have been drained before.
+// Close waits for background aborts to end. Requests in flight should be drained before.
 func (d *Dispatcher) Close() error { return d.background.Close() }
 
-// abortLater frees the work of a request on a runner without holding up the caller.
+// abortLater aborts a request on a runner in the background, so that the caller need not wait.
 func (d *Dispatcher) abortLater(target engine.Engine, request ident.Request) {
 	d.background.Go(func() { d.abort(target, request) })
 }
--- a/internal/dispatch/exchange/bench_test.go
+++ b/internal/dispatch/exchange/bench_test.go
@@ -18,13 +18,13 @@
 	"mallowlatch.example/mallowlatch/internal/machine"
 )
 
-// alone is a fleet in which this node owns every runner.
-type alone struct{}
+// soleOwner implements Peers for a single node that owns every runner.
+type soleOwner struct{}
 
-func (alone) Owner(ident.Runner) (ident.Node, bool) { return "me", true }
-func (alone) Peers() []Peer                         { return nil }
+func (soleOwner) Owner(ident.Runner) (ident.Node, bool) { return "me", true }
+func (soleOwner) Peers() []Peer                         { return nil }
 
-// designTable is a table of 880 runners in 11 zones with full reports.
+// designTable returns a table of 880 runners (the design size) in 11 zones with complete reports.
 func designTable() *dispatch.Table {
 	table := dispatch.NewTable()
 	list := machine.List{}
@@ -45,6 +45,7 @@
 	return ident.Runner(fmt.Sprintf("10.%d.%d.%d:9000", index%11, index/256, index%256))
 }
 
+// processorTime returns the CPU time (user and system) of the process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -53,9 +54,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkOnlineCount is one message of one count and its reply, without the transport.
+// BenchmarkOnlineCount measures a message of one count and its reply, without the transport.
 func BenchmarkOnlineCount(b *testing.B) {
-	tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: alone{}, Now: func() time.Time { return begin }})
+	tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: soleOwner{}, Now: func() time.Time { return begin }})
 	message := &dispatchpb.OnlineCounts{Node: "node-10-1-0-7", Counts: []*dispatchpb.OnlineCount{{Runner: string(designRunner(5)), InFlight: 3}}}
 	replyBytes := 0
 	before := processorTime()
@@ -76,9 +77,9 @@
 	b.ReportMetric(float64(replyBytes), "reply-bytes")
 }
 
-// BenchmarkShare is one share of three runners, as a node of the design size owns, and what the receiver spends on it.
+// BenchmarkShare measures encoding and receiving a share of three runners, the number that a node owns at the design size.
 func BenchmarkShare(b *testing.B) {
-	tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: alone{}, Now: func() time.Time { return begin }})
+	tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: soleOwner{}, Now: func() time.Time { return begin }})
 	message := tested.core.ownedStates(tested.config.Table.Runners(begin)[:3])
 	before := processorTime()
 	for b.Loop() {
@@ -93,19 +94,20 @@
 	b.ReportMetric(float64(proto.Size(message)), "message-bytes")
 }
 
-// BenchmarkWholeLook is one look at all 880 runners, and BenchmarkUsualLook one at the three a node owns.
-func BenchmarkWholeLook(b *testing.B) {
+// BenchmarkFullCheck measures a check of all 880 runners.
+func BenchmarkFullCheck(b *testing.B) {
 	table := designTable()
-	benchmarkLook(b, func() []dispatch.RunnerView { return table.Runners(begin) })
+	benchmarkCheck(b, func() []dispatch.RunnerView { return table.Runners(begin) })
 }
 
-func BenchmarkUsualLook(b *testing.B) {
+// BenchmarkFrequentCheck measures a check of the three runners that a node owns.
+func BenchmarkFrequentCheck(b *testing.B) {
 	table := designTable()
-	often := []ident.Runner{designRunner(1), designRunner(2), designRunner(3)}
-	benchmarkLook(b, func() []dispatch.RunnerView { return table.RunnersOf(often, begin) })
+	frequent := []ident.Runner{designRunner(1), designRunner(2), designRunner(3)}
+	benchmarkCheck(b, func() []dispatch.RunnerView { return table.RunnersOf(frequent, begin) })
 }
 
-func benchmarkLook(b *testing.B, views func() []dispatch.RunnerView) {
+func benchmarkCheck(b *testing.B, views func() []dispatch.RunnerView) {
 	plan := newPollPlan(Intervals{}.withDefaults())
 	owns := func(ident.Runner) (own, ownerless bool) { return false, false }
 	before := processorTime()
@@ -115,17 +117,17 @@
 	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkOnlineCountWithCache is one message of one count that asks for the runner's cache, and its reply, by the number
-// of changes in it, without the transport.
+// BenchmarkOnlineCountWithCache measures a message of one count that requests cache changes, and its reply, by the number of
+// changes, without the transport.
 func BenchmarkOnlineCountWithCache(b *testing.B) {
 	for _, changes := range []int{0, 8, maxCacheChanges} {
 		b.Run(fmt.Sprint(changes, "-changes"), func(b *testing.B) {
-			tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: alone{}, Now: func() time.Time { return begin }})
+			tested := New(Config{Node: "me", Zone: "zone-0", Table: designTable(), Peers: soleOwner{}, Now: func() time.Time { return begin }})
 			runner := designRunner(5)
 			tested.core.caches.with(runner, fillIndex)
 			mark, _ := tested.core.caches.since(runner, cacheindex.Mark{})
-			asked := cacheindex.Mark{Epoch: mark.Epoch, Position: indexedBlocks - uint64(changes)}
-			count := &dispatchpb.OnlineCount{Runner: string(runner), InFlight: 3, Cache: encodeMark(asked)}
+			requested := cacheindex.Mark{Epoch: mark.Epoch, Position: indexedBlocks - uint64(changes)}
+			count := &dispatchpb.OnlineCount{Runner: string(runner), InFlight: 3, Cache: encodeMark(requested)}
 			message := &dispatchpb.OnlineCounts{Node: "node-10-1-0-7", Counts: []*dispatchpb.OnlineCount{count}}
 			replyBytes := 0
 			before := processorTime()
@@ -144,9 +146,10 @@
 	}
 }
 
-// indexedBlocks is a usual number of sampled blocks: 400,000 tokens in blocks of 64, one in sixteen.
+// indexedBlocks is a typical number of sampled blocks: 400,000 tokens in blocks of 64, with one block in sixteen sampled.
 const indexedBlocks = 390
 
+// fillIndex adds a listing of indexedBlocks blocks to the index.
 func fillIndex(index *cacheindex.Index) {
 	listing := engine.CacheBlocks{Sequence: 1, SampleBits: cacheindex.BaseSampleBits}
 	for number := range uint64(indexedBlocks) {
--- a/internal/dispatch/exchange/cache.go
+++ b/internal/dispatch/exchange/cache.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// maxCacheChanges bounds the changes of one runner's cache in one reply: at most 1 KiB. On a busy runner a reply may have
-	// to hold those of a minute.
+	// maxCacheChanges limits the changes of one runner's cache in one reply, to 1 KiB. On a busy runner a reply may have to
+	// carry the changes of a minute.
 	maxCacheChanges = 256
-	// maxOwnReads is enough for this node's own table to read a full index.
-	maxOwnReads = 2 * cacheindex.MaxBlocks / maxCacheChanges
-	// cacheTimeout bounds a question about a cache, so that it does not hold up the runner's load reports.
+	// maxLocalReads limits the reads by which the local table catches up with an index. It suffices for a full index.
+	maxLocalReads = 2 * cacheindex.MaxBlocks / maxCacheChanges
+	// cacheTimeout limits a query of an engine's cache, so that it does not delay the runner's load reports.
 	cacheTimeout = 500 * time.Millisecond
-	// fingerprintBytes is the size of a block's name on the wire.
+	// fingerprintBytes is the encoded size of the fingerprint of a block.
 	fingerprintBytes = 4
 )
 
-// cacheFollower holds the indices of the caches of the runners this node owns. It is safe for concurrent use.
+// cacheFollower holds an index of the prefix cache of each runner that this node owns. It is safe for concurrent use.
 type cacheFollower struct {
 	mutex   sync.Mutex
 	indices map[ident.Runner]*cacheindex.Index
@@ -35,7 +35,8 @@
 	return &cacheFollower{indices: map[ident.Runner]*cacheindex.Index{}}
 }
 
-// with visits the index of a runner, which begins empty, at an epoch that no other index is likely to have.
+// with calls visit with the index of a runner, under the lock. A new index is empty and has a random epoch, which is unlikely
+// to equal that of another index.
 func (f *cacheFollower) with(runner ident.Runner, visit func(*cacheindex.Index)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -47,7 +48,7 @@
 	visit(index)
 }
 
-// since returns what a reader at the mark does not know, or false for a runner whose cache this node does not follow.
+// since returns the changes after the mark, or false for a runner whose cache this node does not follow.
 func (f *cacheFollower) since(runner ident.Runner, mark cacheindex.Mark) (cacheindex.Delta, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -58,8 +59,8 @@
 	return index.Since(mark, maxCacheChanges), true
 }
 
-// keep forgets the runners that this node owns no more.
-func (f *cacheFollower) keep(owns func(ident.Runner) (own, ownerless bool)) {
+// retainOwned removes the indices of runners that this node no longer owns.
+func (f *cacheFollower) retainOwned(owns func(ident.Runner) (own, ownerless bool)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for runner := range f.indices {
@@ -69,19 +70,19 @@
 	}
 }
 
-// followCache asks an owned engine one question about its cache and passes on what is new to this node's own table. A
-// question that fails is asked again later; it says nothing about the engine's health.
-func (e *Exchange) followCache(ctx context.Context, runner ident.Runner, target engine.Engine) {
+// updateCache sends one query about its cache to the engine of an owned runner and applies the changes to the local table. A
+// failed query is repeated at a later poll; it does not count as a failure of the runner.
+func (e *Exchange) updateCache(ctx context.Context, runner ident.Runner, target engine.Engine) {
 	if _, wanted := e.config.Table.CacheMark(runner); !wanted {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, cacheTimeout)
 	defer cancel()
-	if err := e.askCache(ctx, runner, target); err != nil {
-		e.metrics.questions.WithLabelValues("failed").Inc()
+	if err := e.queryCache(ctx, runner, target); err != nil {
+		e.metrics.cacheQueries.WithLabelValues("failed").Inc()
 		return
 	}
-	for range maxOwnReads {
+	for range maxLocalReads {
 		mark, _ := e.config.Table.CacheMark(runner)
 		delta, known := e.core.caches.since(runner, mark)
 		if !known {
@@ -94,28 +95,29 @@
 	}
 }
 
-func (e *Exchange) askCache(ctx context.Context, runner ident.Runner, target engine.Engine) error {
-	var question cacheindex.Question
-	e.core.caches.with(runner, func(index *cacheindex.Index) { question = index.Next(e.config.Now()) })
-	if question.Listing {
-		listing, err := target.CacheBlocks(ctx, question.SampleBits)
+// queryCache sends the next query of the runner's index, for a listing or for events, and adds the result to the index.
+func (e *Exchange) queryCache(ctx context.Context, runner ident.Runner, target engine.Engine) error {
+	var query cacheindex.Question
+	e.core.caches.with(runner, func(index *cacheindex.Index) { query = index.Next(e.config.Now()) })
+	if query.Listing {
+		listing, err := target.CacheBlocks(ctx, query.SampleBits)
 		if err != nil {
 			return err
 		}
-		e.metrics.questions.WithLabelValues("listing").Inc()
+		e.metrics.cacheQueries.WithLabelValues("listing").Inc()
 		e.core.caches.with(runner, func(index *cacheindex.Index) { index.TakeListing(listing) })
 		return nil
 	}
-	published, err := target.CacheEvents(ctx, question.After, question.SampleBits)
+	published, err := target.CacheEvents(ctx, query.After, query.SampleBits)
 	if err != nil {
 		return err
 	}
-	e.metrics.questions.WithLabelValues("events").Inc()
+	e.metrics.cacheQueries.WithLabelValues("events").Inc()
 	e.core.caches.with(runner, func(index *cacheindex.Index) { index.TakeEvents(published, e.config.Now()) })
 	return nil
 }
 
-// encodeCount writes a count and how far this node's view of the runner's cache has come.
+// encodeCount encodes a count with the mark of this node's view of the runner's cache.
 func (c *Core) encodeCount(runner ident.Runner, inFlight int) *dispatchpb.OnlineCount {
 	count := &dispatchpb.OnlineCount{Runner: string(runner), InFlight: uint32(inFlight)}
 	if mark, wanted := c.config.Table.CacheMark(runner); wanted {
@@ -124,10 +126,10 @@
 	return count
 }
 
-// cacheChanges returns what the sender of counts does not know of the caches it asked for and this node follows.
+// cacheChanges returns the changes since the sender's marks of the caches that it requested and this node follows.
 func (c *Core) cacheChanges(counts []*dispatchpb.OnlineCount) []*dispatchpb.CacheDelta {
 	var changes []*dispatchpb.CacheDelta
-	for place, count := range counts {
+	for index, count := range counts {
 		if count.GetCache() == nil {
 			continue
 		}
@@ -136,19 +138,19 @@
 			continue
 		}
 		encoded := encodeDelta(delta)
-		encoded.Count = uint32(place)
+		encoded.Count = uint32(index)
 		changes = append(changes, encoded)
 	}
 	return changes
 }
 
-// TakeReply takes an owner's answer to a message of counts. It is safe for concurrent use.
-func (c *Core) TakeReply(tell Tell, states *dispatchpb.RunnerStates, now time.Time) {
-	c.Take(states, now)
-	counts := tell.Message.GetCounts()
+// ObserveReply records an owner's reply to a message of counts. It is safe for concurrent use.
+func (c *Core) ObserveReply(message CountMessage, states *dispatchpb.RunnerStates, now time.Time) {
+	c.ObserveStates(states, now)
+	counts := message.Message.GetCounts()
 	for _, delta := range states.GetCaches() {
-		if place := int(delta.GetCount()); place < len(counts) {
-			c.config.Table.ObserveCache(ident.Runner(counts[place].GetRunner()), decodeDelta(delta), now)
+		if index := int(delta.GetCount()); index < len(counts) {
+			c.config.Table.ObserveCache(ident.Runner(counts[index].GetRunner()), decodeDelta(delta), now)
 		}
 	}
 }
@@ -161,7 +163,7 @@
 	return cacheindex.Mark{Epoch: mark.GetEpoch(), Position: mark.GetPosition(), Base: mark.GetBase()}
 }
 
-// encodeDelta writes a delta. One without any change is empty: two bytes in its message.
+// encodeDelta encodes a delta. A delta without changes is encoded as an empty message, which takes two bytes.
 func encodeDelta(delta cacheindex.Delta) *dispatchpb.CacheDelta {
 	if delta.Unchanged {
 		return &dispatchpb.CacheDelta{}
@@ -200,7 +202,7 @@
 	return encoded
 }
 
-// decodeFingerprints reads whole fingerprints; what is left over is ignored.
+// decodeFingerprints decodes fingerprints. An incomplete fingerprint at the end is ignored.
 func decodeFingerprints(encoded []byte) []uint32 {
 	var fingerprints []uint32
 	for ; len(encoded) >= fingerprintBytes; encoded = encoded[fingerprintBytes:] {
--- a/internal/dispatch/exchange/cache_test.go
+++ b/internal/dispatch/exchange/cache_test.go
@@ -17,9 +17,10 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
+// anyEngine is the embedded interface of cachingEngine, renamed because of its method Engine.
 type anyEngine = engine.Engine
 
-// cachingEngine reports load and the events of a cache.
+// cachingEngine returns load reports, cache events and cache listings.
 type cachingEngine struct {
 	anyEngine
 	mutex  sync.Mutex
@@ -65,11 +66,12 @@
 	}
 }
 
-// TestCacheChangesRideOnReplies lets an engine cache a prompt that a node never sent, and evict one that it did. The node
-// learns both from the owner's replies to its counts, in time, and what it sends later counts at once.
-func TestCacheChangesRideOnReplies(t *testing.T) {
+// TestCacheChangesAreSentInReplies checks that a node receives changes of a runner's cache in the owner's replies to its counts:
+// that a prompt it never sent is cached and that one it sent was evicted. It also checks that a prompt counts as cached right
+// after the node sent it.
+func TestCacheChangesAreSentInReplies(t *testing.T) {
 	caching := &cachingEngine{}
-	fleet := &wire{t: t, nodes: map[ident.Node]*Exchange{}, engines: caching}
+	fleet := &drpcFleet{t: t, nodes: map[ident.Node]*Exchange{}, engines: caching}
 	fleet.add("owner", Peer{"other", "a"})
 	other := fleet.add("other", Peer{"owner", "a"})
 	mine, theirs := prompt(1), prompt(2)
@@ -87,22 +89,22 @@
 		other.Snapshot("a", nil, "m", mine, time.Now())
 		other.Start("r", mine)
 		caching.change(true, mine...)
-		eventually(t, "what was sent counts", func() bool { return matched(mine) == len(mine) })
+		eventually(t, "the sent prompt is known to be cached", func() bool { return matched(mine) == len(mine) })
 		caching.change(true, theirs...)
-		eventually(t, "what another sent counts", func() bool { return matched(theirs) == len(theirs) })
+		eventually(t, "the prompt sent by another node is known to be cached", func() bool { return matched(theirs) == len(theirs) })
 		caching.change(false, mine...)
 		caching.change(false, theirs...)
-		eventually(t, "what was evicted counts no more", func() bool { return matched(mine) == 0 && matched(theirs) == 0 })
+		eventually(t, "the evictions are known", func() bool { return matched(mine) == 0 && matched(theirs) == 0 })
 	}
 	unasked := &dispatchpb.OnlineCount{Runner: "r"}
 	asked := &dispatchpb.OnlineCount{Runner: "r", Cache: &dispatchpb.CacheMark{}}
 	reply, err := fleet.nodes["owner"].Online(t.Context(), &dispatchpb.OnlineCounts{Counts: []*dispatchpb.OnlineCount{unasked, asked}})
 	assert.NilError(t, err)
-	assert.Equal(t, len(reply.GetCaches()), 1, "a count that did not ask gets none")
+	assert.Equal(t, len(reply.GetCaches()), 1, "cache changes were returned for a count without a mark")
 	assert.Equal(t, reply.GetCaches()[0].GetCount(), uint32(1))
 }
 
-// prompt returns 20 blocks, each in the sample.
+// prompt returns 20 blocks that are all in the sample.
 func prompt(number uint64) []uint64 {
 	var blocks []uint64
 	for depth := range uint64(20) {
@@ -111,8 +113,9 @@
 	return blocks
 }
 
-// TestDeltasSurviveTheWire draws deltas, and bytes cut anywhere.
-func TestDeltasSurviveTheWire(t *testing.T) {
+// TestDeltaEncodingRoundTrip checks that encoded deltas decode to the same value, and that fingerprints truncated at any byte
+// decode to the complete ones.
+func TestDeltaEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := cacheindex.Delta{
 			Mark:       cacheindex.Mark{Epoch: rapid.Uint32().Draw(t, "epoch"), Position: rapid.Uint64().Draw(t, "position"), Base: rapid.Uint64().Draw(t, "base")},
--- a/internal/dispatch/exchange/coalescer.go
+++ b/internal/dispatch/exchange/coalescer.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	// coalesceTime is how long a change that is no rise waits for others.
+	// coalesceTime is how long a decrease waits to be sent together with other changes.
 	coalesceTime = 20 * time.Millisecond
-	// renewTime is how often a count above zero is told again, and the longest a change within the slack waits. Peers
-	// forget a count after several times that.
-	renewTime = time.Minute
-	// slackFrom is the online work of a runner from which small changes may wait. Below it each request weighs.
-	slackFrom = 32
+	// renewInterval is the interval at which a count above zero is sent again, and the longest delay of a change within the
+	// tolerance. Counts expire at peers after several times that.
+	renewInterval = time.Minute
+	// toleranceFrom is the online work of a runner from which small changes may be delayed. Below it every request matters.
+	toleranceFrom = 32
 )
 
-// slackOf returns by how much one node's count on a runner may differ from what it told: one more than the square root of its
-// count, which is how far the count wanders by chance. So all nodes together are wrong by about the square root of the
-// runner's online work, or by as much as nodes with one or two requests have there. The engine's report, a second old, gives
-// the owner the sum, and its reserve covers what changes within that second.
-func slackOf(online, told int) int {
-	if online < slackFrom {
+// toleranceFor returns by how much one node's count on a runner may differ from the count it last sent: one more than the
+// square root of that count, which is about its random variation. The error of all nodes together is then about the square
+// root of the runner's online work, plus the requests of nodes that have only one or two there. The owner knows the sum from
+// the engine's report, which is up to a second old, and its reserve covers the changes within that second.
+func toleranceFor(online, sent int) int {
+	if online < toleranceFrom {
 		return 0
 	}
-	return 1 + int(math.Sqrt(float64(told)))
+	return 1 + int(math.Sqrt(float64(sent)))
 }
 
-// coalescer decides when which counts are told. It is pure but for its own state and belongs to one goroutine.
+// coalescer decides which counts are sent and when. It does no I/O and is not safe for concurrent use.
 //
-// Invariant: a count above the one last told by more than the runner's slack is due at the moment of the change, so that the
+// Invariant: a count that exceeds the last one sent by more than the tolerance is due at the time of the change, so that the
 // owner can keep batch prompts out of the steps in which the new request waits.
 type coalescer struct {
-	counts map[ident.Runner]*told
+	counts map[ident.Runner]*countState
 }
 
-// told is the count of one runner, what was told of it, and when to tell it again.
-type told struct {
-	// owner is who owned the runner at the last change, to tell with little work which counts may go along.
+// countState is the count of one runner, the count last sent, and when to send it again.
+type countState struct {
+	// owner is the owner of the runner at the last change. It is a cheap filter for counts to send in the same message.
 	owner   ident.Node
 	current int
-	last    int
-	due     time.Time
-	dirty   bool
-	// slack is the change that may wait, as of the last change.
-	slack int
-	// unsure says that a message of the count may have been lost, so that what the owner holds is not known.
-	unsure bool
+	// last is the count last sent, and dirty is true if current changed since.
+	last  int
+	due   time.Time
+	dirty bool
+	// tolerance is the difference that may be delayed, as of the last change.
+	tolerance int
+	// maybeLost is true if a message of the count may have been lost, so that the owner's count is unknown.
+	maybeLost bool
 }
 
-// silent reports whether the owner need not hear of a count: it holds none, and the count is within the slack. The engine's
-// report shows the owner such requests; were they told, many nodes with one request each would still be counted long after.
-func (t *told) silent() bool {
-	return t.slack > 0 && t.last == 0 && !t.unsure && t.current <= t.slack
+// withheld reports whether the count need not be sent: the owner has none, and the count is within the tolerance. The owner
+// knows such requests from the engine's report. If they were sent, requests of many nodes with one each would be counted
+// until long after they ended.
+func (s *countState) withheld() bool {
+	return s.tolerance > 0 && s.last == 0 && !s.maybeLost && s.current <= s.tolerance
 }
 
-func newCoalescer() *coalescer { return &coalescer{counts: map[ident.Runner]*told{}} }
+func newCoalescer() *coalescer { return &coalescer{counts: map[ident.Runner]*countState{}} }
 
-// changed takes a new count, and the runner's online work in all, and reports whether it must be told at once. A change within
-// the slack waits until something else is told to the owner, or the count is due to be renewed.
+// changed records a new count, given the total online work of the runner, and reports whether it must be sent immediately. A
+// change within the tolerance is sent with the next message to the owner or when the count is renewed.
 func (c *coalescer) changed(runner ident.Runner, owner ident.Node, current, online int, now time.Time) bool {
 	count, known := c.counts[runner]
 	if !known {
-		count = &told{due: now.Add(renewTime)}
+		count = &countState{due: now.Add(renewInterval)}
 		c.counts[runner] = count
 	}
 	count.owner = owner
 	count.current = current
 	count.dirty = true
-	count.slack = slackOf(online, count.last)
-	if max(current-count.last, count.last-current) <= count.slack {
+	count.tolerance = toleranceFor(online, count.last)
+	if max(current-count.last, count.last-current) <= count.tolerance {
 		return false
 	}
 	urgent := current > count.last
@@ -84,21 +86,22 @@
 	return urgent
 }
 
-// take returns the counts to tell now, by owner. With a count that is due, all others of its owner go along, so that
-// they need no message of their own before the next renewal. skip reports owners that still have a message on its way; their counts stay.
+// take returns the counts to send now, by owner. With a count that is due, all others of its owner are sent, so that they
+// need no separate message before the next renewal. skip reports owners to which a message is still in flight; their counts
+// remain due.
 func (c *coalescer) take(now time.Time, owner func(ident.Runner) (ident.Node, bool), skip func(ident.Node) bool) map[ident.Node]map[ident.Runner]int {
 	messages := map[ident.Node]map[ident.Runner]int{}
 	for runner, count := range c.counts {
 		if now.Before(count.due) {
 			continue
 		}
-		if count.silent() {
+		if count.withheld() {
 			c.postpone(runner, count, now)
 			continue
 		}
 		node, known := owner(runner)
 		if !known {
-			count.due = now.Add(renewTime)
+			count.due = now.Add(renewInterval)
 			continue
 		}
 		if skip(node) {
@@ -107,26 +110,27 @@
 		addCount(messages, node, runner, count.current)
 	}
 	for runner, count := range c.counts {
-		if messages[count.owner] == nil || count.silent() {
+		if messages[count.owner] == nil || count.withheld() {
 			continue
 		}
 		node, known := owner(runner)
-		if _, going := messages[node]; known && going && (count.dirty || count.current > 0) {
+		if _, sending := messages[node]; known && sending && (count.dirty || count.current > 0) {
 			messages[node][runner] = count.current
 		}
 	}
 	return messages
 }
 
-// postpone looks at a count again after the renewal time, or forgets it if it is idle.
-func (c *coalescer) postpone(runner ident.Runner, count *told, now time.Time) {
+// postpone delays a withheld count until the next renewal, or removes it if it is zero.
+func (c *coalescer) postpone(runner ident.Runner, count *countState, now time.Time) {
 	if count.current == 0 {
 		delete(c.counts, runner)
 		return
 	}
-	count.due = now.Add(renewTime)
+	count.due = now.Add(renewInterval)
 }
 
+// addCount adds a count to the message to a node.
 func addCount(messages map[ident.Node]map[ident.Runner]int, node ident.Node, runner ident.Runner, current int) {
 	if messages[node] == nil {
 		messages[node] = map[ident.Runner]int{}
@@ -134,18 +138,18 @@
 	messages[node][runner] = current
 }
 
-// sent records that a message is on its way.
+// sent records that a message was sent.
 func (c *coalescer) sent(counts map[ident.Runner]int, now time.Time) {
 	for runner, current := range counts {
 		count := c.counts[runner]
 		count.last = current
 		count.dirty = false
-		count.unsure = false
-		count.due = now.Add(renewTime)
+		count.maybeLost = false
+		count.due = now.Add(renewInterval)
 	}
 }
 
-// delivered forgets runners that were told to be idle.
+// delivered removes the counts that were delivered as zero and have not changed since.
 func (c *coalescer) delivered(counts map[ident.Runner]int) {
 	for runner, current := range counts {
 		count, known := c.counts[runner]
@@ -155,22 +159,22 @@
 	}
 }
 
-// failed makes the counts of a lost message due again after a pause.
+// failed makes the counts of a lost message due again after countRetryDelay.
 func (c *coalescer) failed(counts map[ident.Runner]int, now time.Time) {
 	for runner := range counts {
 		if count, known := c.counts[runner]; known {
 			count.last = 0
-			count.unsure = true
+			count.maybeLost = true
 			count.dirty = true
-			count.due = now.Add(failurePause)
+			count.due = now.Add(countRetryDelay)
 		}
 	}
 }
 
-// failurePause is the wait before a lost message is sent again.
-const failurePause = 200 * time.Millisecond
+// countRetryDelay is the delay before a lost message is sent again.
+const countRetryDelay = 200 * time.Millisecond
 
-// nextDue returns when the next count is due, or false if none is.
+// nextDue returns when the next count is due, or false if there is none.
 func (c *coalescer) nextDue() (time.Time, bool) {
 	var next time.Time
 	for _, count := range c.counts {
--- a/internal/dispatch/exchange/converge_test.go
+++ b/internal/dispatch/exchange/converge_test.go
@@ -15,10 +15,10 @@
 	"mallowlatch.example/mallowlatch/internal/machine"
 )
 
-// lossy is an owner of two runners, one peer in its zone and one in another, and a network that loses, delays, repeats and
-// reorders what they send. A call whose answer is lost, or that comes late, counts as failed by its sender, as in service; an
-// answer to it reaches nobody.
-type lossy struct {
+// lossyFleet is an owner of two runners, a peer in its zone and a peer in another, on a network that loses, delays, duplicates
+// and reorders messages. As in production, the sender treats a call whose reply is lost, or that arrives late, as failed and
+// receives no reply.
+type lossyFleet struct {
 	t       *rapid.T
 	now     time.Time
 	owner   *Core
@@ -29,14 +29,14 @@
 	faulty  bool
 }
 
-// view is one node's membership in the lossy fleet: node "owner" owns all.
-type lossyView struct{ others []Peer }
+// lossyPeers implements Peers. Node "owner" owns all runners.
+type lossyPeers struct{ others []Peer }
 
-func (lossyView) Owner(ident.Runner) (ident.Node, bool) { return "owner", true }
-func (v lossyView) Peers() []Peer                       { return v.others }
+func (lossyPeers) Owner(ident.Runner) (ident.Node, bool) { return "owner", true }
+func (v lossyPeers) Peers() []Peer                       { return v.others }
 
-func newLossy(t *rapid.T) *lossy {
-	l := &lossy{t: t, now: begin, peers: map[ident.Node]*Core{}, tables: map[ident.Node]*dispatch.Table{}, truth: map[ident.Runner]engine.LoadReport{}, faulty: true}
+func newLossyFleet(t *rapid.T) *lossyFleet {
+	l := &lossyFleet{t: t, now: begin, peers: map[ident.Node]*Core{}, tables: map[ident.Node]*dispatch.Table{}, truth: map[ident.Runner]engine.LoadReport{}, faulty: true}
 	others := []Peer{{Node: "near", Zone: "a"}, {Node: "far", Zone: "b"}}
 	l.owner = l.node("owner", "a", others)
 	for _, peer := range others {
@@ -48,44 +48,45 @@
 	return l
 }
 
-func (l *lossy) node(node ident.Node, zone ident.Zone, others []Peer) *Core {
+func (l *lossyFleet) node(node ident.Node, zone ident.Zone, others []Peer) *Core {
 	table := dispatch.NewTable()
 	table.SetMachines(machine.List{Runners: []machine.Runner{{ID: "r0", Zone: "a", State: machine.Live}, {ID: "r1", Zone: "a", State: machine.Live}}}, begin)
 	l.tables[node] = table
-	created := NewCore(CoreConfig{Node: node, Zone: zone, Table: table, Peers: lossyView{others}}, begin)
+	created := NewCore(CoreConfig{Node: node, Zone: zone, Table: table, Peers: lossyPeers{others}}, begin)
 	table.OnOnlineChange(func(runner ident.Runner, inFlight int) { created.OnlineChanged(runner, inFlight, l.now) })
 	return created
 }
 
-// transmit lets a call arrive now, later, twice or never, and its answer come back or not.
-func (l *lossy) transmit(arrive func() (answer func()), answered func(delivered bool)) {
-	late := func() { arrive() }
+// transmit delivers a call now, later, twice or never, and its reply or not.
+func (l *lossyFleet) transmit(deliver func() (reply func()), done func(delivered bool)) {
+	late := func() { deliver() }
 	fate := 0
 	if l.faulty {
 		fate = rapid.IntRange(0, 4).Draw(l.t, "fate")
 	}
 	switch fate {
 	case 0:
-		arrive()()
-		answered(true)
+		deliver()()
+		done(true)
 	case 1:
-		answered(false)
+		done(false)
 	case 2:
-		arrive()
-		answered(false)
+		deliver()
+		done(false)
 	case 3:
-		answered(false)
+		done(false)
 		l.pending = append(l.pending, late)
 	default:
-		arrive()()
+		deliver()()
 		l.pending = append(l.pending, late)
-		answered(true)
+		done(true)
 	}
 }
 
-// step lets a second pass: what was late arrives or not, the owner reads its engines and shares, the peers tell counts.
-func (l *lossy) step() {
-	l.now = l.now.Add(wholeTick)
+// step advances the clock by one second: late messages may arrive, the owner polls its engines and shares, and the peers send
+// their counts.
+func (l *lossyFleet) step() {
+	l.now = l.now.Add(fullCheckInterval)
 	for len(l.pending) > 0 && (!l.faulty || rapid.Bool().Draw(l.t, "late ones arrive")) {
 		last := len(l.pending) - 1
 		l.pending[last]()
@@ -95,33 +96,33 @@
 		report.Measured = l.now
 		l.tables["owner"].ObserveReport(runner, report, l.now)
 	}
-	shares, _ := l.owner.Look(l.now)
+	shares, _ := l.owner.Due(l.now)
 	for _, share := range shares {
-		// A message that comes late is as old as it is: its ages are from when it was sent.
+		// The ages in a late message are relative to the time when it was sent.
 		sent := l.now
 		l.transmit(func() func() {
-			l.peers[share.Peer].Take(share.Message, sent)
+			l.peers[share.Peer].ObserveStates(share.Message, sent)
 			return func() {}
-		}, func(delivered bool) { l.owner.Shared(share, delivered, l.now) })
+		}, func(delivered bool) { l.owner.ShareSent(share, delivered, l.now) })
 	}
 	for _, node := range []ident.Node{"near", "far"} {
 		peer := l.peers[node]
-		for _, tell := range peer.Tells(l.now) {
+		for _, message := range peer.DueCounts(l.now) {
 			l.transmit(func() func() {
-				l.owner.Counted(tell.Message, l.now)
-				reply := l.owner.Reply(tell.Message, l.now)
-				return func() { peer.Take(reply, l.now) }
-			}, func(delivered bool) { peer.Told(tell, delivered, l.now) })
+				l.owner.ObserveCounts(message.Message, l.now)
+				reply := l.owner.Reply(message.Message, l.now)
+				return func() { peer.ObserveStates(reply, l.now) }
+			}, func(delivered bool) { peer.CountsSent(message, delivered, l.now) })
 		}
 	}
 }
 
-// TestViewsConvergeAfterAnyLoss changes engines and online work under any loss, delay, repetition and order, then lets the
-// network be whole: within the share interval and the pause after a failure every peer knows what is loaded and the load to
-// within its zone's step, and within the renewal the owner knows the peers' counts.
+// TestViewsConvergeAfterAnyLoss changes engines and online work while messages are lost, delayed, duplicated and reordered, and
+// then repairs the network. It checks that every peer knows the loaded models after the retry delay and the load within the
+// step of its zone after the share interval, and that the owner knows the peers' counts after the renewal interval.
 func TestViewsConvergeAfterAnyLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := newLossy(t)
+		l := newLossyFleet(t)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			runner := ident.Runner(fmt.Sprint("r", rapid.IntRange(0, 1).Draw(t, "runner")))
 			report := l.truth[runner]
@@ -138,23 +139,23 @@
 			l.step()
 		}
 		l.faulty = false
-		l.settle(max(sharePause, farPause) + 2*time.Second)
+		l.settle(max(shareRetryDelay, minFarInterval) + 2*time.Second)
 		l.checkLoaded(t)
 		l.checkLoad(t, "near", nearStep)
-		l.settle(max(renewTime, defaultShareFar))
+		l.settle(max(renewInterval, defaultShareFar))
 		l.checkLoad(t, "far", farStep)
 		l.checkCounts(t)
 	})
 }
 
-func (l *lossy) settle(length time.Duration) {
+func (l *lossyFleet) settle(length time.Duration) {
 	for end := l.now.Add(length); l.now.Before(end); {
 		l.step()
 	}
 }
 
-// checkLoaded compares what peers believe to be loaded, and leaving, with the truth.
-func (l *lossy) checkLoaded(t *rapid.T) {
+// checkLoaded compares the peers' views of loaded models and leaving runners with the truth.
+func (l *lossyFleet) checkLoaded(t *rapid.T) {
 	for node := range l.peers {
 		for runner, truth := range l.truth {
 			view, _ := l.tables[node].Runner(runner, l.now)
@@ -165,19 +166,19 @@
 	}
 }
 
-// checkLoad compares what a peer believes of the load with what the owner does.
-func (l *lossy) checkLoad(t *rapid.T, node ident.Node, step float64) {
+// checkLoad compares a peer's view of the load with the owner's.
+func (l *lossyFleet) checkLoad(t *rapid.T, node ident.Node, step float64) {
 	for runner := range l.truth {
 		view, _ := l.tables[node].Runner(runner, l.now)
 		owners, _ := l.tables["owner"].Runner(runner, l.now)
-		wrong := math.Abs(gistOf(&view).load - gistOf(&owners).load)
-		assert.Assert(t, wrong < step, "%s is wrong by %f about %s", node, wrong, runner)
+		difference := math.Abs(summaryOf(&view).load - summaryOf(&owners).load)
+		assert.Assert(t, difference < step, "the view of %s differs by %f for %s", node, difference, runner)
 	}
 }
 
-// checkCounts compares what the owner counts with the truth. A single request of a peer may be left to the engine's report: the
-// runners here have 32 online requests and more at times.
-func (l *lossy) checkCounts(t *rapid.T) {
+// checkCounts compares the owner's counts with the truth. A single request of a peer may be withheld and left to the engine's
+// report, because the runners here have 32 and more online requests at times.
+func (l *lossyFleet) checkCounts(t *rapid.T) {
 	for runner := range l.truth {
 		counted, single := 0, 0
 		for node := range l.peers {
--- a/internal/dispatch/exchange/core.go
+++ b/internal/dispatch/exchange/core.go
@@ -10,7 +10,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// CoreConfig is what a Core needs.
+// CoreConfig configures a Core.
 type CoreConfig struct {
 	Node      ident.Node
 	Zone      ident.Zone
@@ -19,40 +19,42 @@
 	Intervals Intervals
 }
 
-// Core decides which messages one node sends about runners, and when. It does no I/O and reads no clock, so that the
-// same code runs in service and in simulated time. It is not safe for concurrent use, but for Counted and Take.
+// Core decides which messages about runners a node sends, and when. It does no I/O and reads no clock, so that the same
+// code runs in production and in simulated time. Only ObserveCounts, ObserveStates and ObserveReply are safe for concurrent
+// use.
 type Core struct {
 	config    CoreConfig
 	coalescer *coalescer
-	sending   map[ident.Node]bool
-	// answered are the owners that answered the last message of counts. Others are asked for a whole answer.
+	// sending are the owners to which a message of counts is in flight.
+	sending map[ident.Node]bool
+	// answered are the owners that answered the last message of counts. Others are asked to reply with all states.
 	answered map[ident.Node]bool
 	sequence uint64
 	polls    pollPlan
 	shares   sharePlan
-	// often lists the runners that are looked at every Tick; all are from wholeAt on.
-	often   []ident.Runner
-	wholeAt time.Time
+	// frequent lists the runners that are checked at every tick. All runners are checked from nextFullCheck on.
+	frequent      []ident.Runner
+	nextFullCheck time.Time
 	// caches follows the caches of the owned runners. It is safe for concurrent use.
 	caches *cacheFollower
-	// present are the peers that took part at the last whole look.
-	present map[ident.Node]bool
+	// members are the peers at the last full check.
+	members map[ident.Node]bool
 }
 
-// Tell is one message of counts to an owner.
-type Tell struct {
+// CountMessage is a message of this node's online counts to the owner of runners.
+type CountMessage struct {
 	Owner   ident.Node
 	Message *dispatchpb.OnlineCounts
 	counts  map[ident.Runner]int
 }
 
-// Share is one message about this node's runners to a peer.
+// Share is a message with the states of this node's runners to a peer.
 type Share struct {
 	Peer    ident.Node
 	Message *dispatchpb.RunnerStates
 }
 
-// NewCore returns the core of a node that starts now.
+// NewCore returns the core of a node that starts at the given time.
 func NewCore(config CoreConfig, now time.Time) *Core {
 	config.Intervals = config.Intervals.withDefaults()
 	return &Core{
@@ -60,7 +62,7 @@
 		coalescer: newCoalescer(),
 		sending:   map[ident.Node]bool{},
 		answered:  map[ident.Node]bool{},
-		// A later run of this node continues above the sequence of an earlier one.
+		// After a restart the sequence continues above the previous one.
 		sequence: uint64(now.UnixNano()),
 		polls:    newPollPlan(config.Intervals),
 		shares:   newSharePlan(config.Intervals),
@@ -68,7 +70,8 @@
 	}
 }
 
-// OnlineChanged notes a change of this node's online work and reports whether another node is to be told.
+// OnlineChanged records a change of this node's online work and reports whether it concerns the owner of the runner, that
+// is, another node or one not known yet.
 func (c *Core) OnlineChanged(runner ident.Runner, inFlight int, now time.Time) bool {
 	owner, known := c.config.Peers.Owner(runner)
 	if known && owner == c.config.Node {
@@ -78,7 +81,7 @@
 	return true
 }
 
-// onlineOn returns the online work on a runner by the newest view of it, zero without any.
+// onlineOn returns the online work on a runner by its newest report, or zero without one.
 func (c *Core) onlineOn(runner ident.Runner, now time.Time) int {
 	view, known := c.config.Table.Runner(runner, now)
 	if !known || view.Report == nil {
@@ -87,10 +90,10 @@
 	return view.Report.RunningOnline + view.Report.WaitingOnline
 }
 
-// Tells returns the messages of counts to send now, in the order of their owners. Each must be followed by Told.
-func (c *Core) Tells(now time.Time) []Tell {
+// DueCounts returns the messages of counts to send now, ordered by owner. CountsSent must be called for each.
+func (c *Core) DueCounts(now time.Time) []CountMessage {
 	messages := c.coalescer.take(now, c.otherOwner, func(node ident.Node) bool { return c.sending[node] })
-	tells := make([]Tell, 0, len(messages))
+	due := make([]CountMessage, 0, len(messages))
 	for _, owner := range slices.Sorted(maps.Keys(messages)) {
 		counts := messages[owner]
 		c.coalescer.sent(counts, now)
@@ -98,9 +101,9 @@
 		c.sequence++
 		message := c.encodeCounts(counts)
 		message.Whole = !c.answered[owner]
-		tells = append(tells, Tell{Owner: owner, Message: message, counts: counts})
+		due = append(due, CountMessage{Owner: owner, Message: message, counts: counts})
 	}
-	return tells
+	return due
 }
 
 func (c *Core) encodeCounts(counts map[ident.Runner]int) *dispatchpb.OnlineCounts {
@@ -111,103 +114,108 @@
 	return message
 }
 
-// Told takes in that a message of counts arrived, or that it is not known to have.
-func (c *Core) Told(tell Tell, delivered bool, now time.Time) {
-	delete(c.sending, tell.Owner)
+// CountsSent records whether a message of counts was delivered. A message without a reply counts as not delivered.
+func (c *Core) CountsSent(message CountMessage, delivered bool, now time.Time) {
+	delete(c.sending, message.Owner)
 	if delivered {
-		c.answered[tell.Owner] = true
-		c.coalescer.delivered(tell.counts)
+		c.answered[message.Owner] = true
+		c.coalescer.delivered(message.counts)
 		return
 	}
-	delete(c.answered, tell.Owner)
-	c.coalescer.failed(tell.counts, now)
+	delete(c.answered, message.Owner)
+	c.coalescer.failed(message.counts, now)
 }
 
-// NextTell returns the time until Tells should be called again.
-func (c *Core) NextTell(now time.Time) time.Duration {
+// NextCounts returns the time until DueCounts should be called again.
+func (c *Core) NextCounts(now time.Time) time.Duration {
 	next, any := c.coalescer.nextDue()
 	if !any {
 		return idleWait
 	}
-	return max(shortestWait, next.Sub(now))
+	return max(minWait, next.Sub(now))
 }
 
-// Tick returns how often Look should be called: often enough that no poll is late by more than a tenth.
-func (c *Core) Tick() time.Duration {
-	const part = 10
-	return min(longestTick, max(PlanTick, c.config.Intervals.PollOwned/part))
+// TickInterval returns the interval at which Due should be called: at most a tenth of the poll interval, within its limits,
+// so that polls are not much delayed.
+func (c *Core) TickInterval() time.Duration {
+	const ticksPerPoll = 10
+	return min(maxTick, max(minTick, c.config.Intervals.PollOwned/ticksPerPoll))
 }
 
-// Look returns the shares to send and the runners to ask for their load. Call it every Tick. Each share must be
-// followed by Shared, each runner asked by Polled.
-func (c *Core) Look(now time.Time) (shares []Share, polls []ident.Runner) {
-	if now.Before(c.wholeAt) {
-		views := c.config.Table.RunnersOf(c.often, now)
+// Due returns the shares to send and the runners to poll for their load. It is called every TickInterval. ShareSent must be
+// called for each share and Polled for each runner.
+func (c *Core) Due(now time.Time) (shares []Share, polls []ident.Runner) {
+	if now.Before(c.nextFullCheck) {
+		views := c.config.Table.RunnersOf(c.frequent, now)
 		return nil, c.polls.due(views, c.config.Zone, c.owns, now)
 	}
-	c.wholeAt = now.Add(wholeTick)
+	c.nextFullCheck = now.Add(fullCheckInterval)
 	views := c.config.Table.Runners(now)
-	c.polls.forget(views)
-	c.forgetGonePeers(now)
-	c.caches.keep(c.owns)
+	c.polls.removeUnlisted(views)
+	c.removeDepartedPeers(now)
+	c.caches.retainOwned(c.owns)
 	polls = c.polls.due(views, c.config.Zone, c.owns, now)
 	shares = c.sharesDue(views, now)
-	c.often = c.polls.polledOften(views, c.config.Zone, c.owns)
+	c.frequent = c.polls.polledFrequently(views, c.config.Zone, c.owns)
 	return shares, polls
 }
 
-// forgetGonePeers lets the counts of peers that take part no more run out sooner, and forgets what they were told.
-func (c *Core) forgetGonePeers(now time.Time) {
-	present := map[ident.Node]bool{}
+// removeDepartedPeers makes the counts of peers that are no longer members expire sooner, and removes the record of what was
+// shared with them.
+func (c *Core) removeDepartedPeers(now time.Time) {
+	members := map[ident.Node]bool{}
 	for _, peer := range c.config.Peers.Peers() {
-		present[peer.Node] = true
+		members[peer.Node] = true
 	}
-	for node := range c.present {
-		if !present[node] {
+	for node := range c.members {
+		if !members[node] {
 			c.config.Table.ObservePeerGone(node, now)
 			c.shares.forget(node)
 			delete(c.answered, node)
 		}
 	}
-	c.present = present
+	c.members = members
 }
 
-// Polled takes in that a runner was asked, whatever came of it.
+// Polled records that the poll of a runner ended, with whatever result.
 func (c *Core) Polled(runner ident.Runner) { delete(c.polls.polling, runner) }
 
+// sharesDue returns the shares to send now.
 func (c *Core) sharesDue(views []dispatch.RunnerView, now time.Time) []Share {
-	gists := c.ownedGists(views)
-	due := c.shares.due(c.config.Peers.Peers(), c.config.Zone, gists, now)
+	summaries := c.ownedSummaries(views)
+	due := c.shares.due(c.config.Peers.Peers(), c.config.Zone, summaries, now)
 	if len(due) == 0 {
 		return nil
 	}
 	message := c.ownedStates(views)
 	shares := make([]Share, 0, len(due))
 	for _, peer := range due {
-		c.shares.told(peer, gists, now)
+		c.shares.sent(peer, summaries, now)
 		shares = append(shares, Share{Peer: peer, Message: message})
 	}
 	return shares
 }
 
-func (c *Core) ownedGists(views []dispatch.RunnerView) map[ident.Runner]gist {
-	gists := map[ident.Runner]gist{}
+// ownedSummaries returns the summaries of the owned runners that have a report.
+func (c *Core) ownedSummaries(views []dispatch.RunnerView) map[ident.Runner]summary {
+	summaries := map[ident.Runner]summary{}
 	for index := range views {
 		view := &views[index]
 		if own, _ := c.owns(view.ID); own && view.Report != nil {
-			gists[view.ID] = gistOf(view)
+			summaries[view.ID] = summaryOf(view)
 		}
 	}
-	return gists
+	return summaries
 }
 
-// Shared takes in that a share arrived, or that it is not known to have.
-func (c *Core) Shared(share Share, delivered bool, now time.Time) {
+// ShareSent records whether a share was delivered. A share without a reply counts as not delivered.
+func (c *Core) ShareSent(share Share, delivered bool, now time.Time) {
 	if !delivered {
 		c.shares.failed(share.Peer, now)
 	}
 }
 
+// ownedStates encodes the states of the owned runners that have a report.
 func (c *Core) ownedStates(views []dispatch.RunnerView) *dispatchpb.RunnerStates {
 	message := &dispatchpb.RunnerStates{}
 	for index := range views {
@@ -219,50 +227,53 @@
 	return message
 }
 
-// Counted takes a peer's counts. It is safe for concurrent use; Reply answers.
-func (c *Core) Counted(message *dispatchpb.OnlineCounts, now time.Time) {
+// ObserveCounts records a peer's counts. It is safe for concurrent use. Reply returns the reply.
+func (c *Core) ObserveCounts(message *dispatchpb.OnlineCounts, now time.Time) {
 	for _, count := range message.GetCounts() {
 		c.config.Table.ObservePeer(ident.Node(message.GetNode()), message.GetSequence(), ident.Runner(count.GetRunner()), int(count.GetInFlight()), now)
 	}
 }
 
-// Reply returns what is news to the peer of the runners it counted on, or all if it asks, which spares it a share. Only the reply to a
-// peer's newest message is noted as told: whoever sent an older one has given it up and gets no reply, and after a newest one
-// that failed the peer asks for all.
+// Reply returns the states of the runners in a peer's counts that changed since they were last sent to the peer, or all of
+// them if it asks for that. This makes a separate share unnecessary. Only the reply to the newest message of a peer is
+// recorded as shared: the peer has given up on an older message and does not receive its reply, and after a failure of the
+// newest one it asks for all states.
 func (c *Core) Reply(message *dispatchpb.OnlineCounts, now time.Time) *dispatchpb.RunnerStates {
 	peer := ident.Node(message.GetNode())
 	newest := c.shares.newest(peer, message.GetSequence())
 	reply := &dispatchpb.RunnerStates{Caches: c.cacheChanges(message.GetCounts())}
-	told := map[ident.Runner]gist{}
+	sent := map[ident.Runner]summary{}
 	for _, count := range message.GetCounts() {
 		runner := ident.Runner(count.GetRunner())
 		view, known := c.config.Table.Runner(runner, now)
-		if !known || view.Report == nil || (!message.GetWhole() && !c.shares.news(peer, runner, gistOf(&view), now)) {
+		if !known || view.Report == nil || (!message.GetWhole() && !c.shares.worthReplying(peer, runner, summaryOf(&view), now)) {
 			continue
 		}
 		reply.States = append(reply.States, encodeState(&view))
 		if own, _ := c.owns(runner); own {
-			told[runner] = gistOf(&view)
+			sent[runner] = summaryOf(&view)
 		}
 	}
 	if newest {
-		c.shares.told(peer, told, now)
+		c.shares.sent(peer, sent, now)
 	}
 	return reply
 }
 
-// Take takes the states of runners from their owner. It is safe for concurrent use.
-func (c *Core) Take(states *dispatchpb.RunnerStates, now time.Time) {
+// ObserveStates records the states of runners received from their owner. It is safe for concurrent use.
+func (c *Core) ObserveStates(states *dispatchpb.RunnerStates, now time.Time) {
 	for _, state := range states.GetStates() {
 		c.config.Table.ObserveShared(ident.Runner(state.GetRunner()), decodeState(state, now), now)
 	}
 }
 
+// owns reports whether this node owns the runner, and whether no owner is known.
 func (c *Core) owns(runner ident.Runner) (own, ownerless bool) {
 	owner, known := c.config.Peers.Owner(runner)
 	return known && owner == c.config.Node, !known
 }
 
+// otherOwner returns the owner of the runner, or false if that is this node or unknown.
 func (c *Core) otherOwner(runner ident.Runner) (ident.Node, bool) {
 	owner, known := c.config.Peers.Owner(runner)
 	return owner, known && owner != c.config.Node
--- a/internal/dispatch/exchange/standin_test.go
+++ b/internal/dispatch/exchange/enginesim_test.go
@@ -19,20 +19,21 @@
 	"mallowlatch.example/mallowlatch/internal/lab/enginesim"
 )
 
-// oneEngine is a machine list of one engine.
-type oneEngine struct{ engine engine.Engine }
+// singleEngine returns the same engine for every runner.
+type singleEngine struct{ engine engine.Engine }
 
-func (o oneEngine) Engine(ident.Runner) (engine.Engine, bool) { return o.engine, true }
+func (o singleEngine) Engine(ident.Runner) (engine.Engine, bool) { return o.engine, true }
 
-// TestOwnerFollowsTheStandIn has a stand-in engine compute a long prompt behind the nodes' back, with one event in five lost.
-// The owner and a node that uses the runner learn it over the engine's own protocol, and that it is gone after a restart.
-func TestOwnerFollowsTheStandIn(t *testing.T) {
+// TestOwnerFollowsCacheOfSimulatedEngine sends a long prompt directly to a simulated engine, with one cache event in five lost.
+// It checks that the owner and a node that uses the runner detect over the engine's HTTP protocol that the prompt is cached,
+// and that it is not after a restart of the engine.
+func TestOwnerFollowsCacheOfSimulatedEngine(t *testing.T) {
 	options := enginesim.Options{Models: []string{"m"}, EventLag: time.Nanosecond, TimeScale: 50}
 	running := enginesim.New(options)
 	address, err := running.Start()
 	assert.NilError(t, err)
 	running.SetFaults(enginesim.Faults{EventGap: 0.2})
-	fleet := &wire{t: t, nodes: map[ident.Node]*Exchange{}, engines: oneEngine{openaihttp.New(address, nil)}}
+	fleet := &drpcFleet{t: t, nodes: map[ident.Node]*Exchange{}, engines: singleEngine{openaihttp.New(address, nil)}}
 	owner := fleet.add("owner", Peer{"other", "a"})
 	other := fleet.add("other", Peer{"owner", "a"})
 	body, err := json.Marshal(map[string]any{"model": "m", "prompt": strings.Repeat("eligibility ", 3000), "max_tokens": 1})
@@ -73,5 +74,5 @@
 	_, err = running.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, running.Stop()) })
-	eventually(t, "the restart is noticed", both(func(depth int) bool { return depth == 0 }))
+	eventually(t, "the restart is detected", both(func(depth int) bool { return depth == 0 }))
 }
--- a/internal/dispatch/exchange/exchange.go
+++ b/internal/dispatch/exchange/exchange.go
@@ -1,8 +1,9 @@
-// Package exchange keeps the runner tables of all nodes close to the truth: it polls the load of runners, tells owners
-// of online work, shares what owners learn, and spreads the news that a runner is leaving.
+// Package exchange keeps the runner tables of all nodes up to date: it polls the load and the prefix cache changes of
+// runners, sends counts of online requests to the owners of runners, shares the state of runners from their owners to all
+// nodes, and notifies all nodes that a runner is leaving.
 //
-// Messages grow with traffic, not with the square of the nodes: the reply to a count carries the owner's view of the
-// runners the sender uses, and shares to everyone are rare.
+// The number of messages grows with traffic, not with the square of the number of nodes: the reply to a count carries the
+// owner's view of the runners that the sender uses, and shares to all nodes are rare.
 package exchange
 
 import (
@@ -28,25 +29,25 @@
 	Zone ident.Zone
 }
 
-// Peers is what the exchange needs to know of the other nodes. Implementations are safe for concurrent use.
+// Peers provides the ownership of runners and the list of other nodes. Implementations are safe for concurrent use.
 type Peers interface {
-	// Owner returns the node that owns a runner, which may be this one; false if none is known.
+	// Owner returns the node that owns a runner, which may be this one, or false if none is known.
 	Owner(runner ident.Runner) (ident.Node, bool)
-	// Peers returns the live nodes without this one.
+	// Peers returns the live nodes other than this one.
 	Peers() []Peer
 }
 
-// Intervals are the periods of the exchange. Zero values take the defaults.
+// Intervals are the periods of the exchange. Zero values select the defaults.
 type Intervals struct {
-	// PollOwned is the time between load reports of a runner this node owns or that has no owner in its zone.
+	// PollOwned is the interval of polls of a runner that this node owns, or that is in its zone and has no known owner.
 	PollOwned time.Duration
-	// ShareNear and ShareFar are the least times between shares with a peer in the own and in another zone for a change of
-	// load. Other changes are shared at once.
+	// ShareNear and ShareFar are the minimum times between shares of a changed load to a peer in the same and in another
+	// zone. Other changes are shared without this delay.
 	ShareNear, ShareFar time.Duration
-	// RefreshNear and RefreshFar are the times after which a state is shared though nothing changed.
+	// RefreshNear and RefreshFar are the times after which an unchanged state is shared again.
 	RefreshNear, RefreshFar time.Duration
-	// StaleNear and StaleFar are the ages at which a report of a runner in the own or another zone is fetched from the
-	// runner itself: its owner seems to be gone.
+	// StaleNear and StaleFar are the ages of a report, for the same and for other zones, at which the runner is polled
+	// directly, because its owner has apparently failed.
 	StaleNear, StaleFar time.Duration
 }
 
@@ -77,14 +78,14 @@
 	return i
 }
 
-// Config is what an Exchange needs.
+// Config configures an Exchange.
 type Config struct {
 	Node    ident.Node
 	Zone    ident.Zone
 	Table   *dispatch.Table
 	Engines dispatch.Engines
 	Peers   Peers
-	// Dialer reaches peers; nil means that there are none.
+	// Dialer connects to peers; nil means that there are none.
 	Dialer    transport.Dialer
 	Intervals Intervals
 	// Now is the clock; nil means time.Now.
@@ -93,12 +94,12 @@
 	Registerer prometheus.Registerer
 }
 
-// Exchange runs the exchange of one node. It also is the server of the other nodes' calls.
+// Exchange runs the exchange of one node and serves the calls of other nodes.
 type Exchange struct {
 	config  Config
 	metrics *metrics
 	tomb    tomb.Tomb
-	// background runs what callers outside the tomb ask for.
+	// background runs goroutines started from outside the tomb.
 	background *dispatch.Background
 	wake       chan struct{}
 
@@ -106,10 +107,10 @@
 	core  *Core
 }
 
-// callTimeout bounds one call to a peer.
+// callTimeout limits one call to a peer.
 const callTimeout = 2 * time.Second
 
-// New returns an exchange and hooks it to the table. Start begins it.
+// New returns an exchange and registers it with the table. Start starts it.
 func New(config Config) *Exchange {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -124,30 +125,30 @@
 		}, config.Now()),
 	}
 	config.Table.OnOnlineChange(created.onlineChanged)
-	config.Table.OnLeaving(created.leavingLearned)
+	config.Table.OnLeaving(created.notifyLeaving)
 	return created
 }
 
-// Start begins polling and telling.
+// Start starts polling and sending.
 func (e *Exchange) Start() {
-	e.tomb.Go(e.tellLoop)
+	e.tomb.Go(e.countLoop)
 	e.tomb.Go(e.periodicLoop)
 }
 
-// Stop ends the exchange.
+// Stop stops the exchange and waits for its goroutines.
 func (e *Exchange) Stop() error {
 	e.tomb.Kill(nil)
 	err := e.tomb.Wait()
 	return errors.Join(err, e.background.Close())
 }
 
-// onlineChanged notes a change of this node's online work and wakes the loop. The time of a surge from the change to
-// the send is the time of one channel operation.
+// onlineChanged records a change of this node's online work and wakes countLoop, so that a rise is sent after the delay of
+// one channel operation.
 func (e *Exchange) onlineChanged(runner ident.Runner, inFlight int) {
 	e.mutex.Lock()
-	toTell := e.core.OnlineChanged(runner, inFlight, e.config.Now())
+	concernsOwner := e.core.OnlineChanged(runner, inFlight, e.config.Now())
 	e.mutex.Unlock()
-	if !toTell {
+	if !concernsOwner {
 		return
 	}
 	select {
@@ -156,8 +157,8 @@
 	}
 }
 
-// tellLoop tells owners what is due.
-func (e *Exchange) tellLoop() error {
+// countLoop sends the messages of counts that are due.
+func (e *Exchange) countLoop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -167,42 +168,42 @@
 		case <-e.wake:
 		case <-timer.C:
 		}
-		timer.Reset(e.tellDue())
+		timer.Reset(e.sendDueCounts())
 	}
 }
 
-// idleWait is how long the loop sleeps when nothing is due.
+// idleWait is how long countLoop waits when nothing is due.
 const idleWait = time.Second
 
-// shortestWait keeps the loop from spinning on an owner that is slow to answer.
-const shortestWait = 5 * time.Millisecond
+// minWait prevents a busy loop while a message to a slow owner is in flight.
+const minWait = 5 * time.Millisecond
 
-// tellDue sends what is due and returns the time to the next look.
-func (e *Exchange) tellDue() time.Duration {
+// sendDueCounts sends the messages that are due and returns the time until the next check.
+func (e *Exchange) sendDueCounts() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := e.config.Now()
-	for _, tell := range e.core.Tells(now) {
+	for _, message := range e.core.DueCounts(now) {
 		e.tomb.Go(func() error {
-			e.tell(tell)
+			e.sendCounts(message)
 			return nil
 		})
 	}
-	return e.core.NextTell(now)
+	return e.core.NextCounts(now)
 }
 
-// tell sends one message of counts and takes the owner's view in return.
-func (e *Exchange) tell(tell Tell) {
-	e.metrics.sent("online", tell.Message)
-	states, err := e.callOnline(tell.Owner, tell.Message)
+// sendCounts sends one message of counts and records the owner's reply.
+func (e *Exchange) sendCounts(message CountMessage) {
+	e.metrics.sent("online", message.Message)
+	states, err := e.callOnline(message.Owner, message.Message)
 	e.mutex.Lock()
-	e.core.Told(tell, err == nil, e.config.Now())
+	e.core.CountsSent(message, err == nil, e.config.Now())
 	e.mutex.Unlock()
 	if err != nil {
-		event.PeerHintFailed.Log(e.config.Logger).Err(err).Str("peer", string(tell.Owner)).Send()
+		event.PeerHintFailed.Log(e.config.Logger).Err(err).Str("peer", string(message.Owner)).Send()
 		return
 	}
-	e.core.TakeReply(tell, states, e.config.Now())
+	e.core.ObserveReply(message, states, e.config.Now())
 }
 
 func (e *Exchange) callOnline(owner ident.Node, message *dispatchpb.OnlineCounts) (*dispatchpb.RunnerStates, error) {
--- a/internal/dispatch/exchange/leaving_test.go
+++ b/internal/dispatch/exchange/leaving_test.go
@@ -26,20 +26,21 @@
 	leavingRunner    = ident.Runner("r0")
 )
 
-// simulation is a fleet of dispatchers on a simulated clock, with lost and late messages.
+// simulation is a fleet of dispatchers on a simulated clock, with lost and delayed messages.
 type simulation struct {
 	random *rand.Rand
 	now    time.Time
 	nodes  []*simulatedNode
-	// mail holds the leaving messages on their way.
-	mail []letter
-	// reported is when the engine began to say that it leaves; listed when the machine list did. Zero means never.
+	// inTransit holds the notifications that were sent and have not arrived.
+	inTransit []notification
+	// reported and listed are the times from which the engine and the machine list report the runner as leaving. Zero
+	// means never.
 	reported, listed time.Time
 	lastWork         time.Time
 	refusals         map[int]int
 }
 
-type letter struct {
+type notification struct {
 	to  int
 	due time.Time
 }
@@ -68,7 +69,7 @@
 
 func runnerName(index int) ident.Runner { return ident.Runner(fmt.Sprint("r", index)) }
 
-// list is the machine list, which says leaving only if that is the way of this run.
+// list returns the machine list, which marks the runner as leaving from listed on.
 func (s *simulation) list() machine.List {
 	list := machine.List{}
 	for index := range simulatedRunners {
@@ -81,46 +82,46 @@
 	return list
 }
 
-// report is the engine's view of itself, reportLag ago.
+// report returns the engine's load report, measured reportLag ago.
 func (s *simulation) report(runner ident.Runner) engine.LoadReport {
 	measured := s.now.Add(-reportLag)
 	leaves := runner == leavingRunner && !s.reported.IsZero() && !measured.Before(s.reported)
 	return engine.LoadReport{Measured: measured, MaxSequences: 64, Leaving: leaves, Models: []engine.LoadedModel{{Name: "m"}}}
 }
 
-// broadcast sends the news to every other node. The mail loses some messages, which are sent again after the pauses.
+// broadcast sends the notification to every other node. Lost messages are sent again after leavingRetryDelays.
 func (s *simulation) broadcast(from int) {
 	for to := range s.nodes {
 		delay := time.Duration(5+s.random.IntN(100)) * time.Millisecond
 		lost := s.random.IntN(100) < lossPercent
-		for _, pause := range LeavingPauses {
+		for _, retryDelay := range leavingRetryDelays {
 			if !lost {
 				break
 			}
-			delay += callTimeout/10 + pause
+			delay += callTimeout/10 + retryDelay
 			lost = s.random.IntN(100) < lossPercent
 		}
 		if to != from && !lost {
-			s.mail = append(s.mail, letter{to: to, due: s.now.Add(delay)})
+			s.inTransit = append(s.inTransit, notification{to: to, due: s.now.Add(delay)})
 		}
 	}
 }
 
-// step lets a tick pass on every node: mail, polls, list readings, and one request.
+// step advances the clock by a tick and runs on every node the arrivals, polls, reads of the machine list and one request.
 func (s *simulation) step() {
-	s.now = s.now.Add(PlanTick)
-	kept := s.mail[:0]
-	for _, sent := range s.mail {
+	s.now = s.now.Add(minTick)
+	kept := s.inTransit[:0]
+	for _, sent := range s.inTransit {
 		if sent.due.After(s.now) {
 			kept = append(kept, sent)
 			continue
 		}
 		s.nodes[sent.to].table.ObserveLeaving(leavingRunner, false, s.now)
 	}
-	s.mail = kept
+	s.inTransit = kept
 	for _, node := range s.nodes {
 		s.poll(node)
-		if (s.now.Sub(begin)-node.listsAt)%listPeriod < PlanTick {
+		if (s.now.Sub(begin)-node.listsAt)%listPeriod < minTick {
 			node.table.SetMachines(s.list(), s.now)
 		}
 		s.request(node)
@@ -137,7 +138,7 @@
 	}
 }
 
-// request places one request. A leaving engine that knows it refuses; then the node tells everyone.
+// request places one request. An engine that reports that it is leaving refuses it, and the node notifies all others.
 func (s *simulation) request(node *simulatedNode) {
 	snapshot := node.table.Snapshot("a", nil, "m", nil, s.now)
 	decision, refusal := schedule.Decide(snapshot, &inference.Request{Model: "m"}, s.now, s.random, schedule.Options{})
@@ -152,8 +153,8 @@
 	s.lastWork = s.now
 }
 
-// TestLeavingRunnerGetsNoNewWork marks a runner as leaving by each way and measures, on the simulated clock, the time
-// to the last new work any of 40 dispatchers gave it.
+// TestLeavingRunnerGetsNoNewWork marks a runner as leaving by each source and checks, on the simulated clock, that none of
+// 40 dispatchers sends it new work more than two seconds later, and that it refuses each node at most once.
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	const settle, run, bound = time.Second, 6 * time.Second, 2 * time.Second
 	ways := map[string]func(*simulation, time.Time){
--- a/internal/dispatch/exchange/poll.go
+++ b/internal/dispatch/exchange/poll.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// PlanTick and longestTick bound how often the runners this node polls often are looked at, and wholeTick is how often
-	// all are: a look at the 880 runners of the design size takes 0.3 ms.
-	PlanTick    = 25 * time.Millisecond
-	longestTick = 100 * time.Millisecond
-	wholeTick   = time.Second
-	// maxPolls bounds the load requests on their way at once.
+	// minTick and maxTick limit the interval at which the frequently polled runners are checked. All runners are checked at
+	// fullCheckInterval, because a check of 880 runners (the design size) takes 0.3 ms.
+	minTick           = 25 * time.Millisecond
+	maxTick           = 100 * time.Millisecond
+	fullCheckInterval = time.Second
+	// maxPolls limits the polls in flight.
 	maxPolls = 32
-	// pollTimeout bounds one load request.
+	// pollTimeout limits one poll.
 	pollTimeout = 2 * time.Second
 )
 
-// pollPlan decides which runners are asked for their load. It is pure but for its own state.
+// pollPlan decides which runners are polled for their load. It does no I/O.
 type pollPlan struct {
 	intervals Intervals
 	polling   map[ident.Runner]bool
@@ -34,11 +34,11 @@
 	return pollPlan{intervals: intervals, polling: map[ident.Runner]bool{}, last: map[ident.Runner]time.Time{}}
 }
 
-// due returns the runners to ask now, those of the own zone first.
+// due returns the runners to poll now, those of the own zone first.
 func (p *pollPlan) due(views []dispatch.RunnerView, zone ident.Zone, owns func(ident.Runner) (own, ownerless bool), now time.Time) []ident.Runner {
 	var wanted []dispatch.RunnerView
 	for _, view := range views {
-		if !p.polling[view.ID] && p.wants(&view, zone, owns, now) {
+		if !p.polling[view.ID] && p.isDue(&view, zone, owns, now) {
 			wanted = append(wanted, view)
 		}
 	}
@@ -54,6 +54,7 @@
 	return chosen
 }
 
+// rank returns 0 if first is true and 1 if not.
 func rank(first bool) int {
 	if first {
 		return 0
@@ -61,27 +62,27 @@
 	return 1
 }
 
-// polledOften returns the runners that are asked every PollOwned, or may soon be.
-func (p *pollPlan) polledOften(views []dispatch.RunnerView, zone ident.Zone, owns func(ident.Runner) (own, ownerless bool)) []ident.Runner {
-	var often []ident.Runner
+// polledFrequently returns the runners that are polled at PollOwned or may be polled before the next full check.
+func (p *pollPlan) polledFrequently(views []dispatch.RunnerView, zone ident.Zone, owns func(ident.Runner) (own, ownerless bool)) []ident.Runner {
+	var frequent []ident.Runner
 	for _, view := range views {
 		own, ownerless := owns(view.ID)
 		if own || view.Ejected || (view.Zone == zone && (ownerless || view.Report == nil)) {
-			often = append(often, view.ID)
+			frequent = append(frequent, view.ID)
 		}
 	}
-	return often
+	return frequent
 }
 
-// wants reports whether a runner's report is older than this node may let it be.
-func (p *pollPlan) wants(view *dispatch.RunnerView, zone ident.Zone, owns func(ident.Runner) (own, ownerless bool), now time.Time) bool {
+// isDue reports whether the runner is to be polled by the age of its report and the time since its last poll.
+func (p *pollPlan) isDue(view *dispatch.RunnerView, zone ident.Zone, owns func(ident.Runner) (own, ownerless bool), now time.Time) bool {
 	since := now.Sub(p.last[view.ID])
 	own, ownerless := owns(view.ID)
 	if own || view.ProbeDue || (ownerless && view.Zone == zone) {
 		return since >= p.intervals.PollOwned
 	}
 	if view.Report == nil {
-		return p.wantsFirst(view, zone, now)
+		return p.firstIsDue(view, zone, now)
 	}
 	stale := p.intervals.StaleFar
 	if view.Zone == zone {
@@ -91,28 +92,29 @@
 }
 
 const (
-	// retryUnknownNear and retryUnknownFar are the times between tries to get the first report of a runner this node does
-	// not own.
+	// retryUnknownNear and retryUnknownFar are the intervals of polls of a runner that this node does not own and has no
+	// report of, in the same and in other zones.
 	retryUnknownNear = time.Second
 	retryUnknownFar  = 15 * time.Second
 )
 
-// wantsFirst reports whether a runner of which there is no report is to be asked. Those of other zones are given the time in
-// which their owners share, else each start of the fleet would have every node ask every runner.
-func (p *pollPlan) wantsFirst(view *dispatch.RunnerView, zone ident.Zone, now time.Time) bool {
-	last, asked := p.last[view.ID]
+// firstIsDue reports whether a runner without a report is to be polled. Runners of other zones are first polled after
+// retryUnknownFar, so that their owners can share the reports. Otherwise every node would poll every runner when the fleet
+// starts.
+func (p *pollPlan) firstIsDue(view *dispatch.RunnerView, zone ident.Zone, now time.Time) bool {
+	last, polled := p.last[view.ID]
 	if view.Zone == zone {
 		return now.Sub(last) >= retryUnknownNear
 	}
-	if !asked {
+	if !polled {
 		p.last[view.ID] = now
 		return false
 	}
 	return now.Sub(last) >= retryUnknownFar
 }
 
-// forget drops the runners that are listed no more.
-func (p *pollPlan) forget(views []dispatch.RunnerView) {
+// removeUnlisted removes the runners that are no longer listed.
+func (p *pollPlan) removeUnlisted(views []dispatch.RunnerView) {
 	if len(p.last) <= len(views) {
 		return
 	}
@@ -129,7 +131,7 @@
 
 // periodicLoop polls runners and shares their states.
 func (e *Exchange) periodicLoop() error {
-	ticker := time.NewTicker(e.core.Tick())
+	ticker := time.NewTicker(e.core.TickInterval())
 	defer ticker.Stop()
 	for {
 		select {
@@ -137,14 +139,14 @@
 			return nil
 		case <-ticker.C:
 		}
-		e.look()
+		e.runDue()
 	}
 }
 
-// look sends the shares and polls that are due.
-func (e *Exchange) look() {
+// runDue sends the shares and polls that are due.
+func (e *Exchange) runDue() {
 	e.mutex.Lock()
-	shares, polls := e.core.Look(e.config.Now())
+	shares, polls := e.core.Due(e.config.Now())
 	e.mutex.Unlock()
 	for _, share := range shares {
 		e.tomb.Go(func() error {
@@ -160,7 +162,8 @@
 	}
 }
 
-// poll asks one runner for its load. For an ejected runner this is the probe.
+// poll reads the load report of one runner, and of an owned runner also the changes of its cache. For an ejected runner the
+// poll is the probe.
 func (e *Exchange) poll(runner ident.Runner) {
 	defer func() {
 		e.mutex.Lock()
@@ -185,11 +188,11 @@
 	}
 	e.config.Table.ObserveReport(runner, report, now)
 	if own, _ := e.core.owns(runner); own {
-		e.followCache(ctx, runner, target)
+		e.updateCache(ctx, runner, target)
 	}
 }
 
-// pollFailed counts a failed poll against the runner, unless this node is stopping.
+// pollFailed records a failed poll as a failure of the runner, unless this node is stopping.
 func (e *Exchange) pollFailed(runner ident.Runner, err error, now time.Time) {
 	if e.tomb.Alive() && e.config.Table.ObserveFailure(runner, now) {
 		event.RunnerEjected.Log(e.config.Logger).Str("runner", string(runner)).Err(err).Send()
--- a/internal/dispatch/exchange/server.go
+++ b/internal/dispatch/exchange/server.go
@@ -7,10 +7,10 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Online takes a peer's counts and answers with what is news to it of the runners.
+// Online records a peer's counts and returns the states of the runners that are new to the peer.
 func (e *Exchange) Online(_ context.Context, message *dispatchpb.OnlineCounts) (*dispatchpb.RunnerStates, error) {
 	now := e.config.Now()
-	e.core.Counted(message, now)
+	e.core.ObserveCounts(message, now)
 	e.mutex.Lock()
 	reply := e.core.Reply(message, now)
 	e.mutex.Unlock()
@@ -18,13 +18,14 @@
 	return reply, nil
 }
 
-// Share takes the state of runners that a peer owns.
+// Share records the states of runners that a peer owns.
 func (e *Exchange) Share(_ context.Context, message *dispatchpb.RunnerStates) (*dispatchpb.Received, error) {
-	e.core.Take(message, e.config.Now())
+	e.core.ObserveStates(message, e.config.Now())
 	return &dispatchpb.Received{}, nil
 }
 
-// Leaving takes the news that runners take no new work. It is not passed on: who learns it at first hand tells everyone.
+// Leaving records a peer's notification that runners accept no new work. It is not forwarded, because the node that detects
+// it notifies all others.
 func (e *Exchange) Leaving(_ context.Context, message *dispatchpb.LeavingRunners) (*dispatchpb.Received, error) {
 	now := e.config.Now()
 	for _, runner := range message.GetRunners() {
--- a/internal/dispatch/exchange/share.go
+++ b/internal/dispatch/exchange/share.go
@@ -9,7 +9,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// share sends one share.
+// share sends one share and records whether it was delivered.
 func (e *Exchange) share(share Share) {
 	delivered := e.config.Dialer != nil && e.callPeer(share.Peer, "share", share.Message, func(ctx context.Context, client dispatchpb.DRPCRunnerExchangeClient) error {
 		_, err := client.Share(ctx, share.Message)
@@ -17,11 +17,11 @@
 	}) == nil
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.core.Shared(share, delivered, e.config.Now())
+	e.core.ShareSent(share, delivered, e.config.Now())
 }
 
-// leavingLearned tells every peer at once that a runner takes no new work.
-func (e *Exchange) leavingLearned(runner ident.Runner) {
+// notifyLeaving notifies all peers, in the background, that a runner accepts no new work.
+func (e *Exchange) notifyLeaving(runner ident.Runner) {
 	event.RunnerLeaving.Log(e.config.Logger).Str("runner", string(runner)).Send()
 	if e.config.Dialer == nil {
 		return
@@ -31,31 +31,31 @@
 	for worker := range min(leavingSenders, len(peers)) {
 		e.background.Go(func() {
 			for index := worker; index < len(peers); index += leavingSenders {
-				e.tellLeaving(peers[index].Node, message)
+				e.sendLeaving(peers[index].Node, message)
 			}
 		})
 	}
 }
 
-// leavingSenders is how many peers are told at the same time.
+// leavingSenders is the number of peers that are notified concurrently.
 const leavingSenders = 16
 
-// LeavingPauses are the waits before the news is sent again to a peer that could not be reached.
-var LeavingPauses = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
+// leavingRetryDelays are the delays before the notification is sent again to a peer that could not be reached.
+var leavingRetryDelays = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 
-// tellLeaving tells one peer, with a few repeats. A peer that is missed all the same learns it from the owner's share,
-// the machine list, or a refusal by the runner itself.
-func (e *Exchange) tellLeaving(peer ident.Node, message *dispatchpb.LeavingRunners) {
+// sendLeaving notifies one peer, with retries. A peer that is still not reached detects it from the owner's share, the machine
+// list, or a refusal by the runner.
+func (e *Exchange) sendLeaving(peer ident.Node, message *dispatchpb.LeavingRunners) {
 	call := func(ctx context.Context, client dispatchpb.DRPCRunnerExchangeClient) error {
 		_, err := client.Leaving(ctx, message)
 		return err
 	}
-	for _, pause := range LeavingPauses {
+	for _, delay := range leavingRetryDelays {
 		if e.callPeer(peer, "leaving", message, call) == nil {
 			return
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-e.tomb.Dying():
 			return
 		}
@@ -63,8 +63,8 @@
 	_ = e.callPeer(peer, "leaving", message, call)
 }
 
-// callPeer makes one bounded call.
-func (e *Exchange) callPeer(peer ident.Node, kind string, message sized, call func(context.Context, dispatchpb.DRPCRunnerExchangeClient) error) error {
+// callPeer makes one call to a peer with callTimeout, and counts its message.
+func (e *Exchange) callPeer(peer ident.Node, kind string, message sizedMessage, call func(context.Context, dispatchpb.DRPCRunnerExchangeClient) error) error {
 	ctx, cancel := context.WithTimeout(e.tomb.Context(context.Background()), callTimeout)
 	defer cancel()
 	client, err := e.client(ctx, peer)
--- a/internal/dispatch/exchange/shareplan.go
+++ b/internal/dispatch/exchange/shareplan.go
@@ -13,67 +13,69 @@
 )
 
 const (
-	// nearStep and farStep are the changes of a runner's load, in parts of what it can take, that peers in the own zone
-	// and in others are told of.
+	// nearStep and farStep are the minimum changes of a runner's load, as a share of its capacity, that are shared with peers
+	// in the same zone and in other zones.
 	nearStep = 1.0 / 8
 	farStep  = 1.0 / 3
-	// sharePause is the wait before a peer that could not be told is told again.
-	sharePause = 5 * time.Second
-	// farPause is the least time between two shares with a peer in another zone. While a fleet starts, owners claim their
-	// runners one by one, and each would be news to everybody.
-	farPause = 10 * time.Second
-	// maxShares bounds the peers told in one look, those of the own zone first. A start or a refresh of everybody takes about
-	// 20 looks at the design size.
+	// shareRetryDelay is the delay after a failed share before the peer is sent another one.
+	shareRetryDelay = 5 * time.Second
+	// minFarInterval is the minimum time between two shares with a peer in another zone. While the fleet starts, owners claim
+	// runners one after another, and each claim would otherwise cause a share to every node.
+	minFarInterval = 10 * time.Second
+	// maxShares limits the shares of one full check; peers in the same zone have priority. At the design size, sharing with all
+	// nodes after a start or for a refresh takes about 20 checks.
 	maxShares = 16
 )
 
-// sharePlan decides which peers are told the state of the own runners. It is pure but for its own state.
+// sharePlan decides which peers are sent the states of the owned runners. It does no I/O.
 //
-// Invariant: while messages arrive, no peer's picture of a runner is wrong by more than the step of its zone for longer
-// than the share interval, nor in what is loaded for longer than a look, or farPause in other zones; and none is older than the refresh interval, so that
-// whatever went wrong unseen is made good.
+// Invariant: while messages are delivered, a peer's view of the load of a runner is wrong by more than the step of its zone
+// for at most the share interval, and its view of the loaded models for at most one full check, or minFarInterval in other
+// zones. No view is older than the refresh interval, so that undetected errors are corrected.
 type sharePlan struct {
 	intervals Intervals
-	peers     map[ident.Node]*toldPeer
+	peers     map[ident.Node]*sharedPeer
 }
 
-// toldPeer is what one peer was told of the own runners.
-type toldPeer struct {
-	runners map[ident.Runner]toldState
-	// sequence is that of the newest message of counts that the peer sent.
+// sharedPeer is what was shared with one peer.
+type sharedPeer struct {
+	runners map[ident.Runner]sharedState
+	// sequence is the sequence of the peer's newest message of counts.
 	sequence uint64
-	// notBefore is the end of the pause after a failure, and at when the peer was last told anything.
+	// notBefore is the end of the delay after a failed share, and at the time of the last share or reply.
 	notBefore, at time.Time
 }
 
-// toldState is what a peer was told of one runner, and when.
-type toldState struct {
-	gist gist
-	at   time.Time
+// sharedState is the summary of a runner's state that was sent to a peer, and when.
+type sharedState struct {
+	summary summary
+	at      time.Time
 }
 
-// gist is what decides whether a state is worth a message.
-type gist struct {
-	// loaded is a hash over what changes by orders only: models, adapters, sizes and the word of leaving.
+// summary is the part of a state by which a change is judged to be worth a message.
+type summary struct {
+	// loaded is a hash of what only changes by configuration or operation: models, adapters, sizes and whether the runner is
+	// leaving.
 	loaded uint64
-	// load and memory are parts of what the runner can take, 0 to 1 and above if work waits.
+	// load and memory are shares of the runner's capacity. load is above 1 if work waits.
 	load, memory float64
 }
 
 func newSharePlan(intervals Intervals) sharePlan {
-	return sharePlan{intervals: intervals, peers: map[ident.Node]*toldPeer{}}
+	return sharePlan{intervals: intervals, peers: map[ident.Node]*sharedPeer{}}
 }
 
-// gistOf returns the gist of a view that has a report, as it is passed on.
-func gistOf(view *dispatch.RunnerView) gist {
+// summaryOf returns the summary of a view that has a report, as it is shared.
+func summaryOf(view *dispatch.RunnerView) summary {
 	report := view.Shared()
-	return gist{
+	return summary{
 		loaded: loadedHash(&report),
 		load:   float64(report.RunningOnline+report.WaitingOnline) / float64(max(1, report.MaxSequences)),
 		memory: report.MemoryUsed,
 	}
 }
 
+// loadedHash returns the hash for summary.loaded.
 func loadedHash(report *engine.LoadReport) uint64 {
 	var parts []string
 	for _, loaded := range report.Models {
@@ -90,15 +92,15 @@
 	return hash
 }
 
-// due returns the peers to tell now. What they are told is to be noted by told.
-func (s *sharePlan) due(peers []Peer, zone ident.Zone, own map[ident.Runner]gist, now time.Time) []ident.Node {
+// due returns the peers to share with now. The caller records each share by calling sent.
+func (s *sharePlan) due(peers []Peer, zone ident.Zone, own map[ident.Runner]summary, now time.Time) []ident.Node {
 	if len(own) == 0 {
 		return nil
 	}
 	var near, far []ident.Node
 	for _, peer := range peers {
 		switch {
-		case !s.wants(peer, zone, own, now):
+		case !s.isDue(peer, zone, own, now):
 		case peer.Zone == zone:
 			near = append(near, peer.Node)
 		default:
@@ -109,78 +111,81 @@
 	return due[:min(maxShares, len(due))]
 }
 
-func (s *sharePlan) wants(peer Peer, zone ident.Zone, own map[ident.Runner]gist, now time.Time) bool {
-	held, known := s.peers[peer.Node]
+// isDue reports whether the peer is to be sent a share now.
+func (s *sharePlan) isDue(peer Peer, zone ident.Zone, own map[ident.Runner]summary, now time.Time) bool {
+	record, known := s.peers[peer.Node]
 	if !known {
 		return true
 	}
-	if now.Before(held.notBefore) {
+	if now.Before(record.notBefore) {
 		return false
 	}
 	near := peer.Zone == zone
-	if !near && now.Sub(held.at) < farPause {
+	if !near && now.Sub(record.at) < minFarInterval {
 		return false
 	}
 	for runner, current := range own {
-		if s.worth(held.runners[runner], current, near, now) {
+		if s.worthSharing(record.runners[runner], current, near, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// worth says whether a state is worth a message to a peer that was told another.
-func (s *sharePlan) worth(told toldState, current gist, near bool, now time.Time) bool {
+// worthSharing reports whether a state differs enough from the one last sent to the peer, or is old enough, to be shared.
+func (s *sharePlan) worthSharing(shared sharedState, current summary, near bool, now time.Time) bool {
 	interval, refresh, step := s.intervals.ShareFar, s.intervals.RefreshFar, farStep
 	if near {
 		interval, refresh, step = s.intervals.ShareNear, s.intervals.RefreshNear, nearStep
 	}
-	age := now.Sub(told.at)
-	moved := math.Abs(current.load-told.gist.load) >= step || math.Abs(current.memory-told.gist.memory) >= step
-	return current.loaded != told.gist.loaded || age >= refresh || (moved && age >= interval)
+	age := now.Sub(shared.at)
+	moved := math.Abs(current.load-shared.summary.load) >= step || math.Abs(current.memory-shared.summary.memory) >= step
+	return current.loaded != shared.summary.loaded || age >= refresh || (moved && age >= interval)
 }
 
-// news says whether a state is worth its bytes in a reply that is sent anyway: half of the near step is enough.
-func (s *sharePlan) news(peer ident.Node, runner ident.Runner, current gist, now time.Time) bool {
-	told := s.peer(peer).runners[runner]
-	moved := math.Abs(current.load-told.gist.load) >= nearStep/2 || math.Abs(current.memory-told.gist.memory) >= nearStep/2
-	return moved || current.loaded != told.gist.loaded || now.Sub(told.at) >= s.intervals.RefreshNear
+// worthReplying reports whether a state is to be included in a reply, which is sent in any case. The threshold is half of
+// nearStep, because only the bytes of the state are added.
+func (s *sharePlan) worthReplying(peer ident.Node, runner ident.Runner, current summary, now time.Time) bool {
+	shared := s.peer(peer).runners[runner]
+	moved := math.Abs(current.load-shared.summary.load) >= nearStep/2 || math.Abs(current.memory-shared.summary.memory) >= nearStep/2
+	return moved || current.loaded != shared.summary.loaded || now.Sub(shared.at) >= s.intervals.RefreshNear
 }
 
-// told notes that a peer is being told of runners.
-func (s *sharePlan) told(peer ident.Node, states map[ident.Runner]gist, now time.Time) {
-	held := s.peer(peer)
-	held.at = now
+// sent records the states that are being sent to a peer.
+func (s *sharePlan) sent(peer ident.Node, states map[ident.Runner]summary, now time.Time) {
+	record := s.peer(peer)
+	record.at = now
 	for runner, current := range states {
-		held.runners[runner] = toldState{gist: current, at: now}
+		record.runners[runner] = sharedState{summary: current, at: now}
 	}
 }
 
-// newest takes in the sequence of a peer's message and says whether it is the newest.
+// newest records the sequence of a peer's message and reports whether it is the newest.
 func (s *sharePlan) newest(peer ident.Node, sequence uint64) bool {
-	held := s.peer(peer)
-	if sequence <= held.sequence {
+	record := s.peer(peer)
+	if sequence <= record.sequence {
 		return false
 	}
-	held.sequence = sequence
+	record.sequence = sequence
 	return true
 }
 
-func (s *sharePlan) peer(peer ident.Node) *toldPeer {
-	held, known := s.peers[peer]
+// peer returns the record of a peer, which it creates if there is none.
+func (s *sharePlan) peer(peer ident.Node) *sharedPeer {
+	record, known := s.peers[peer]
 	if !known {
-		held = &toldPeer{runners: map[ident.Runner]toldState{}}
-		s.peers[peer] = held
+		record = &sharedPeer{runners: map[ident.Runner]sharedState{}}
+		s.peers[peer] = record
 	}
-	return held
+	return record
 }
 
-// failed notes that a peer may not have been told after all: it is told everything again after a pause.
+// failed records that a share may not have been delivered. All states are sent again after shareRetryDelay.
 func (s *sharePlan) failed(peer ident.Node, now time.Time) {
-	held := s.peer(peer)
-	clear(held.runners)
-	held.notBefore = now.Add(sharePause)
+	record := s.peer(peer)
+	clear(record.runners)
+	record.notBefore = now.Add(shareRetryDelay)
 }
 
-// forget drops a peer that takes part no more. One that comes back is told everything.
+// forget removes a peer that is no longer a member. If it returns, all states are sent.
 func (s *sharePlan) forget(peer ident.Node) { delete(s.peers, peer) }
--- a/internal/dispatch/exchange/state.go
+++ b/internal/dispatch/exchange/state.go
@@ -10,7 +10,7 @@
 
 const permille = 1000
 
-// encodeState writes a view that has a report.
+// encodeState encodes a view that has a report.
 func encodeState(view *dispatch.RunnerView) *dispatchpb.RunnerState {
 	report := view.Shared()
 	state := &dispatchpb.RunnerState{
@@ -34,7 +34,7 @@
 	return state
 }
 
-// decodeState reads a state. What the owner knows beyond the engine's report counts as running.
+// decodeState decodes a state. Online requests that the owner knows in excess of the engine's report count as running.
 func decodeState(state *dispatchpb.RunnerState, now time.Time) engine.LoadReport {
 	report := engine.LoadReport{
 		Measured:      now.Add(-time.Duration(state.GetAgeMilliseconds()) * time.Millisecond),
--- a/internal/dispatch/exchange/wire_test.go
+++ b/internal/dispatch/exchange/wire_test.go
@@ -21,15 +21,15 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// wire is a fleet of exchanges joined by real drpc over pipes. Node "owner" owns every runner.
-type wire struct {
+// drpcFleet is a fleet of exchanges connected by drpc over in-memory pipes. Node "owner" owns every runner.
+type drpcFleet struct {
 	t     *testing.T
 	nodes map[ident.Node]*Exchange
-	// engines are those of every node; nil means that none can be reached.
+	// engines are the engines of every node; nil means that none is reachable.
 	engines dispatch.Engines
 }
 
-func (w *wire) Conn(_ context.Context, node ident.Node) (drpc.Conn, error) {
+func (w *drpcFleet) Conn(_ context.Context, node ident.Node) (drpc.Conn, error) {
 	target, known := w.nodes[node]
 	if !known {
 		return nil, transport.ErrUnknownNode
@@ -45,25 +45,25 @@
 	return drpcconn.New(near), nil
 }
 
-// member is one node's view of the fleet.
-type member struct{ others []Peer }
+// staticPeers implements Peers. Node "owner" owns every runner.
+type staticPeers struct{ others []Peer }
 
-func (m member) Owner(ident.Runner) (ident.Node, bool) { return "owner", true }
-func (m member) Peers() []Peer                         { return m.others }
+func (m staticPeers) Owner(ident.Runner) (ident.Node, bool) { return "owner", true }
+func (m staticPeers) Peers() []Peer                         { return m.others }
 
-// noEngines is a machine whose engines can't be reached.
+// noEngines has no engine for any runner.
 type noEngines struct{}
 
 func (noEngines) Engine(ident.Runner) (engine.Engine, bool) { return nil, false }
 
-func (w *wire) add(node ident.Node, others ...Peer) *dispatch.Table {
+func (w *drpcFleet) add(node ident.Node, others ...Peer) *dispatch.Table {
 	table := dispatch.NewTable()
 	table.SetMachines(machine.List{Runners: []machine.Runner{{ID: "r", Zone: "a", State: machine.Live}}}, time.Now())
 	engines := w.engines
 	if engines == nil {
 		engines = noEngines{}
 	}
-	created := New(Config{Node: node, Zone: "a", Table: table, Engines: engines, Peers: member{others}, Dialer: w, Intervals: Intervals{ShareNear: time.Hour}})
+	created := New(Config{Node: node, Zone: "a", Table: table, Engines: engines, Peers: staticPeers{others}, Dialer: w, Intervals: Intervals{ShareNear: time.Hour}})
 	w.nodes[node] = created
 	created.Start()
 	w.t.Cleanup(func() { assert.Check(w.t, created.Stop()) })
@@ -80,10 +80,10 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-// TestCountsAndNewsOverTheWire lets a dispatcher start and end online work on a runner another node owns, and the owner
-// learn that the runner is leaving.
-func TestCountsAndNewsOverTheWire(t *testing.T) {
-	fleet := &wire{t: t, nodes: map[ident.Node]*Exchange{}}
+// TestCountsAndNotificationsOverDRPC checks that an owner receives the counts of another node that starts and ends online work,
+// that the replies carry newer reports, and that the other node is notified that the runner is leaving.
+func TestCountsAndNotificationsOverDRPC(t *testing.T) {
+	fleet := &drpcFleet{t: t, nodes: map[ident.Node]*Exchange{}}
 	owner := fleet.add("owner", Peer{"other", "a"})
 	other := fleet.add("other", Peer{"owner", "a"})
 	owner.ObserveReport("r", engine.LoadReport{Measured: time.Now(), MaxSequences: 64, Models: []engine.LoadedModel{{Name: "m"}}}, time.Now())
@@ -95,7 +95,8 @@
 	other.Start("r", nil)
 	eventually(t, "owner knows of two", func() bool { return inFlight() == 2 })
 	eventually(t, "the other node knows the runner", func() bool { return other.Reported() == 1 })
-	// The one share of this test has been sent by now or carries the first report: a newer one comes by a reply alone.
+	// ShareNear allows only one share in this test, which is already sent or carries the first report. The newer report can
+	// only arrive in a reply.
 	owner.ObserveReport("r", engine.LoadReport{Measured: time.Now(), MaxSequences: 32, Models: []engine.LoadedModel{{Name: "m"}}}, time.Now())
 	other.Start("r", nil)
 	eventually(t, "a reply brought the newer report", func() bool {
@@ -107,7 +108,7 @@
 	other.End("r")
 	eventually(t, "owner knows of none", func() bool { return inFlight() == 0 })
 	owner.ObserveLeaving("r", true, time.Now())
-	eventually(t, "the other node knows that it leaves", func() bool {
+	eventually(t, "the other node knows that the runner is leaving", func() bool {
 		view, _ := other.Runner("r", time.Now())
 		return view.Leaving
 	})
--- a/internal/dispatch/fake_test.go
+++ b/internal/dispatch/fake_test.go
@@ -17,49 +17,49 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// script draws what goes wrong; each name is one decision.
+// script draws a fault or another choice; each name is one decision.
 type script func(name string, choices int) int
 
-// world holds the engines of one test and counts what truly ran.
-type world struct {
+// fleet holds the engines of one test and counts the requests that actually ran.
+type fleet struct {
 	mutex  sync.Mutex
 	script script
 	tokens int
-	// runs counts the runs of each request over all engines.
+	// runs counts the runs of each request on all engines.
 	runs    map[ident.Request]int
 	engines map[ident.Runner]*fakeEngine
-	// onChunk is called before each chunk is given, onWait before one that its reader was not told to be at hand.
+	// onChunk is called before each chunk is returned, onWait before one that was not reported as ready.
 	onChunk, onWait func()
 }
 
-func newWorld(tokens int, runners []ident.Runner, drawn script) *world {
-	created := &world{script: drawn, tokens: tokens, runs: map[ident.Request]int{}, engines: map[ident.Runner]*fakeEngine{}}
+func newFleet(tokens int, runners []ident.Runner, drawn script) *fleet {
+	created := &fleet{script: drawn, tokens: tokens, runs: map[ident.Request]int{}, engines: map[ident.Runner]*fakeEngine{}}
 	for _, runner := range runners {
-		created.engines[runner] = &fakeEngine{world: created, name: runner, kept: map[ident.Request]string{}, live: map[ident.Request]bool{}}
+		created.engines[runner] = &fakeEngine{fleet: created, name: runner, buffered: map[ident.Request]string{}, live: map[ident.Request]bool{}}
 	}
 	return created
 }
 
-// draw is for callers that do not hold the mutex.
-func (w *world) draw(name string, choices int) int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.script(name, choices)
+// draw calls the script for callers that do not hold the mutex.
+func (f *fleet) draw(name string, choices int) int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.script(name, choices)
 }
 
-func (w *world) Engine(runner ident.Runner) (engine.Engine, bool) {
-	found, known := w.engines[runner]
+func (f *fleet) Engine(runner ident.Runner) (engine.Engine, bool) {
+	found, known := f.engines[runner]
 	return found, known
 }
 
 // fakeEngine is one scripted engine.
 type fakeEngine struct {
 	engine.Engine
-	world *world
+	fleet *fleet
 	name  ident.Runner
-	// kept holds the label of the run of each request whose tokens the engine has.
-	kept map[ident.Request]string
-	// live holds the requests whose run neither ended nor was aborted.
+	// buffered holds the label of the run of each request whose tokens the engine buffers.
+	buffered map[ident.Request]string
+	// live holds the requests whose run has neither ended nor been aborted.
 	live  map[ident.Request]bool
 	calls int
 }
@@ -70,14 +70,14 @@
 
 var refusals = []failure.Kind{engine.ErrUnreachable, engine.ErrBusy, engine.ErrLeaving, engine.ErrModelNotLoaded, engine.ErrRejected}
 
-// Generate runs the request, refuses it, or loses the answer before or after it began.
+// Generate runs the request, refuses it, or fails before or after the request started.
 func (e *fakeEngine) Generate(ctx context.Context, call engine.Call) (engine.Stream, error) {
-	e.world.mutex.Lock()
-	defer e.world.mutex.Unlock()
+	e.fleet.mutex.Lock()
+	defer e.fleet.mutex.Unlock()
 	e.calls++
-	switch e.world.script("generate", 4) {
+	switch e.fleet.script("generate", 4) {
 	case 1:
-		return nil, refusal(refusals[e.world.script("refusal", len(refusals))])
+		return nil, refusal(refusals[e.fleet.script("refusal", len(refusals))])
 	case 2:
 		return nil, &engine.AttemptError{Outcome: outcome.Unknown, Cause: engine.ErrBroken}
 	case 3:
@@ -87,55 +87,55 @@
 	return e.stream(ctx, call.Request.ID, e.begin(call.Request), 0), nil
 }
 
-// begin counts a run. Runs of a request that is not deterministic differ in their tokens.
+// begin records a run and returns its label. Runs of a request that is not deterministic differ in their tokens.
 func (e *fakeEngine) begin(request *inference.Request) string {
-	e.world.runs[request.ID]++
+	e.fleet.runs[request.ID]++
 	label := "same"
 	if !request.Deterministic {
-		label = fmt.Sprint("run", e.world.runs[request.ID])
+		label = fmt.Sprint("run", e.fleet.runs[request.ID])
 	}
-	e.kept[request.ID] = label
+	e.buffered[request.ID] = label
 	e.live[request.ID] = true
 	return label
 }
 
-// Resume reads on from a kept run, or fails.
+// Resume returns the rest of a buffered run, or fails.
 func (e *fakeEngine) Resume(ctx context.Context, request ident.Request, offset int) (engine.Stream, error) {
-	e.world.mutex.Lock()
-	defer e.world.mutex.Unlock()
-	switch e.world.script("resume", 4) {
+	e.fleet.mutex.Lock()
+	defer e.fleet.mutex.Unlock()
+	switch e.fleet.script("resume", 4) {
 	case 1:
 		return nil, engine.ErrUnreachable
 	case 2:
 		return nil, engine.ErrBroken
 	}
-	label, held := e.kept[request]
-	if !held {
+	label, stored := e.buffered[request]
+	if !stored {
 		return nil, engine.ErrGone
 	}
 	return e.stream(ctx, request, label, offset), nil
 }
 
 func (e *fakeEngine) Abort(_ context.Context, request ident.Request, _ bool) error {
-	e.world.mutex.Lock()
-	defer e.world.mutex.Unlock()
+	e.fleet.mutex.Lock()
+	defer e.fleet.mutex.Unlock()
 	e.live[request] = false
 	return nil
 }
 
 func (e *fakeEngine) ended(request ident.Request) {
-	e.world.mutex.Lock()
-	defer e.world.mutex.Unlock()
+	e.fleet.mutex.Lock()
+	defer e.fleet.mutex.Unlock()
 	e.live[request] = false
 }
 
-// stream lays out the chunks from an offset and then damages them.
+// stream returns the chunks from an offset, with faults applied.
 func (e *fakeEngine) stream(ctx context.Context, request ident.Request, label string, offset int) *fakeStream {
 	var chunks []inference.Chunk
-	total := e.world.tokens
+	total := e.fleet.tokens
 	chunks = append(chunks, inference.Chunk{Offset: offset, Data: textChunk("")})
 	for at := offset; at < total; {
-		length := min(total-at, 1+e.world.script("length", 2))
+		length := min(total-at, 1+e.fleet.script("length", 2))
 		text := ""
 		for token := at; token < at+length; token++ {
 			text += tokenText(label, token)
@@ -150,14 +150,14 @@
 	return &fakeStream{ctx: ctx, engine: e, request: request, chunks: e.damage(chunks)}
 }
 
-// damage repeats, reorders, drops or cuts chunks.
+// damage duplicates, reorders, drops or truncates chunks.
 func (e *fakeEngine) damage(chunks []inference.Chunk) []inference.Chunk {
-	at := e.world.script("damage at", len(chunks))
-	switch e.world.script("damage", 6) {
+	at := e.fleet.script("damage at", len(chunks))
+	switch e.fleet.script("damage", 6) {
 	case 1:
 		return append(chunks[:at+1:at+1], chunks[at:]...)
 	case 2:
-		other := e.world.script("swap with", len(chunks))
+		other := e.fleet.script("swap with", len(chunks))
 		chunks[at], chunks[other] = chunks[other], chunks[at]
 	case 3:
 		return append(chunks[:at:at], chunks[at+1:]...)
@@ -171,7 +171,7 @@
 
 func tokenText(label string, token int) string { return fmt.Sprintf("<%s:%d>", label, token) }
 
-// expectedText is the whole answer of a run.
+// expectedText returns the whole answer of a run.
 func expectedText(label string, tokens int) string {
 	text := ""
 	for token := range tokens {
@@ -185,30 +185,30 @@
 	return data
 }
 
-// fakeStream gives chunks and then breaks, unless the final one was among them.
+// fakeStream returns chunks and then fails, unless the final one was among them.
 type fakeStream struct {
 	ctx     context.Context
 	engine  *fakeEngine
 	request ident.Request
 	chunks  []inference.Chunk
 	final   bool
-	// ready is the last answer of Ready.
+	// ready is the last result of Ready.
 	ready bool
 }
 
-// Ready implements engine.ReadyStream; what is at hand is drawn.
+// Ready implements engine.ReadyStream with a drawn result.
 func (s *fakeStream) Ready() bool {
-	s.ready = len(s.chunks) > 0 && s.engine.world.draw("ready", 2) == 1
+	s.ready = len(s.chunks) > 0 && s.engine.fleet.draw("ready", 2) == 1
 	return s.ready
 }
 
 func (s *fakeStream) Next() (inference.Chunk, error) {
-	if !s.ready && s.engine.world.onWait != nil {
-		s.engine.world.onWait()
+	if !s.ready && s.engine.fleet.onWait != nil {
+		s.engine.fleet.onWait()
 	}
 	s.ready = false
-	if s.engine.world.onChunk != nil {
-		s.engine.world.onChunk()
+	if s.engine.fleet.onChunk != nil {
+		s.engine.fleet.onChunk()
 	}
 	if s.ctx.Err() != nil {
 		return inference.Chunk{}, fmt.Errorf("%w: %w", engine.ErrBroken, s.ctx.Err())
@@ -216,7 +216,7 @@
 	if len(s.chunks) == 0 && s.final {
 		return inference.Chunk{}, io.EOF
 	}
-	if len(s.chunks) == 0 && s.engine.world.draw("cut", 2) == 1 {
+	if len(s.chunks) == 0 && s.engine.fleet.draw("cut", 2) == 1 {
 		return inference.Chunk{}, io.EOF
 	}
 	if len(s.chunks) == 0 {
@@ -233,7 +233,7 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// textSink joins the text of chunks, as a caller would.
+// textSink joins the text of chunks, as a caller would, and fails once the text is longer than limit, if that is not 0.
 type textSink struct {
 	text  string
 	final bool
@@ -241,7 +241,7 @@
 	limit int
 }
 
-// errCallerGone stands for a broken connection to the caller.
+// errCallerGone represents a broken connection to the caller.
 const errCallerGone = failure.Kind("caller gone")
 
 func (s *textSink) Chunk(chunk inference.Chunk) error {
@@ -265,36 +265,36 @@
 	return nil
 }
 
-// keepingSink is a textSink that keeps buffered chunks; only what was sent counts.
-type keepingSink struct {
+// bufferingSink is a textSink that buffers chunks and joins only those that were sent.
+type bufferingSink struct {
 	textSink
-	kept []inference.Chunk
+	buffered []inference.Chunk
 }
 
-func (s *keepingSink) Buffer(chunk inference.Chunk) error {
+func (s *bufferingSink) Buffer(chunk inference.Chunk) error {
 	chunk.Data = slices.Clone(chunk.Data)
-	s.kept = append(s.kept, chunk)
+	s.buffered = append(s.buffered, chunk)
 	return nil
 }
 
-func (s *keepingSink) Chunk(chunk inference.Chunk) error {
+func (s *bufferingSink) Chunk(chunk inference.Chunk) error {
 	if err := s.Flush(); err != nil {
 		return err
 	}
 	return s.textSink.Chunk(chunk)
 }
 
-func (s *keepingSink) Flush() error {
-	for _, chunk := range s.kept {
+func (s *bufferingSink) Flush() error {
+	for _, chunk := range s.buffered {
 		if err := s.textSink.Chunk(chunk); err != nil {
 			return err
 		}
 	}
-	s.kept = nil
+	s.buffered = nil
 	return nil
 }
 
-// fakeLedger is a ledger in memory whose calls may fail.
+// fakeLedger is an in-memory ledger whose calls may fail.
 type fakeLedger struct {
 	mutex   sync.Mutex
 	script  script
@@ -307,13 +307,13 @@
 	if l.script("begin", 4) == 1 {
 		return ledger.Entry{}, failure.New(failure.CodeShardUnavailable, "no leader")
 	}
-	held, known := l.entries[key]
-	if known && held.State != 0 {
-		return *held, nil
+	stored, known := l.entries[key]
+	if known && stored.State != 0 {
+		return *stored, nil
 	}
 	attempt := uint64(1)
 	if known {
-		attempt = held.Attempt + 1
+		attempt = stored.Attempt + 1
 	}
 	l.entries[key] = &ledger.Entry{State: ledger.InProgress, Attempt: attempt}
 	return ledger.Entry{State: ledger.Started, Attempt: attempt}, nil
@@ -325,9 +325,9 @@
 	if l.script("end", 4) == 1 {
 		return failure.New(failure.CodeShardUnavailable, "no leader")
 	}
-	held := l.entries[key]
-	if held.Attempt == attempt && held.State == ledger.InProgress {
-		held.State, held.Answer = state, answer
+	stored := l.entries[key]
+	if stored.Attempt == attempt && stored.State == ledger.InProgress {
+		stored.State, stored.Answer = state, answer
 	}
 	return nil
 }
@@ -344,7 +344,7 @@
 	return l.end(key, attempt, ledger.OutcomeUnknown, ledger.Answer{})
 }
 
-// clock is a time that only tests move.
+// clock is a clock that only advances when a test calls Advance.
 type clock struct {
 	mutex sync.Mutex
 	time  time.Time
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -16,26 +16,26 @@
 	"mallowlatch.example/mallowlatch/internal/schedule"
 )
 
-// errDeadline is the cause of a context that ended by the request's own deadline.
+// errDeadline is the cause of a context that ended at the request's deadline.
 const errDeadline = failure.Kind("dispatch: deadline passed")
 
-// flight is one request on its way through its attempts. It belongs to one goroutine.
+// flight is the state of one request across its attempts. It is not safe for concurrent use.
 type flight struct {
 	dispatcher *Dispatcher
 	request    *inference.Request
 	sink       Sink
 	position   answer.Position
-	// sent is true once the sink has taken a chunk that it cannot forget.
+	// sent is true once the sink has received a chunk that it cannot discard.
 	sent     bool
 	attempts int
-	// begun is when the running attempt began; zero once its first chunk has come.
-	begun time.Time
-	tried []ident.Runner
-	// outcome joins the outcomes of all attempts so far.
+	// attemptStart is when the current attempt started; zero once its first chunk has arrived.
+	attemptStart time.Time
+	tried        []ident.Runner
+	// outcome combines the outcomes of all attempts so far.
 	outcome outcome.Outcome
 }
 
-// run tries runners until one gives the whole answer or no further attempt is allowed.
+// run tries runners until one returns the whole answer or no further attempt is allowed.
 func (f *flight) run(ctx context.Context) *failure.Error {
 	var failed *attemptFailure
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// choose picks a runner that was not tried yet.
+// choose returns a runner that was not tried yet, or a refusal.
 func (f *flight) choose() (ident.Runner, *schedule.Refusal) {
 	d := f.dispatcher
 	now := d.config.Now()
@@ -88,7 +88,7 @@
 
 func (f *flight) wasTried(runner ident.Runner) bool { return slices.Contains(f.tried, runner) }
 
-// contextFailure states why the request ended from the caller's side, or nil if it did not.
+// contextFailure returns the failure if the request's context ended, or nil if it did not.
 func (f *flight) contextFailure(ctx context.Context) *failure.Error {
 	if ctx.Err() == nil {
 		return nil
@@ -99,10 +99,10 @@
 	return failure.New(failure.CodeCancelled, "the caller has gone").WithOutcome(f.outcome)
 }
 
-// mayRetry decides whether another runner may take the request.
+// mayRetry reports whether the request may be sent to another runner.
 //
-// Invariant: a request that may have run goes to another runner only if it is repeatable and the caller cannot notice:
-// nothing was sent, or a second run gives the same tokens.
+// Invariant: a request that may have run is sent to another runner only if it is repeatable and the caller cannot notice it:
+// nothing was sent to the caller, or a second run returns the same tokens.
 func (f *flight) mayRetry(failed *attemptFailure) bool {
 	if failed.final || f.attempts >= f.dispatcher.config.Limits.Attempts {
 		return false
@@ -119,7 +119,8 @@
 	return f.request.Deterministic
 }
 
-// restart goes back to the start of the answer if nothing of it has reached the caller.
+// restart resets the position to the start of the answer if the sink can discard what it received. It reports whether
+// nothing was sent to the caller.
 func (f *flight) restart() bool {
 	resetter, able := f.sink.(answer.Resetter)
 	if able && resetter.Reset() {
@@ -129,7 +130,7 @@
 	return !f.sent
 }
 
-// final turns the failure of the last attempt into what the caller sees. The outcome is that of all attempts.
+// final converts the failure of the last attempt to the error for the caller, with the combined outcome of all attempts.
 func (f *flight) final(failed *attemptFailure) *failure.Error {
 	result := f.describe(failed).WithCause(failed.cause).WithOutcome(f.outcome)
 	if result.RetryAfter == 0 && failed.retryAfter > 0 {
@@ -138,9 +139,10 @@
 	return result
 }
 
-// giveUpRetryAfter is the advice when every attempt failed.
+// giveUpRetryAfter is the retry delay sent when every attempt failed.
 const giveUpRetryAfter = time.Second
 
+// describe returns the error code and message for the failure of the last attempt.
 func (f *flight) describe(failed *attemptFailure) *failure.Error {
 	switch {
 	case errors.Is(failed.cause, engine.ErrRejected):
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -4,30 +4,31 @@
 
 // Parameters of outlier ejection.
 const (
-	// failuresToEject is the number of failures in a row that takes a runner out of use.
+	// failuresToEject is the number of consecutive failures after which a runner is ejected.
 	failuresToEject = 3
-	// firstEjection is how long the first ejection lasts at least; each further one doubles, up to longestEjection.
-	firstEjection   = time.Second
-	longestEjection = 30 * time.Second
-	// slowStartTime is how long a recovered or fresh runner takes to get its full share of work.
+	// firstEjection is the minimum duration of the first ejection. It doubles with each further one, up to maxEjection.
+	firstEjection = time.Second
+	maxEjection   = 30 * time.Second
+	// slowStartTime is how long the share of a recovered or new runner takes to rise to 1.
 	slowStartTime = 10 * time.Second
-	// slowStartFloor is the share a runner starts with.
-	slowStartFloor = 0.1
-	// ejectionMemory is how long a runner must work without failure before an ejection counts as its first again.
-	ejectionMemory = time.Minute
+	// minSlowStartShare is the share of its capacity with which a runner starts.
+	minSlowStartShare = 0.1
+	// ejectionResetTime is the time since the start of the last slow start after which an ejection counts as the first again.
+	ejectionResetTime = time.Minute
 )
 
-// health is the state of one runner as its failures show it. The zero value is a healthy runner at full share.
+// health is the ejection and slow-start state of one runner. The zero value is a healthy runner with full share.
 type health struct {
 	failures     int
 	ejections    int
 	ejected      bool
 	ejectedUntil time.Time
-	// startedAt is when the slow start began; zero means that there is none.
+	// startedAt is when the slow start began; zero means that there was none.
 	startedAt time.Time
 }
 
-// failed records a failure that points at the runner or the way to it.
+// failed records a failure caused by the runner or by the connection to it. During the slow start after an ejection a single
+// failure ejects the runner again.
 func (h *health) failed(now time.Time) {
 	if h.ejected {
 		return
@@ -37,7 +38,7 @@
 	if h.failures < failuresToEject && !recovering {
 		return
 	}
-	if !h.startedAt.IsZero() && now.Sub(h.startedAt) > ejectionMemory {
+	if !h.startedAt.IsZero() && now.Sub(h.startedAt) > ejectionResetTime {
 		h.ejections = 0
 	}
 	h.ejected = true
@@ -45,9 +46,10 @@
 	h.ejections++
 }
 
+// ejectionTime returns the minimum duration of an ejection after a number of earlier ones.
 func ejectionTime(earlier int) time.Duration {
-	const mostDoublings = 5
-	return min(longestEjection, firstEjection<<min(earlier, mostDoublings))
+	const maxDoublings = 5
+	return min(maxEjection, firstEjection<<min(earlier, maxDoublings))
 }
 
 // succeeded records a request that the runner answered.
@@ -56,7 +58,7 @@
 // probeDue reports whether an ejected runner should be probed.
 func (h *health) probeDue(now time.Time) bool { return h.ejected && !now.Before(h.ejectedUntil) }
 
-// probed records the result of a probe. Success ends the ejection and begins a slow start.
+// probed records the result of a probe. Success ends the ejection and starts a slow start; failure extends the ejection.
 func (h *health) probed(now time.Time, succeeded bool) {
 	if !h.ejected {
 		return
@@ -71,11 +73,11 @@
 	h.startedAt = now
 }
 
-// share returns the share of its capacity the runner may use, slowStartFloor to 1.
+// share returns the share of its capacity that the runner may use, from minSlowStartShare to 1.
 func (h *health) share(now time.Time) float64 {
 	if h.startedAt.IsZero() {
 		return 1
 	}
 	elapsed := now.Sub(h.startedAt)
-	return min(1, max(slowStartFloor, elapsed.Seconds()/slowStartTime.Seconds()))
+	return min(1, max(minSlowStartShare, elapsed.Seconds()/slowStartTime.Seconds()))
 }
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -14,7 +14,8 @@
 
 var begin = time.Unix(1_800_000_000, 0)
 
-// TestOutlierIsEjectedProbedAndStartsSlowly walks one runner through its states.
+// TestOutlierIsEjectedProbedAndStartsSlowly checks ejection after consecutive failures, the doubled ejection after a failed
+// probe, the slow start after a successful one, and that one failure during the slow start ejects the runner again.
 func TestOutlierIsEjectedProbedAndStartsSlowly(t *testing.T) {
 	var tested health
 	now := begin
@@ -23,7 +24,7 @@
 	tested.succeeded()
 	tested.failed(now)
 	tested.failed(now)
-	assert.Assert(t, !tested.ejected, "a success between failures counts")
+	assert.Assert(t, !tested.ejected, "a success did not reset the failure count")
 	tested.failed(now)
 	assert.Assert(t, tested.ejected)
 	assert.Assert(t, !tested.probeDue(now.Add(firstEjection/2)))
@@ -35,14 +36,14 @@
 	assert.Assert(t, tested.probeDue(now))
 	tested.probed(now, true)
 	assert.Assert(t, !tested.ejected)
-	assert.Equal(t, tested.share(now), slowStartFloor)
+	assert.Equal(t, tested.share(now), minSlowStartShare)
 	assert.Equal(t, tested.share(now.Add(slowStartTime/2)), 0.5)
 	assert.Equal(t, tested.share(now.Add(slowStartTime)), 1.0)
 	tested.failed(now.Add(time.Second))
-	assert.Assert(t, tested.ejected, "a failure while it recovers ejects at once")
+	assert.Assert(t, tested.ejected, "a failure during the slow start did not eject the runner")
 }
 
-// TestRetriesAreAShareOfTraffic spends whenever it can.
+// TestRetriesAreAShareOfTraffic checks that a node that retries whenever it can stays within the reserve and its share.
 func TestRetriesAreAShareOfTraffic(t *testing.T) {
 	budget := NewRetryBudget(DefaultRetryShare)
 	retries := 0
@@ -56,7 +57,8 @@
 	assert.Assert(t, retries >= 200)
 }
 
-// TestEachSourceAloneMarksLeaving takes the four sources one by one, and each back again.
+// TestEachSourceAloneMarksLeaving checks that each of four sources alone marks a runner as leaving and can be revoked, and
+// that all but the operator's drain notify peers, once.
 func TestEachSourceAloneMarksLeaving(t *testing.T) {
 	list := func(state machine.State) machine.List {
 		return machine.List{Runners: []machine.Runner{{ID: "r", State: state}}}
@@ -86,13 +88,13 @@
 	for name, source := range sources {
 		table := NewTable()
 		table.SetMachines(list(machine.Live), begin)
-		told := 0
-		table.OnLeaving(func(ident.Runner) { told++ })
+		notified := 0
+		table.OnLeaving(func(ident.Runner) { notified++ })
 		assert.Assert(t, !isLeaving(t, table, begin), name)
 		source.mark(table)
 		source.mark(table)
 		assert.Assert(t, isLeaving(t, table, begin), name)
-		assert.Equal(t, told, map[bool]int{true: 0, false: 1}[name == "operator drain"], "%s: peers told", name)
+		assert.Equal(t, notified, map[bool]int{true: 0, false: 1}[name == "operator drain"], "%s: notifications of peers", name)
 		source.unmark(table)
 		assert.Assert(t, !isLeaving(t, table, later), name)
 	}
@@ -105,15 +107,15 @@
 	return view.Leaving
 }
 
-// TestPeerCountsRunOutAndIgnoreOldMessages covers messages that overtake each other and peers that die.
-func TestPeerCountsRunOutAndIgnoreOldMessages(t *testing.T) {
+// TestPeerCountsExpireAndIgnoreOldMessages checks messages that arrive out of order and peers that fail or restart.
+func TestPeerCountsExpireAndIgnoreOldMessages(t *testing.T) {
 	var tested peerCounts
 	assert.Assert(t, tested.set("p", 5, 3, begin))
-	assert.Assert(t, !tested.set("p", 4, 9, begin), "an older message counts")
+	assert.Assert(t, !tested.set("p", 4, 9, begin), "an older message was accepted")
 	assert.Equal(t, tested.sum(begin), 3)
-	assert.Assert(t, !tested.set("p", 6, 2, begin), "a fall is no rise")
+	assert.Assert(t, !tested.set("p", 6, 2, begin), "a decrease was reported as a rise")
 	assert.Assert(t, tested.set("q", 1, 1, begin.Add(time.Second)))
 	assert.Equal(t, tested.sum(begin.Add(time.Second)), 3)
-	assert.Equal(t, tested.sum(begin.Add(hintTime)), 1)
-	assert.Assert(t, tested.set("p", 1, 1, begin.Add(hintTime)), "a peer that restarted counts again")
+	assert.Equal(t, tested.sum(begin.Add(peerCountTTL)), 1)
+	assert.Assert(t, tested.set("p", 1, 1, begin.Add(peerCountTTL)), "the count of a restarted peer was ignored")
 }
--- a/internal/dispatch/inflight.go
+++ b/internal/dispatch/inflight.go
@@ -8,10 +8,10 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// ErrDrainTimeout means that requests were still in flight when the drain had to end.
+// ErrDrainTimeout means that requests were still in flight at the end of the drain time-out.
 const ErrDrainTimeout = failure.Kind("dispatch: requests still in flight")
 
-// inFlight counts running requests and closes the door on new ones. The zero value is open.
+// inFlight counts running requests and can refuse new ones. The zero value accepts requests.
 type inFlight struct {
 	mutex   sync.Mutex
 	running int
@@ -19,7 +19,7 @@
 	empty   chan struct{}
 }
 
-// enter counts a new request, or reports that the door is closed.
+// enter counts a new request, or returns false if new requests are refused.
 func (f *inFlight) enter() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -37,7 +37,7 @@
 	f.signal()
 }
 
-// signal wakes the drain once nothing runs.
+// signal wakes the drain when no request is running. The caller holds the lock.
 func (f *inFlight) signal() {
 	if f.closed && f.running == 0 && f.empty != nil {
 		close(f.empty)
@@ -51,17 +51,18 @@
 	return f.running
 }
 
-// drain closes the door and waits until nothing runs.
+// drain refuses new requests and waits until no request is running or ctx is done.
 func (f *inFlight) drain(ctx context.Context) error {
 	select {
-	case <-f.shut():
+	case <-f.refuseNew():
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %d", ErrDrainTimeout, f.count())
 	}
 }
 
-func (f *inFlight) shut() <-chan struct{} {
+// refuseNew refuses new requests and returns a channel that is closed when no request is running.
+func (f *inFlight) refuseNew() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closed = true
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -6,7 +6,7 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// metrics counts what the dispatcher does.
+// metrics holds the dispatcher's counters.
 type metrics struct {
 	requests *prometheus.CounterVec
 	attempts *prometheus.CounterVec
--- a/internal/dispatch/once.go
+++ b/internal/dispatch/once.go
@@ -14,13 +14,14 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// inProgressRetryAfter is the advice for a resend of a request that still runs.
+// inProgressRetryAfter is the retry delay sent for a resend of a request that is still in progress.
 const inProgressRetryAfter = time.Second
 
-// runOnce runs a non-repeatable request at most once over all its resends.
+// runOnce runs a non-repeatable request with an idempotency key at most once, however often it is resent. Without a key
+// resends cannot be recognized, and the request is run directly.
 //
-// The order matters: the start is committed to the ledger before anything is sent to an engine, so that whatever fails
-// afterwards, a resend finds it.
+// The start is committed to the ledger before anything is sent to an engine, so that a resend finds it whatever fails
+// afterwards.
 func (d *Dispatcher) runOnce(ctx context.Context, request *inference.Request, sink Sink) *failure.Error {
 	if request.IdempotencyKey == "" {
 		return d.run(ctx, request, sink)
@@ -34,7 +35,7 @@
 	case ledger.Started:
 		return d.runStarted(ctx, key, entry.Attempt, request, sink)
 	case ledger.Finished:
-		return giveStored(request, entry.Answer, sink)
+		return sendStored(request, entry.Answer, sink)
 	case ledger.InProgress:
 		return failure.New(failure.CodeInProgress, "the request is in progress under this idempotency key").
 			WithOutcome(outcome.Unknown).WithRetryAfter(inProgressRetryAfter)
@@ -44,7 +45,7 @@
 	}
 }
 
-// digest identifies what the caller asked for.
+// digest returns a hash of the endpoint and body of the request.
 func digest(request *inference.Request) string {
 	hash := sha256.New()
 	hash.Write([]byte(request.Endpoint))
@@ -53,19 +54,19 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// runStarted dispatches a request whose start is committed, and records its end. It goes on when the caller leaves:
-// the caller will resend, and to abort would turn an answer into an unknown outcome.
+// runStarted dispatches a request whose start is committed, and records its end. It continues if the caller disconnects,
+// because the caller is expected to resend, and an abort would make the outcome unknown.
 func (d *Dispatcher) runStarted(ctx context.Context, key ledger.Key, attempt uint64, request *inference.Request, sink Sink) *failure.Error {
 	detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.config.Limits.OnceDuration)
 	defer cancel()
-	recorder := &onceSink{sink: sink, whole: answer.NewAggregate(request.Endpoint)}
+	recorder := &recordingSink{sink: sink, whole: answer.NewAggregate(request.Endpoint)}
 	failed := d.run(detached, request, recorder)
 	d.record(detached, key, attempt, recorder, failed)
 	return failed
 }
 
 // record commits the end of a non-repeatable request.
-func (d *Dispatcher) record(ctx context.Context, key ledger.Key, attempt uint64, recorder *onceSink, failed *failure.Error) {
+func (d *Dispatcher) record(ctx context.Context, key ledger.Key, attempt uint64, recorder *recordingSink, failed *failure.Error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if err := d.recordOnce(ctx, key, attempt, recorder, failed); err != nil {
@@ -73,11 +74,12 @@
 	}
 }
 
-// recordTimeout bounds the commit of an end. If it fails the entry stays in progress and the ledger ends it as
-// unknown, which is safe.
+// recordTimeout limits the commit of the end. If the commit fails, the entry stays in progress until the ledger marks its
+// outcome as unknown, which is safe.
 const recordTimeout = 10 * time.Second
 
-func (d *Dispatcher) recordOnce(ctx context.Context, key ledger.Key, attempt uint64, recorder *onceSink, failed *failure.Error) error {
+// recordOnce commits the end once: abandoned if the request was not run, lost if its answer is incomplete, else finished.
+func (d *Dispatcher) recordOnce(ctx context.Context, key ledger.Key, attempt uint64, recorder *recordingSink, failed *failure.Error) error {
 	if failed != nil && failed.Outcome == outcome.NotRun {
 		return d.config.Ledger.Abandon(ctx, key, attempt)
 	}
@@ -91,10 +93,10 @@
 	return d.config.Ledger.Finish(ctx, key, attempt, whole)
 }
 
-// giveStored passes a stored answer to a resend.
-func giveStored(request *inference.Request, stored ledger.Answer, sink Sink) *failure.Error {
-	if able, yes := sink.(answer.StoredSink); yes {
-		return sinkFailure(able.Stored(stored))
+// sendStored passes a stored answer to the sink of a resend.
+func sendStored(request *inference.Request, stored ledger.Answer, sink Sink) *failure.Error {
+	if storedSink, ok := sink.(answer.StoredSink); ok {
+		return sinkFailure(storedSink.Stored(stored))
 	}
 	chunk, err := answer.AsChunk(request.Endpoint, stored)
 	if err != nil {
@@ -110,20 +112,20 @@
 	return failure.New(failure.CodeCancelled, "the caller has gone").WithCause(err).WithOutcome(outcome.Ran)
 }
 
-// onceSink keeps the whole answer beside passing it on, and outlives its caller.
-type onceSink struct {
-	sink  Sink
-	whole *answer.Aggregate
-	gone  bool
+// recordingSink records the whole answer and passes it on until the caller disconnects.
+type recordingSink struct {
+	sink         Sink
+	whole        *answer.Aggregate
+	disconnected bool
 }
 
-// Chunk keeps the chunk and passes it on while the caller is there.
-func (s *onceSink) Chunk(chunk inference.Chunk) error {
+// Chunk records the chunk and passes it on while the caller is connected.
+func (s *recordingSink) Chunk(chunk inference.Chunk) error {
 	if err := s.whole.Chunk(chunk); err != nil {
 		return err
 	}
-	if !s.gone {
-		s.gone = s.sink.Chunk(chunk) != nil
+	if !s.disconnected {
+		s.disconnected = s.sink.Chunk(chunk) != nil
 	}
 	return nil
 }
--- a/internal/dispatch/output.go
+++ b/internal/dispatch/output.go
@@ -6,52 +6,52 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// relayOutput passes the chunks of one stream to a sink. Chunks that are at hand together are sent together, where both
-// the stream and the sink can tell.
+// relayOutput passes the chunks of one stream to a sink. Chunks that are available together are sent together, if the stream
+// can report that a chunk is available and the sink can buffer.
 //
-// Invariant: nothing is kept in the sink while the stream is waited for.
+// Invariant: the sink buffers nothing while relayOutput waits for the stream.
 type relayOutput struct {
 	sink answer.Sink
-	// stream and buffered are nil unless chunks can be joined.
+	// stream and buffered are nil unless chunks can be sent together.
 	stream   engine.ReadyStream
 	buffered answer.BufferedSink
-	// kept says that the sink may hold chunks that it was not told to send.
-	kept bool
+	// pending is true if the sink may hold buffered chunks.
+	pending bool
 }
 
 func newRelayOutput(sink answer.Sink, stream engine.Stream) *relayOutput {
 	output := &relayOutput{sink: sink}
-	buffered, canKeep := sink.(answer.BufferedSink)
-	ready, canTell := stream.(engine.ReadyStream)
-	if canKeep && canTell {
+	buffered, canBuffer := sink.(answer.BufferedSink)
+	ready, reportsReady := stream.(engine.ReadyStream)
+	if canBuffer && reportsReady {
 		output.buffered, output.stream = buffered, ready
 	}
 	return output
 }
 
-// chunk passes the next chunk on. One that others are to follow at once is kept for them.
+// chunk passes the next chunk on. It is buffered if the following chunk is already available.
 func (o *relayOutput) chunk(chunk inference.Chunk) error {
 	if o.buffered == nil || chunk.Final || !o.stream.Ready() {
-		o.kept = false
+		o.pending = false
 		return o.sink.Chunk(chunk)
 	}
-	o.kept = true
+	o.pending = true
 	return o.buffered.Buffer(chunk)
 }
 
-// beforeNext sends what is kept if the stream's next chunk has to be waited for. That is so after a chunk was dropped.
+// beforeNext flushes the sink if the next chunk is not available yet. This happens after a chunk was dropped.
 func (o *relayOutput) beforeNext() error {
-	if !o.kept || o.stream.Ready() {
+	if !o.pending || o.stream.Ready() {
 		return nil
 	}
 	return o.flush()
 }
 
-// flush sends what is kept.
+// flush sends the buffered chunks.
 func (o *relayOutput) flush() error {
-	if !o.kept {
+	if !o.pending {
 		return nil
 	}
-	o.kept = false
+	o.pending = false
 	return o.buffered.Flush()
 }
--- a/internal/dispatch/peercounts.go
+++ b/internal/dispatch/peercounts.go
@@ -7,57 +7,58 @@
 )
 
 const (
-	// hintTime is how long a peer's count of its online requests on a runner holds. Peers renew counts above zero several
-	// times within it, so that the count of a dead peer goes away by itself.
-	hintTime = 3 * time.Minute
-	// goneTime is how long it still holds once the peer takes part no more.
-	goneTime = 6 * time.Second
+	// peerCountTTL is how long a peer's count of its online requests on a runner is valid. Peers renew counts above zero
+	// several times within it; the count of a failed peer expires.
+	peerCountTTL = 3 * time.Minute
+	// departedCountTTL is how long a count stays valid after the peer has left the membership.
+	departedCountTTL = 6 * time.Second
 )
 
-// peerCount is what one peer last said.
+// peerCount is the newest count of one peer.
 type peerCount struct {
 	sequence uint64
 	inFlight int
 	until    time.Time
 }
 
-// peerCounts holds the peers' counts for one runner. The zero value is empty.
+// peerCounts holds the counts of all peers for one runner. The zero value is empty.
 type peerCounts struct {
 	counts map[ident.Node]peerCount
 }
 
-// set takes a peer's count and reports whether it grew. A count older than the one held is ignored: messages may overtake each other.
+// set stores a peer's count and reports whether it increased. A count older than the stored one is ignored, because messages
+// may arrive out of order.
 func (p *peerCounts) set(peer ident.Node, sequence uint64, inFlight int, now time.Time) bool {
-	held, known := p.counts[peer]
-	live := known && now.Before(held.until)
-	if live && sequence <= held.sequence {
+	stored, known := p.counts[peer]
+	live := known && now.Before(stored.until)
+	if live && sequence <= stored.sequence {
 		return false
 	}
 	if p.counts == nil {
 		p.counts = map[ident.Node]peerCount{}
 	}
-	p.counts[peer] = peerCount{sequence: sequence, inFlight: inFlight, until: now.Add(hintTime)}
-	return inFlight > 0 && (!live || inFlight > held.inFlight)
+	p.counts[peer] = peerCount{sequence: sequence, inFlight: inFlight, until: now.Add(peerCountTTL)}
+	return inFlight > 0 && (!live || inFlight > stored.inFlight)
 }
 
-// gone shortens the time that a peer's count holds.
-func (p *peerCounts) gone(peer ident.Node, now time.Time) {
-	held, known := p.counts[peer]
-	if end := now.Add(goneTime); known && end.Before(held.until) {
-		held.until = end
-		p.counts[peer] = held
+// departed shortens the validity of a peer's count to departedCountTTL.
+func (p *peerCounts) departed(peer ident.Node, now time.Time) {
+	stored, known := p.counts[peer]
+	if end := now.Add(departedCountTTL); known && end.Before(stored.until) {
+		stored.until = end
+		p.counts[peer] = stored
 	}
 }
 
-// sum returns the online requests of all peers, and forgets counts that ran out.
+// sum returns the online requests of all peers and removes expired counts.
 func (p *peerCounts) sum(now time.Time) int {
 	sum := 0
-	for peer, held := range p.counts {
-		if !now.Before(held.until) {
+	for peer, stored := range p.counts {
+		if !now.Before(stored.until) {
 			delete(p.counts, peer)
 			continue
 		}
-		sum += held.inFlight
+		sum += stored.inFlight
 	}
 	return sum
 }
--- a/internal/dispatch/prefixes.go
+++ b/internal/dispatch/prefixes.go
@@ -8,32 +8,32 @@
 	"mallowlatch.example/mallowlatch/internal/schedule"
 )
 
-// Affinity says what a node goes by when it looks for a runner that has a prompt's beginning cached.
+// Affinity selects the data from which a node estimates how much of a prompt a runner has in its prefix cache.
 type Affinity string
 
-// The ways of affinity.
+// Values of Affinity.
 const (
-	// AffinityNone looks at no cache.
+	// AffinityNone disables prefix affinity.
 	AffinityNone Affinity = "none"
-	// AffinityHistory goes by what this node has sent to which runner.
+	// AffinityHistory uses the prompts that this node has sent to each runner.
 	AffinityHistory Affinity = "history"
-	// AffinityEvents goes by the node's history, corrected by what the engines say they hold.
+	// AffinityEvents uses the history, corrected by the cache contents that the engines report.
 	AffinityEvents Affinity = "events"
 )
 
 const (
-	// prefixHistoryBlocks bounds the remembered prompt blocks of a node: about 6 MB.
+	// prefixHistoryBlocks limits the prompt blocks in the history of a node, which take about 6 MB.
 	prefixHistoryBlocks = 20000
-	// maxViews bounds the runners whose caches a node keeps a view of: 5 KB each as a rule, 38 KB full.
-	maxViews = 128
-	// sentTrust is how long what was sent counts against a view that does not show it: the prefill, the lag of the events,
-	// the owner's poll and the next reply must fit.
-	sentTrust = 5 * time.Second
+	// maxCacheViews limits the runners with a view of their cache. A view takes 5 KB on average and 38 KB when full.
+	maxCacheViews = 128
+	// sentGracePeriod is how long a sent prompt counts as cached although the view does not show it. It must cover the
+	// prefill, the lag of the events, the owner's poll interval and the time to the next reply.
+	sentGracePeriod = 5 * time.Second
 )
 
-// prefixes is what a node knows of the prompts that runners have cached. The table's lock guards it.
+// prefixes is a node's view of the prompts that runners have cached. It is guarded by the lock of the table.
 //
-// Invariant: it only says where a prompt may cost less; that it is wrong can cost time, never an answer.
+// Invariant: it only affects the order of candidates. Wrong data can cost time, but never causes a wrong answer or a refusal.
 type prefixes struct {
 	affinity Affinity
 	history  *schedule.PrefixHistory
@@ -48,34 +48,34 @@
 	}
 }
 
-// sent records that a prompt went to a runner.
+// sent records that a prompt was sent to a runner.
 func (p *prefixes) sent(runner ident.Runner, blocks []uint64, now time.Time) {
 	if p.affinity != AffinityNone {
 		p.history.Sent(runner, blocks, now)
 	}
 }
 
-// take takes a delta of a runner's cache.
-func (p *prefixes) take(runner ident.Runner, delta cacheindex.Delta, now time.Time) {
+// apply updates the view of a runner's cache with a delta, and evicts the view updated longest ago if there are too many.
+func (p *prefixes) apply(runner ident.Runner, delta cacheindex.Delta, now time.Time) {
 	view, known := p.views[runner]
 	if !known {
 		view = &cacheindex.View{}
 		p.views[runner] = view
 	}
 	view.Take(delta, now)
-	if len(p.views) > maxViews {
+	if len(p.views) > maxCacheViews {
 		p.forget(p.oldest())
 	}
 }
 
-// oldest returns the runner of which was heard longest ago.
+// oldest returns the runner whose view was updated longest ago.
 func (p *prefixes) oldest() ident.Runner {
 	var oldest ident.Runner
-	var heard time.Time
+	var updated time.Time
 	for runner, view := range p.views {
 		at := view.TakenAt()
-		if oldest == "" || at.Before(heard) || (at.Equal(heard) && runner < oldest) {
-			oldest, heard = runner, at
+		if oldest == "" || at.Before(updated) || (at.Equal(updated) && runner < oldest) {
+			oldest, updated = runner, at
 		}
 	}
 	return oldest
@@ -83,20 +83,20 @@
 
 func (p *prefixes) forget(runner ident.Runner) { delete(p.views, runner) }
 
-// match returns what is known of the prompt's blocks at the runners.
+// match returns the data from which depth estimates the cached blocks of the prompt on each runner.
 func (p *prefixes) match(blocks []uint64, now time.Time) prefixMatch {
 	matched := prefixMatch{blocks: blocks, now: now}
 	if p.affinity == AffinityNone {
 		return matched
 	}
-	matched.sent = p.history.Match(blocks, now.Add(-sentTrust))
+	matched.sent = p.history.Match(blocks, now.Add(-sentGracePeriod))
 	if p.affinity == AffinityEvents {
 		matched.views = p.views
 	}
 	return matched
 }
 
-// prefixMatch is what is known of one prompt.
+// prefixMatch is the cache data for one prompt.
 type prefixMatch struct {
 	blocks []uint64
 	now    time.Time
@@ -104,8 +104,8 @@
 	views  map[ident.Runner]*cacheindex.View
 }
 
-// depth returns how many leading blocks the runner probably has cached: the history within the bounds of the view, and
-// what was sent so lately that the view cannot show it.
+// depth estimates how many leading blocks the runner has cached: the depth by history limited to the bounds by the view, and
+// at least the blocks sent within sentGracePeriod, which the view may not show yet.
 func (m *prefixMatch) depth(runner ident.Runner) int {
 	sent := m.sent[runner]
 	view, known := m.views[runner]
@@ -119,14 +119,15 @@
 	return max(sent.Fresh, least, min(sent.Depth, greatest))
 }
 
-// SetAffinity says what the node goes by to find cached prompts. It must be called before the table is used.
+// SetAffinity sets the affinity mode. It must be called before the table is used.
 func (t *Table) SetAffinity(affinity Affinity) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.prefixes.affinity = affinity
 }
 
-// CacheMark returns how far this node's view of a runner's cache has come, or false if it needs none.
+// CacheMark returns the position up to which this node's view of a runner's cache is current, or false if the affinity mode
+// uses no views.
 func (t *Table) CacheMark(runner ident.Runner) (cacheindex.Mark, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -140,11 +141,11 @@
 	return view.Mark(), true
 }
 
-// ObserveCache takes a delta of a runner's cache from its owner.
+// ObserveCache applies a delta of a runner's cache received from its owner.
 func (t *Table) ObserveCache(runner ident.Runner, delta cacheindex.Delta, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if _, listed := t.runners[runner]; listed && t.prefixes.affinity == AffinityEvents {
-		t.prefixes.take(runner, delta, now)
+		t.prefixes.apply(runner, delta, now)
 	}
 }
--- a/internal/dispatch/prefixes_test.go
+++ b/internal/dispatch/prefixes_test.go
@@ -17,14 +17,14 @@
 	"mallowlatch.example/mallowlatch/internal/schedule"
 )
 
-// TestLyingCachesOnlyReorder draws any deltas about any runner and checks that they never change which runners may take a
-// request or whether it is refused, that a match stays within the prompt, and that what is kept of them is bounded.
-func TestLyingCachesOnlyReorder(t *testing.T) {
+// TestWrongCacheDeltasOnlyReorder applies arbitrary cache deltas and checks that they change neither which runners may take a
+// request nor whether it is refused, that a match is never longer than the prompt, and that the number of views is limited.
+func TestWrongCacheDeltasOnlyReorder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
-		blind, lied := NewTable(), NewTable()
-		blind.SetAffinity(AffinityNone)
-		count := rapid.SampledFrom([]int{1, 5, maxViews + 20}).Draw(t, "runners")
+		withoutAffinity, misled := NewTable(), NewTable()
+		withoutAffinity.SetAffinity(AffinityNone)
+		count := rapid.SampledFrom([]int{1, 5, maxCacheViews + 20}).Draw(t, "runners")
 		list := machine.List{}
 		for index := range count {
 			list.Runners = append(list.Runners, machine.Runner{ID: ident.Runner(fmt.Sprint("r", index)), Zone: "a", State: machine.Live})
@@ -35,7 +35,7 @@
 			names = append(names, uint32(block>>32))
 		}
 		drawNames := rapid.SliceOf(rapid.SampledFrom(names))
-		for _, table := range []*Table{blind, lied} {
+		for _, table := range []*Table{withoutAffinity, misled} {
 			table.SetMachines(list, now)
 			for index, runner := range list.Runners {
 				table.ObserveReport(runner.ID, engine.LoadReport{
@@ -44,18 +44,18 @@
 			}
 		}
 		for index := range rapid.IntRange(0, 2*count).Draw(t, "deltas") {
-			lied.ObserveCache(ident.Runner(fmt.Sprint("r", index%(count+3))), cacheindex.Delta{
+			misled.ObserveCache(ident.Runner(fmt.Sprint("r", index%(count+3))), cacheindex.Delta{
 				Mark:       cacheindex.Mark{Epoch: uint32(index % 2), Position: uint64(index % 7)},
 				SampleBits: rapid.UintRange(0, 70).Draw(t, "bits"),
 				Reset:      index%3 > 0, Listed: index%5 > 0, More: index%7 == 0,
 				Stored: drawNames.Draw(t, "stored"), Removed: drawNames.Draw(t, "removed"),
 			}, now)
 			if index%4 == 0 {
-				lied.Start(ident.Runner(fmt.Sprint("r", index%count)), blocks)
-				lied.End(ident.Runner(fmt.Sprint("r", index%count)))
+				misled.Start(ident.Runner(fmt.Sprint("r", index%count)), blocks)
+				misled.End(ident.Runner(fmt.Sprint("r", index%count)))
 			}
 		}
-		assert.Assert(t, len(lied.prefixes.views) <= min(maxViews, count), "views of runners not listed, or too many")
+		assert.Assert(t, len(misled.prefixes.views) <= min(maxCacheViews, count), "views of unlisted runners or too many views")
 		request := &inference.Request{Model: "m", PrefixBlocks: blocks}
 		decide := func(table *Table) (int, bool) {
 			snapshot := table.Snapshot("a", nil, "m", blocks, now)
@@ -69,9 +69,9 @@
 			}
 			return len(decision.Candidates), refusal != nil
 		}
-		offeredBlind, refusedBlind := decide(blind)
-		offered, refused := decide(lied)
-		assert.Equal(t, offered, offeredBlind)
-		assert.Equal(t, refused, refusedBlind)
+		expectedOffered, expectedRefused := decide(withoutAffinity)
+		offered, refused := decide(misled)
+		assert.Equal(t, offered, expectedOffered)
+		assert.Equal(t, refused, expectedRefused)
 	})
 }
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -34,7 +34,7 @@
 	return names
 }
 
-// newTable returns a table with healthy runners that hold model "m".
+// newTable returns a table of healthy runners that have model "m" loaded.
 func newTable(runners []ident.Runner, at *clock) *dispatch.Table {
 	table := dispatch.NewTable()
 	list := machine.List{}
@@ -52,14 +52,14 @@
 	return engine.LoadReport{Measured: at.Now(), MaxSequences: 8, Models: []engine.LoadedModel{{Name: "m"}}}
 }
 
-func newDispatcher(table *dispatch.Table, engines dispatch.Engines, held ledger.Ledger, at *clock) *dispatch.Dispatcher {
+func newDispatcher(table *dispatch.Table, engines dispatch.Engines, requestLedger ledger.Ledger, at *clock) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Config{
-		Node: "n1", Zone: "a", Table: table, Engines: engines, Ledger: held,
+		Node: "n1", Zone: "a", Table: table, Engines: engines, Ledger: requestLedger,
 		Catalog: staticCatalog{catalog.Empty()}, Now: at.Now, Seed: 1,
 	})
 }
 
-// labels lists the possible runs of a request in the world.
+// labels returns the labels that the runs of a request may have.
 func labels(runs int) []string {
 	all := []string{"same"}
 	for run := 1; run <= runs; run++ {
@@ -68,12 +68,13 @@
 	return all
 }
 
-// scenarios is the number of worlds in one check.
+// scenarios is the number of scenarios in one check.
 const scenarios = 60
 
-// TestDispatchAtEveryPointOfFailure drives requests and their resends through every scripted failure and checks the
-// four rules a caller relies on: told not run means not run; a non-repeatable request runs at most once; success is
-// the whole answer of one run; an error is typed and follows a true beginning. No run is left on an engine.
+// TestDispatchAtEveryPointOfFailure sends requests and their resends through every scripted failure and checks the guarantees
+// for callers: a request reported as not run was not run; a non-repeatable request runs at most once; a success is the whole
+// answer of one run; an error is typed, and text sent before it is a prefix of a run. It also checks that no run is left on
+// an engine.
 func TestDispatchAtEveryPointOfFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for range scenarios {
@@ -86,9 +87,9 @@
 	drawn := func(name string, choices int) int { return rapid.IntRange(0, choices-1).Draw(t, name) }
 	runners := runnerNames(rapid.IntRange(1, 3).Draw(t, "runners"))
 	at := newClock()
-	fakes := newWorld(rapid.IntRange(1, 6).Draw(t, "tokens"), runners, drawn)
-	held := &fakeLedger{script: drawn, entries: map[ledger.Key]*ledger.Entry{}}
-	dispatcher := newDispatcher(newTable(runners, at), fakes, held, at)
+	fakes := newFleet(rapid.IntRange(1, 6).Draw(t, "tokens"), runners, drawn)
+	requestLedger := &fakeLedger{script: drawn, entries: map[ledger.Key]*ledger.Entry{}}
+	dispatcher := newDispatcher(newTable(runners, at), fakes, requestLedger, at)
 	request := &inference.Request{
 		ID: "r", Tenant: "t", Model: "m", Endpoint: inference.Completions, IdempotencyKey: "k",
 		Repeatable: rapid.Bool().Draw(t, "repeatable"), Deterministic: rapid.Bool().Draw(t, "deterministic"),
@@ -106,8 +107,8 @@
 	}
 }
 
-// dispatchOnce sends the request once and checks what its caller was told.
-func dispatchOnce(t *rapid.T, dispatcher *dispatch.Dispatcher, fakes *world, request *inference.Request, whole bool, drawn script) {
+// dispatchOnce sends the request once and checks the result that its caller received.
+func dispatchOnce(t *rapid.T, dispatcher *dispatch.Dispatcher, fakes *fleet, request *inference.Request, whole bool, drawn script) {
 	before := fakes.runs[request.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -128,20 +129,23 @@
 	assert.Assert(t, failed.Code != failure.CodeInternal, "untyped failure: %v", err)
 	assert.Assert(t, !final, "final chunk before %v", err)
 	if failed.Outcome == outcome.NotRun {
-		assert.Equal(t, ran, 0, "told not run, but ran")
-		assert.Equal(t, text, "", "told not run, but got text")
+		assert.Equal(t, ran, 0, "reported as not run, but ran")
+		assert.Equal(t, text, "", "reported as not run, but text was sent")
 	}
 	checkPrefix(t, text, fakes, request)
 }
 
-// send dispatches into a sink that joins chunks at hand, and checks that nothing it kept waits for the engine or for ever.
-func send(t *rapid.T, ctx context.Context, dispatcher *dispatch.Dispatcher, fakes *world, request *inference.Request, whole bool) (text string, final bool, err error) {
+// send dispatches to an Aggregate or to a buffering sink. For the latter it checks that no chunk stays buffered while the
+// dispatcher waits for the engine or after the end.
+func send(t *rapid.T, ctx context.Context, dispatcher *dispatch.Dispatcher, fakes *fleet, request *inference.Request, whole bool) (text string, final bool, err error) {
 	fakes.onWait = nil
 	if !whole {
-		sink := &keepingSink{}
-		fakes.onWait = func() { assert.Check(t, len(sink.kept) == 0, "chunks kept while the engine is waited for") }
+		sink := &bufferingSink{}
+		fakes.onWait = func() {
+			assert.Check(t, len(sink.buffered) == 0, "chunks stay buffered while the dispatcher waits for the engine")
+		}
 		err := dispatcher.Dispatch(ctx, request, sink)
-		assert.Equal(t, len(sink.kept), 0, "chunks kept after the end")
+		assert.Equal(t, len(sink.buffered), 0, "chunks stay buffered after the end")
 		return sink.text, sink.final, err
 	}
 	sink := dispatch.NewAggregate(request.Endpoint)
@@ -157,7 +161,7 @@
 	return converted.text, true, err
 }
 
-func checkWhole(t *rapid.T, text string, fakes *world, request *inference.Request) {
+func checkWhole(t *rapid.T, text string, fakes *fleet, request *inference.Request) {
 	for _, label := range labels(fakes.runs[request.ID]) {
 		if text == expectedText(label, fakes.tokens) {
 			return
@@ -166,7 +170,7 @@
 	t.Fatalf("answer %q is not the whole answer of any run", text)
 }
 
-func checkPrefix(t *rapid.T, text string, fakes *world, request *inference.Request) {
+func checkPrefix(t *rapid.T, text string, fakes *fleet, request *inference.Request) {
 	for _, label := range labels(fakes.runs[request.ID]) {
 		if strings.HasPrefix(expectedText(label, fakes.tokens), text) {
 			return
--- a/internal/dispatch/retries_test.go
+++ b/internal/dispatch/retries_test.go
@@ -17,10 +17,10 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// failingEngines count all calls and answer each with the failure drawn for it.
+// failingEngines returns the same failing engine for every runner.
 type failingEngines struct{ all failingEngine }
 
-// failingEngine is the engine of every runner.
+// failingEngine counts calls and returns a drawn error for each.
 type failingEngine struct {
 	engine.Engine
 	calls int
@@ -36,9 +36,9 @@
 
 func (f *failingEngine) Abort(context.Context, ident.Request, bool) error { return nil }
 
-// TestRetriesAreAShareUnderAnyFailures sends requests to runners that fail in any pattern and are brought back at once,
-// which is the worst for a budget. Calls beyond the first of each request stay within what a node saves up and a fifth
-// of the requests, and every caller gets an answer.
+// TestRetriesAreAShareUnderAnyFailures sends requests to runners that fail in any pattern and recover immediately, which is
+// the worst case for the retry budget. It checks that retries never exceed the reserve plus a fifth of the requests, and
+// that every caller gets a typed refusal with a retry delay.
 func TestRetriesAreAShareUnderAnyFailures(t *testing.T) {
 	const reserve, share = 20, 0.2
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,7 +70,8 @@
 	})
 }
 
-// TestAttemptsAreBounded lets every runner refuse: a request tries as many as the limit says, though the budget has more.
+// TestAttemptsAreBounded checks that a request that every runner refuses is attempted Limits.Attempts times, although the
+// retry budget would allow more.
 func TestAttemptsAreBounded(t *testing.T) {
 	for attempts := 1; attempts <= 3; attempts++ {
 		at := newClock()
--- a/internal/dispatch/stall.go
+++ b/internal/dispatch/stall.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stallWatch ends a stream's context when no chunk comes in time.
+// stallWatch cancels the context of a stream when no chunk arrives within the time-out.
 type stallWatch struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -20,10 +20,10 @@
 	return watch
 }
 
-// progress records that a chunk came.
+// progress restarts the time-out after a chunk arrived.
 func (w *stallWatch) progress() { w.timer.Reset(w.stall) }
 
-// explain returns errStalled in place of an error that the watch itself brought about.
+// explain returns errStalled in place of an error that was caused by the time-out.
 func (w *stallWatch) explain(err error) error {
 	if context.Cause(w.ctx) == errStalled {
 		return errStalled
@@ -31,7 +31,7 @@
 	return err
 }
 
-// stop frees the timer and the context.
+// stop releases the timer and the context.
 func (w *stallWatch) stop() {
 	w.timer.Stop()
 	w.cancel(nil)
