--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -12,27 +12,28 @@
 	"mallowlatch.example/mallowlatch/internal/machine"
 )
 
-// Table is what a node knows of every runner. It is safe for concurrent use. Methods that depend on time take it.
+// Table is a node's view of all runners. It is safe for concurrent use. Methods that depend on the time take it as an
+// argument.
 type Table struct {
 	mutex   sync.Mutex
 	runners map[ident.Runner]*entry
-	// ordered holds the same entries in order of their identifiers, so that decisions depend on nothing but their inputs.
+	// ordered holds the same entries ordered by identifier, so that decisions are deterministic.
 	ordered  []*entry
 	prefixes *prefixes
 	drained  map[ident.Runner]bool
-	// decidedAt is when the last decision was made: what is started next was decided then.
+	// decidedAt is the time of the last snapshot. Requests started after it are recorded with this time.
 	decidedAt time.Time
-	// started is true once the machine list was read: a runner that appears later is fresh and starts slowly.
+	// started is true once the machine list was read. Runners that appear later are new and get a slow start.
 	started bool
-	// onlineChanged is called, without the lock, when this node's online work on a runner changed.
+	// onlineChanged are called, without the lock, when this node's online work on a runner changed.
 	onlineChanged []func(runner ident.Runner, inFlight int)
-	// onlineRose is called, without the lock, when online work on a runner is known to have grown, here or at a peer.
+	// onlineRose are called, without the lock, when the online work of this node or a peer on a runner increased.
 	onlineRose []func(runner ident.Runner)
-	// leavingLearned is called, without the lock, when this node is the first to learn that a runner is leaving.
-	leavingLearned []func(runner ident.Runner)
+	// leavingDetected are called, without the lock, when this node itself detects that a runner is leaving.
+	leavingDetected []func(runner ident.Runner)
 }
 
-// entry is one runner.
+// entry is the state of one runner.
 type entry struct {
 	id        ident.Runner
 	zone      ident.Zone
@@ -43,9 +44,9 @@
 	own       int
 	peers     peerCounts
 	report    *engine.LoadReport
-	// reportedAt is when the report arrived, by this node's clock.
+	// reportedAt is when the report arrived, according to this node's clock.
 	reportedAt time.Time
-	// counts is the history of the known online requests, and knownAtReport what was known at the report's moment.
+	// counts is the history of the known online requests, and knownAtReport their count when the report was measured.
 	counts        countHistory
 	knownAtReport int
 }
@@ -65,27 +66,27 @@
 	t.onlineChanged = append(t.onlineChanged, changed)
 }
 
-// OnOnlineRise registers a function called whenever online work on a runner is known to have grown, here or at a peer.
-// It must not block and must be registered before the table is used.
+// OnOnlineRise registers a function called whenever the online work of this node or a peer on a runner increased. It must
+// not block and must be registered before the table is used.
 func (t *Table) OnOnlineRise(rose func(runner ident.Runner)) {
 	t.onlineRose = append(t.onlineRose, rose)
 }
 
-// OnLeaving registers a function called when this node learns at first hand that a runner is leaving. It must not
-// block and must be registered before the table is used.
-func (t *Table) OnLeaving(learned func(runner ident.Runner)) {
-	t.leavingLearned = append(t.leavingLearned, learned)
+// OnLeaving registers a function called when this node itself detects that a runner is leaving: from the machine list, a
+// report or a refusal, not from a peer. It must not block and must be registered before the table is used.
+func (t *Table) OnLeaving(detected func(runner ident.Runner)) {
+	t.leavingDetected = append(t.leavingDetected, detected)
 }
 
-// SetMachines takes a reading of the machine list. Runners not listed are forgotten.
+// SetMachines updates the table from the machine list. Runners not listed are removed.
 func (t *Table) SetMachines(list machine.List, now time.Time) {
 	t.mutex.Lock()
 	listed := map[ident.Runner]bool{}
-	var learned []ident.Runner
+	var detected []ident.Runner
 	for _, runner := range list.Runners {
 		listed[runner.ID] = true
 		if t.setMachine(runner, now) {
-			learned = append(learned, runner.ID)
+			detected = append(detected, runner.ID)
 		}
 	}
 	for id := range t.runners {
@@ -95,12 +96,13 @@
 		}
 	}
 	t.started = true
-	t.order()
+	t.sortRunners()
 	t.mutex.Unlock()
-	t.tellLeaving(learned)
+	t.notifyLeaving(detected)
 }
 
-func (t *Table) order() {
+// sortRunners rebuilds the ordered list.
+func (t *Table) sortRunners() {
 	t.ordered = make([]*entry, 0, len(t.runners))
 	for _, known := range t.runners {
 		t.ordered = append(t.ordered, known)
@@ -108,7 +110,7 @@
 	slices.SortFunc(t.ordered, func(a, b *entry) int { return cmp.Compare(a.id, b.id) })
 }
 
-// setMachine updates one runner and reports whether it was first learned here that it is leaving.
+// setMachine updates one runner and reports whether this newly marks it as leaving.
 func (t *Table) setMachine(runner machine.Runner, now time.Time) bool {
 	known, found := t.runners[runner.ID]
 	if !found {
@@ -120,15 +122,15 @@
 		t.runners[runner.ID] = known
 	}
 	known.zone, known.address = runner.Zone, runner.Address
-	before := known.leaving.is(now)
+	before := known.leaving.active(now)
 	known.leaving.listed = runner.State == machine.Leaving
-	return !before && known.leaving.is(now)
+	return !before && known.leaving.active(now)
 }
 
-// drainPrefix begins the name of a catalog drain of a runner.
+// drainPrefix is the prefix of the name of a catalog drain of a runner.
 const drainPrefix = "runner/"
 
-// SetDrains takes the operator's drains from the catalog. They reach every node by themselves, so none is told.
+// SetDrains sets the operator's drains from the catalog. Peers are not notified because every node reads the catalog.
 func (t *Table) SetDrains(drains map[string]catalog.Drain) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -143,90 +145,91 @@
 	}
 }
 
-// ObserveReport takes a load report that the runner gave this node.
+// ObserveReport records a load report that this node received from the runner.
 func (t *Table) ObserveReport(runner ident.Runner, report engine.LoadReport, now time.Time) {
 	t.observeReport(runner, report, true, now)
 }
 
-// ObserveShared takes a load report that a peer passed on. Its owner tells everyone of a leaving runner, so this node
-// does not.
+// ObserveShared records a load report shared by a peer. It does not report a leaving runner to the OnLeaving functions,
+// because the runner's owner notifies all nodes.
 func (t *Table) ObserveShared(runner ident.Runner, report engine.LoadReport, now time.Time) {
 	t.observeReport(runner, report, false, now)
 }
 
-// reportJitter is how much the moments of reports differ for the delays of the messages that carry their ages. Peers pass
-// on one report several times, each with newer counts of the online requests; the last to arrive must hold.
+// reportJitter is the tolerance for the measuring times of reports, which are computed from ages and so vary with message
+// delays. Peers share the same report several times with newer counts of online requests; the last to arrive must be used.
 const reportJitter = 100 * time.Millisecond
 
-func (t *Table) observeReport(runner ident.Runner, report engine.LoadReport, firstHand bool, now time.Time) {
+func (t *Table) observeReport(runner ident.Runner, report engine.LoadReport, direct bool, now time.Time) {
 	t.mutex.Lock()
 	known, found := t.runners[runner]
 	if !found || (known.report != nil && report.Measured.Before(known.report.Measured.Add(-reportJitter))) {
 		t.mutex.Unlock()
 		return
 	}
-	before := known.leaving.is(now)
-	known.noteCount(now)
+	before := known.leaving.active(now)
+	known.recordCount(now)
 	known.report = &report
 	known.reportedAt = now
 	known.knownAtReport = known.known(now)
-	if firstHand {
+	if direct {
 		known.knownAtReport = known.counts.at(report.Measured)
 	}
 	known.leaving.report(report.Leaving, report.Measured)
-	learned := firstHand && !before && known.leaving.is(now)
+	detected := direct && !before && known.leaving.active(now)
 	t.mutex.Unlock()
-	if learned {
-		t.tellLeaving([]ident.Runner{runner})
+	if detected {
+		t.notifyLeaving([]ident.Runner{runner})
 	}
 }
 
-// ObserveLeaving records that the runner refused work because it is leaving (first-hand), or that a peer said so.
-func (t *Table) ObserveLeaving(runner ident.Runner, firstHand bool, now time.Time) {
+// ObserveLeaving records that the runner refused work because it is leaving (direct), or that a peer sent a notification.
+func (t *Table) ObserveLeaving(runner ident.Runner, direct bool, now time.Time) {
 	t.mutex.Lock()
 	known, found := t.runners[runner]
-	learned := false
+	detected := false
 	if found {
-		learned = firstHand && !known.leaving.is(now)
-		if firstHand {
+		detected = direct && !known.leaving.active(now)
+		if direct {
 			known.leaving.refused(now)
 		} else {
-			known.leaving.told(now)
+			known.leaving.notified(now)
 		}
 	}
 	t.mutex.Unlock()
-	if learned {
-		t.tellLeaving([]ident.Runner{runner})
+	if detected {
+		t.notifyLeaving([]ident.Runner{runner})
 	}
 }
 
-// ObservePeer takes a peer's count of its online requests on a runner.
+// ObservePeer records a peer's count of its online requests on a runner.
 func (t *Table) ObservePeer(peer ident.Node, sequence uint64, runner ident.Runner, inFlight int, now time.Time) {
 	rose := false
 	t.with(runner, func(known *entry) {
 		rose = known.peers.set(peer, sequence, inFlight, now)
-		known.noteCount(now)
+		known.recordCount(now)
 	})
 	if rose {
-		t.tellRise(runner)
+		t.notifyRise(runner)
 	}
 }
 
-// ObservePeerGone records that a peer takes part no more: its counts run out soon unless it renews them.
+// ObservePeerGone records that a peer is no longer a member. Its counts expire soon unless it renews them.
 func (t *Table) ObservePeerGone(peer ident.Node, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, known := range t.ordered {
-		known.peers.gone(peer, now)
+		known.peers.departed(peer, now)
 	}
 }
 
-// ObserveBusy records that the runner refused work because it is full.
+// ObserveBusy records that the runner refused work because it is full and gets no requests until the given time.
 func (t *Table) ObserveBusy(runner ident.Runner, until time.Time) {
 	t.with(runner, func(known *entry) { known.busyUntil = until })
 }
 
-// ObserveNotLoaded corrects the newest report: the runner refused for want of the model or adapter.
+// ObserveNotLoaded removes the adapter, or without one the model, from the newest report, after the runner refused a request
+// because it is not loaded.
 func (t *Table) ObserveNotLoaded(runner ident.Runner, model, adapter string) {
 	t.with(runner, func(known *entry) {
 		if known.report == nil {
@@ -242,8 +245,8 @@
 	})
 }
 
-// ObserveFailure records a failure that points at the runner or the way to it, and reports whether it took the runner
-// out of use.
+// ObserveFailure records a failure caused by the runner or by the connection to it, and reports whether the runner was
+// ejected.
 func (t *Table) ObserveFailure(runner ident.Runner, now time.Time) (ejected bool) {
 	t.with(runner, func(known *entry) {
 		before := known.health.ejected
@@ -258,7 +261,7 @@
 	t.with(runner, func(known *entry) { known.health.succeeded() })
 }
 
-// ObserveProbe records the result of a probe of the runner, and reports whether it brought the runner back into use.
+// ObserveProbe records the result of a probe of the runner, and reports whether it ended an ejection.
 func (t *Table) ObserveProbe(runner ident.Runner, now time.Time, succeeded bool) (recovered bool) {
 	t.with(runner, func(known *entry) {
 		before := known.health.ejected
@@ -268,15 +271,15 @@
 	return recovered
 }
 
-// Start records that an online request goes to the runner.
+// Start records that an online request is sent to the runner.
 func (t *Table) Start(runner ident.Runner, prefixBlocks []uint64) {
-	t.change(runner, 1, prefixBlocks)
+	t.changeInFlight(runner, 1, prefixBlocks)
 }
 
-// End records that an online request has left the runner.
-func (t *Table) End(runner ident.Runner) { t.change(runner, -1, nil) }
+// End records that an online request on the runner ended.
+func (t *Table) End(runner ident.Runner) { t.changeInFlight(runner, -1, nil) }
 
-func (t *Table) change(runner ident.Runner, by int, prefixBlocks []uint64) {
+func (t *Table) changeInFlight(runner ident.Runner, by int, prefixBlocks []uint64) {
 	t.mutex.Lock()
 	known, found := t.runners[runner]
 	inFlight := 0
@@ -295,24 +298,25 @@
 		changed(runner, inFlight)
 	}
 	if by > 0 {
-		t.tellRise(runner)
+		t.notifyRise(runner)
 	}
 }
 
-func (t *Table) tellRise(runner ident.Runner) {
+func (t *Table) notifyRise(runner ident.Runner) {
 	for _, rose := range t.onlineRose {
 		rose(runner)
 	}
 }
 
-func (t *Table) tellLeaving(runners []ident.Runner) {
+func (t *Table) notifyLeaving(runners []ident.Runner) {
 	for _, runner := range runners {
-		for _, learned := range t.leavingLearned {
-			learned(runner)
+		for _, detected := range t.leavingDetected {
+			detected(runner)
 		}
 	}
 }
 
+// with calls visit with the entry of a listed runner, under the lock.
 func (t *Table) with(runner ident.Runner, visit func(*entry)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -9,19 +9,19 @@
 	"mallowlatch.example/mallowlatch/internal/schedule"
 )
 
-// usualCopies is a guess at the runners that hold a model.
-const usualCopies = 64
+// expectedCopies is an estimate of the number of runners that have a model loaded. It sets the initial size of a snapshot.
+const expectedCopies = 64
 
-// Snapshot returns the runners that have the model, for one decision.
+// Snapshot returns the runners that have the model loaded, for one decision on a prompt of the given blocks.
 func (t *Table) Snapshot(zone ident.Zone, distance map[ident.Zone]float64, model string, blocks []uint64, now time.Time) *schedule.Snapshot {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	snapshot := &schedule.Snapshot{Zone: zone, Distance: distance}
 	t.decidedAt = now
 	matched := t.prefixes.match(blocks, now)
-	snapshot.Runners = make([]schedule.Runner, 0, min(len(t.ordered), usualCopies))
+	snapshot.Runners = make([]schedule.Runner, 0, min(len(t.ordered), expectedCopies))
 	for _, known := range t.ordered {
-		if !holds(known.report, model) {
+		if !hasModel(known.report, model) {
 			continue
 		}
 		snapshot.Runners = append(snapshot.Runners, known.view(now, matched.depth(known.id)))
@@ -29,7 +29,8 @@
 	return snapshot
 }
 
-func holds(report *engine.LoadReport, model string) bool {
+// hasModel reports whether the report lists the model as loaded.
+func hasModel(report *engine.LoadReport, model string) bool {
 	if report == nil {
 		return false
 	}
@@ -41,12 +42,13 @@
 	return false
 }
 
+// view returns the scheduler's view of the runner.
 func (e *entry) view(now time.Time, prefixBlocks int) schedule.Runner {
-	peers, since := e.lookAtCounts(now)
+	peers, since := e.readCounts(now)
 	return schedule.Runner{
 		ID:            e.id,
 		Zone:          e.zone,
-		Leaving:       e.leaving.is(now),
+		Leaving:       e.leaving.active(now),
 		Ejected:       e.health.ejected,
 		SlowStart:     e.health.share(now),
 		BusyUntil:     e.busyUntil,
@@ -58,29 +60,30 @@
 	}
 }
 
-// known returns the online requests on the runner that this node knows of without a report.
+// known returns the online requests in flight on the runner from this node and, as reported, from its peers.
 func (e *entry) known(now time.Time) int { return e.own + e.peers.sum(now) }
 
-// noteCount records the known online requests, whenever anyone looks: a change without a look decided nothing.
-func (e *entry) noteCount(now time.Time) { e.counts.add(now, e.known(now)) }
+// recordCount adds the current count of known online requests to the history. It is called whenever the count is read or a
+// report arrives; changes that were never read influenced no decision and need not be recorded.
+func (e *entry) recordCount(now time.Time) { e.counts.add(now, e.known(now)) }
 
-// lookAtCounts returns the requests that peers told of, and by how much the known online requests have changed since the
-// report was measured.
-func (e *entry) lookAtCounts(now time.Time) (peers, sinceReport int) {
+// readCounts returns the online requests reported by peers and the change of the known online requests since the report was
+// measured. It also records the current count.
+func (e *entry) readCounts(now time.Time) (peers, sinceReport int) {
 	peers = e.peers.sum(now)
 	known := e.own + peers
 	e.counts.add(now, known)
 	return peers, known - e.knownAtReport
 }
 
-// Capacity returns how many online requests the runners with the model that may take work take at once, all together.
-// Empty zones mean all.
+// Capacity returns the total limit of online requests of the available runners that have the model loaded, in the given
+// zones. Empty zones mean all.
 func (t *Table) Capacity(model string, zones []ident.Zone, now time.Time) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	total := 0.0
 	for _, known := range t.ordered {
-		if !holds(known.report, model) || (len(zones) > 0 && !slices.Contains(zones, known.zone)) {
+		if !hasModel(known.report, model) || (len(zones) > 0 && !slices.Contains(zones, known.zone)) {
 			continue
 		}
 		runner := known.view(now, 0)
@@ -89,25 +92,25 @@
 	return total
 }
 
-// RunnerView is what a node knows of one runner, for batch credits and for operators.
+// RunnerView is a node's view of one runner, for batch credits and for operators.
 type RunnerView struct {
 	ID      ident.Runner
 	Zone    ident.Zone
 	Address string
 	Leaving bool
 	Ejected bool
-	// ProbeDue says that the runner is ejected and should be probed.
+	// ProbeDue is true if the runner is ejected and should be probed.
 	ProbeDue bool
-	// OwnInFlight and PeersInFlight count online requests of this node and of its peers.
+	// OwnInFlight and PeersInFlight count the online requests in flight of this node and of its peers.
 	OwnInFlight, PeersInFlight int
-	// SinceReport is by how much these counts have changed since the report was measured.
+	// SinceReport is the change of the sum of these counts since the report was measured.
 	SinceReport int
-	// Report is the newest report, or nil; it must not be changed. ReportAge is its age.
+	// Report is the newest report, or nil; it must not be modified. ReportAge is its age.
 	Report    *engine.LoadReport
 	ReportAge time.Duration
 }
 
-// Runner returns what is known of one runner.
+// Runner returns the view of one runner, or false if it is not listed.
 func (t *Table) Runner(runner ident.Runner, now time.Time) (RunnerView, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -118,7 +121,7 @@
 	return known.describe(now), true
 }
 
-// Runners returns what is known of every runner, ordered by identifier.
+// Runners returns the views of all runners, ordered by identifier.
 func (t *Table) Runners(now time.Time) []RunnerView {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -129,7 +132,7 @@
 	return views
 }
 
-// Reported returns the number of runners of which a load report is known. A node without any refuses every request.
+// Reported returns the number of runners with a load report. A node that has none refuses every request.
 func (t *Table) Reported() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -142,7 +145,7 @@
 	return count
 }
 
-// RunnersOf returns what is known of the given runners, in their order, without those not listed.
+// RunnersOf returns the views of the given runners in the given order, without those not listed.
 func (t *Table) RunnersOf(runners []ident.Runner, now time.Time) []RunnerView {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -155,11 +158,12 @@
 	return views
 }
 
+// describe returns the view of the runner.
 func (e *entry) describe(now time.Time) RunnerView {
-	peers, since := e.lookAtCounts(now)
+	peers, since := e.readCounts(now)
 	view := RunnerView{
 		ID: e.id, Zone: e.zone, Address: e.address,
-		Leaving: e.leaving.is(now), Ejected: e.health.ejected,
+		Leaving: e.leaving.active(now), Ejected: e.health.ejected,
 		ProbeDue:    e.health.probeDue(now),
 		OwnInFlight: e.own, PeersInFlight: peers,
 		SinceReport: since,
@@ -171,13 +175,13 @@
 	return view
 }
 
-// Holds reports whether the runner had the model, and the adapter unless it is empty, at its last report.
+// Holds reports whether the last report lists the model as loaded, and the adapter unless it is empty.
 func (v *RunnerView) Holds(model, adapter string) bool {
-	return holds(v.Report, model) && (adapter == "" || slices.Contains(v.Report.Adapters, adapter))
+	return hasModel(v.Report, model) && (adapter == "" || slices.Contains(v.Report.Adapters, adapter))
 }
 
-// Shared returns the report as the owner of a runner passes it on: with its online requests brought up to now. What ended
-// since is taken from the waiting ones first, what came is counted as running.
+// Shared returns the report as the owner of a runner sends it to peers, with its online requests updated to the current
+// count. Requests that ended are subtracted from the waiting ones first; new requests are counted as running.
 func (v *RunnerView) Shared() engine.LoadReport {
 	report := *v.Report
 	before := report.RunningOnline + report.WaitingOnline
