--- a/internal/credit/credit_test.go
+++ b/internal/credit/credit_test.go
@@ -16,10 +16,10 @@
 	return &engine.LoadReport{Measured: measured, MaxSequences: sequences, StepTime: 20 * time.Millisecond}
 }
 
-// TestCreditsNeverReachIntoKnownOnline checks over random histories that batch and known online work together leave at
+// TestCreditsLeaveCapacityForKnownOnline checks over random histories that batch and known online work together leave at
 // least one sequence free when batch work is started, that there are no credits without a recent report or on a leaving
 // runner, and that batch sequences are preempted while online work waits for capacity.
-func TestCreditsNeverReachIntoKnownOnline(t *testing.T) {
+func TestCreditsLeaveCapacityForKnownOnline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller := NewController()
 		sequences := rapid.IntRange(1, 128).Draw(t, "sequences")
@@ -72,9 +72,9 @@
 	assert.Assert(t, half.Sequences < 32)
 }
 
-// TestArrivalTakesTheReserveFirst checks that an online request that arrives on a runner full of batch work uses the
+// TestOnlineArrivalUsesTheReserve checks that an online request that arrives on a runner full of batch work uses the
 // reserve and preempts nothing.
-func TestArrivalTakesTheReserveFirst(t *testing.T) {
+func TestOnlineArrivalUsesTheReserve(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
 	before := controller.Decide(Input{Report: report}, begin)
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestOnlineWorkBetweenTwoStepsTakesNothing checks that an online request that waits while sequences are free reduces no
+// TestOnlineWorkWaitingForAStepReducesNoCredits checks that an online request that waits while sequences are free reduces no
 // credits, because it only waits for the next step.
-func TestOnlineWorkBetweenTwoStepsTakesNothing(t *testing.T) {
+func TestOnlineWorkWaitingForAStepReducesNoCredits(t *testing.T) {
 	controller := NewController()
 	report := reportAt(begin, 64)
 	report.RunningBatch, report.RunningOnline, report.WaitingOnline = 40, 5, 1
--- a/internal/credit/history.go
+++ b/internal/credit/history.go
@@ -48,12 +48,12 @@
 func (h *history) maxAround(moment time.Time) int {
 	from, until := moment.Add(-reportTimeError), moment.Add(reportTimeError)
 	largest := 0
-	for index, held := range h.changes {
+	for index, entry := range h.changes {
 		endsBefore := index+1 < len(h.changes) && h.changes[index+1].since.Before(from)
-		if endsBefore || held.since.After(until) {
+		if endsBefore || entry.since.After(until) {
 			continue
 		}
-		largest = max(largest, held.count)
+		largest = max(largest, entry.count)
 	}
 	return largest
 }
--- a/internal/credit/steps_test.go
+++ b/internal/credit/steps_test.go
@@ -101,9 +101,9 @@
 	assert.Assert(t, controller.MayPrefill(silent), "the pace allows it")
 }
 
-// TestExpectedStepOutlastsStrayTokens records two step ends for each reported step time, as late tokens cause them, and checks
+// TestExpectedStepTimeIgnoresLateTokens records two step ends for each reported step time, as late tokens cause them, and checks
 // that the expected step time stays near the reported one, so that tokens of different steps are still distinguished.
-func TestExpectedStepOutlastsStrayTokens(t *testing.T) {
+func TestExpectedStepTimeIgnoresLateTokens(t *testing.T) {
 	controller := NewController()
 	now := begin
 	for range 200 {
--- a/internal/dispatch/answer/answer_test.go
+++ b/internal/dispatch/answer/answer_test.go
@@ -11,9 +11,9 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// TestForwardedChunksTileTheAnswer checks that chunks offered in any order, repeated and overlapping, are forwarded in order,
+// TestForwardedChunksCoverTheAnswerOnce checks that chunks offered in any order, repeated and overlapping, are forwarded in order,
 // without gap or duplicate, and that nothing is forwarded after the final chunk.
-func TestForwardedChunksTileTheAnswer(t *testing.T) {
+func TestForwardedChunksCoverTheAnswerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var position Position
 		next, ended := 0, false
--- a/internal/dispatch/counthistory_test.go
+++ b/internal/dispatch/counthistory_test.go
@@ -53,9 +53,9 @@
 	assert.Equal(t, view.SinceReport, 0)
 }
 
-// TestPeersCountsReachEveryoneThroughOneReport checks that a report that is shared again with newer counts replaces the earlier
+// TestSharedReportIsReplacedByNewerCounts checks that a report that is shared again with newer counts replaces the earlier
 // one although its measuring time appears slightly older, because the message was faster.
-func TestPeersCountsReachEveryoneThroughOneReport(t *testing.T) {
+func TestSharedReportIsReplacedByNewerCounts(t *testing.T) {
 	table := NewTable()
 	table.SetMachines(machine.List{Runners: []machine.Runner{{ID: "r", State: machine.Live}}}, begin)
 	table.ObserveShared("r", fullReport(begin.Add(3*time.Millisecond)), begin.Add(historyLag))
--- a/internal/dispatch/exchange/core.go
+++ b/internal/dispatch/exchange/core.go
@@ -170,7 +170,7 @@
 	for node := range c.members {
 		if !members[node] {
 			c.config.Table.ObservePeerGone(node, now)
-			c.shares.forget(node)
+			c.shares.remove(node)
 			delete(c.answered, node)
 		}
 	}
--- a/internal/dispatch/exchange/plan_test.go
+++ b/internal/dispatch/exchange/plan_test.go
@@ -53,7 +53,7 @@
 			truth[runner] = count
 			owner, _ := ownerOf(runner)
 			urgent := tested.changed(runner, owner, count, online[runner], now)
-			assert.Assert(t, urgent || count <= maxTolerance(online[runner]) || before > 0, "a rise from idle waits")
+			assert.Assert(t, urgent || count <= maxTolerance(online[runner]) || before > 0, "a rise from idle is delayed")
 			lose := rapid.IntRange(0, 3).Draw(t, "lose") == 1
 			deliver(lose)
 			if urgent && !lose {
@@ -87,7 +87,7 @@
 	now := begin
 	for count := 1; count <= 12; count++ {
 		now = now.Add(time.Second / 10)
-		assert.Assert(t, tested.changed("a1", "owner-of-a", count, toleranceFrom-1, now), "a rise to %d waits", count)
+		assert.Assert(t, tested.changed("a1", "owner-of-a", count, toleranceFrom-1, now), "a rise to %d is delayed", count)
 		messages := tested.take(now, ownerOf, noNode)
 		assert.Equal(t, messages["owner-of-a"]["a1"], count)
 		tested.sent(messages["owner-of-a"], now)
--- a/internal/dispatch/exchange/shareplan.go
+++ b/internal/dispatch/exchange/shareplan.go
@@ -187,5 +187,5 @@
 	record.notBefore = now.Add(shareRetryDelay)
 }
 
-// forget removes a peer that is no longer a member. If it returns, all states are sent.
-func (s *sharePlan) forget(peer ident.Node) { delete(s.peers, peer) }
+// remove removes a peer that is no longer a member. If it returns, all states are sent.
+func (s *sharePlan) remove(peer ident.Node) { delete(s.peers, peer) }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		runner := known.view(now, 0)
-		total += runner.Takes()
+		total += runner.OnlineLimit()
 	}
 	return total
 }
--- a/internal/schedule/filter.go
+++ b/internal/schedule/filter.go
@@ -60,8 +60,8 @@
 // onlineLimit returns the limit of online work on a runner of the given capacity, in requests.
 func onlineLimit(capacity float64) float64 { return max(1, capacity*overloadFactor) }
 
-// Takes returns the limit of online requests on the runner, or zero if it accepts none or its capacity is unknown.
-func (r *Runner) Takes() float64 {
+// OnlineLimit returns the limit of online requests on the runner, or zero if it accepts none or its capacity is unknown.
+func (r *Runner) OnlineLimit() float64 {
 	capacity := r.capacity()
 	if r.Leaving || r.Ejected || capacity == 0 {
 		return 0
--- a/internal/schedule/herd_test.go
+++ b/internal/schedule/herd_test.go
@@ -77,9 +77,9 @@
 	return worst
 }
 
-// TestNoHerdOnStaleSnapshots checks that 40 dispatchers with the same stale load reports spread their requests. As a
+// TestNoHerdingOnStaleSnapshots checks that 40 dispatchers with the same stale load reports spread their requests. As a
 // control it checks that without the random choice they overload the same runner.
-func TestNoHerdOnStaleSnapshots(t *testing.T) {
+func TestNoHerdingOnStaleSnapshots(t *testing.T) {
 	const bound, herd = 3.0, 6.0
 	for seed := range uint64(3) {
 		drawn := simulate(seed, twoChoices)
