--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -9,13 +9,13 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 )
 
-func TestPageOfEventsIsTheCatalogue(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	assert.NilError(t, err)
 	assert.Equal(t, string(page), event.Markdown(), "run: go run ./cmd/mallowlatch events -o markdown > docs/EVENTS.md")
 }
 
-func TestEveryEventSaysWhatItMeansAndWhatToDo(t *testing.T) {
+func TestEveryEventHasMeaningAndAction(t *testing.T) {
 	names := map[string]int{}
 	for _, registered := range event.All() {
 		assert.Assert(t, registered.Name != "" && registered.Meaning != "" && registered.Action != "", "%+v", registered)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event is the one catalogue of numbered log events. Each package's events stand in a file of their own,
-// within the number range named there; docs/EVENTS.md is checked against the catalogue by a test.
+// Package event is the catalogue of all numbered log events. Each file defines the events of one package, within the number
+// range given there. Markdown renders the catalogue as docs/EVENTS.md; a test compares the two.
 package event
 
 import (
@@ -8,23 +8,23 @@
 	"github.com/rs/zerolog"
 )
 
-// Event is one catalogued kind of log line.
+// Event is one kind of log line in the catalogue.
 type Event struct {
 	// Number is unique and never reused.
 	Number int
-	// Name is the short snake_case name in the log line.
+	// Name is the snake_case name in the log line.
 	Name string
 	// Level is the level it is logged at.
 	Level zerolog.Level
-	// Meaning tells an operator what happened.
+	// Meaning describes to an operator what happened.
 	Meaning string
-	// Action tells an operator what to do; "none" if nothing.
+	// Action is what an operator should do; "none" if nothing.
 	Action string
 }
 
 var catalogue = map[int]Event{}
 
-// register adds an event to the catalogue at start-up. A number used twice is a programming error.
+// register adds an event to the catalogue at start-up. It panics on a duplicate number, which is a programming error.
 func register(number int, name string, level zerolog.Level, meaning, action string) Event {
 	if _, taken := catalogue[number]; taken {
 		panic("event number registered twice: " + name)
@@ -44,7 +44,7 @@
 	return events
 }
 
-// Log starts a log line for the event. The caller adds fields and ends it with Send.
+// Log starts a log line for the event. The caller adds fields and calls Send.
 func (e Event) Log(logger zerolog.Logger) *zerolog.Event {
 	return logger.WithLevel(e.Level).Int("event", e.Number).Str("name", e.Name)
 }
--- a/internal/event/markdown.go
+++ b/internal/event/markdown.go
@@ -19,5 +19,5 @@
 	return page.String()
 }
 
-// cell escapes what would end a table cell.
+// cell escapes the character that ends a table cell.
 func cell(text string) string { return strings.ReplaceAll(text, "|", "\\|") }
--- a/internal/event/transport.go
+++ b/internal/event/transport.go
@@ -7,5 +7,5 @@
 	TransportServing         = register(5000, "transport_serving", zerolog.InfoLevel, "The listener for other nodes is open.", "none")
 	TransportStopped         = register(5001, "transport_stopped", zerolog.InfoLevel, "The listener for other nodes is closed and its calls have ended.", "none")
 	TransportPeerRefused     = register(5002, "transport_peer_refused", zerolog.WarnLevel, "A connection from another node was refused: its certificate is missing, expired or of another authority.", "check the peer's certificate and clock")
-	TransportConnectionLimit = register(5005, "transport_connection_limit", zerolog.WarnLevel, "A connection from another node was closed at once because the listener's limit is reached.", "look for a node that opens connections without end")
+	TransportConnectionLimit = register(5005, "transport_connection_limit", zerolog.WarnLevel, "A connection from another node was closed at once because the listener's limit is reached.", "check for a node that opens connections without closing them")
 )
