--- a/internal/asof/asof_test.go
+++ b/internal/asof/asof_test.go
@@ -12,21 +12,20 @@
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// TestNothingKnownIsOlderThanAnyBound asks a fact that was never renewed.
-func TestNothingKnownIsOlderThanAnyBound(t *testing.T) {
+func TestZeroFactIsOlderThanAnyBound(t *testing.T) {
 	var fact asof.Fact[int]
 	assert.Assert(t, !fact.Within(100*365*24*time.Hour, start))
 }
 
-// TestFactIsTheNewestOfAllThatCame renews a fact in any order. It is the value of the latest moment, and as old as that.
-func TestFactIsTheNewestOfAllThatCame(t *testing.T) {
+// TestFactKeepsNewestValue renews a fact in random order and checks that it has the value and the age of the latest time.
+func TestFactKeepsNewestValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		moments := rapid.SliceOfNDistinct(rapid.IntRange(0, 10_000), 1, 20, rapid.ID[int]).Draw(t, "moments")
 		var fact asof.Fact[int]
 		newest := -1
 		for _, moment := range moments {
-			taken := fact.Renew(moment, start.Add(time.Duration(moment)*time.Millisecond))
-			assert.Equal(t, taken, moment > newest)
+			accepted := fact.Renew(moment, start.Add(time.Duration(moment)*time.Millisecond))
+			assert.Equal(t, accepted, moment > newest)
 			newest = max(newest, moment)
 		}
 		now := start.Add(time.Minute)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,5 +1,6 @@
-// Package reach tells a node that hears nobody from one of which calls fail here and there. A node that is cut off knows so a moment
-// after the cut began; what it can only refuse it then refuses at once. Times are arguments; the package makes no calls.
+// Package reach detects that a node is partitioned from all others, as opposed to single calls that fail. A partitioned node
+// detects this shortly after the partition began, and can then refuse at once the requests that it cannot serve. Times are
+// arguments; the package makes no calls.
 package reach
 
 import (
@@ -8,52 +9,54 @@
 )
 
 const (
-	// deafAfter is for how long nobody must have answered: as long as the word of other nodes is believed. A node in use calls workers
-	// twice a second at least, and one that lost the store asks it each 0.1 to 0.5 s.
-	deafAfter = 1500 * time.Millisecond
-	// deafCalls is how many calls must have failed meanwhile: one alone may have been to a node that is gone.
-	deafCalls = 3
+	// partitionedAfter is how long calls must have failed without any answer. It equals the time for which reports of other nodes
+	// are considered valid. A node in use calls workers at least twice a second, and one that lost the store retries it every
+	// 0.1 to 0.5 s.
+	partitionedAfter = 1500 * time.Millisecond
+	// minFailedCalls is how many calls must have failed in this time: a single one may have been to a node that has ended.
+	minFailedCalls = 3
 )
 
-// Watch knows whether anybody answers this node, of the store and the workers. The zero Watch has heard somebody; a nil one hears
-// nothing of calls and is never deaf. It is safe for concurrent use.
+// Watch tracks whether the store or any worker answers this node. The zero Watch is ready for use and not partitioned; a nil Watch
+// ignores all calls and is never partitioned. It is safe for concurrent use.
 type Watch struct {
 	mutex sync.Mutex
-	// failing is when the first call failed since the last answer, zero where none did.
-	failing time.Time
-	// failed counts these calls.
-	failed int
+	// firstFailure is when the first call failed since the last answer; zero if none did.
+	firstFailure time.Time
+	// failedCalls is the number of calls that failed since the last answer.
+	failedCalls int
 }
 
-// Answered notes that somebody answered a call.
+// Answered records that a call was answered.
 func (w *Watch) Answered() {
 	if w == nil {
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.failing, w.failed = time.Time{}, 0
+	w.firstFailure, w.failedCalls = time.Time{}, 0
 }
 
-// Failed notes that a call got no answer.
+// Failed records that a call got no answer.
 func (w *Watch) Failed(now time.Time) {
 	if w == nil {
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.failed == 0 {
-		w.failing = now
+	if w.failedCalls == 0 {
+		w.firstFailure = now
 	}
-	w.failed++
+	w.failedCalls++
 }
 
-// Deaf says that for a while nobody has answered any call.
+// Deaf reports whether the node is partitioned: at least minFailedCalls calls, the first at least partitionedAfter ago, have
+// failed since the last answer.
 func (w *Watch) Deaf(now time.Time) bool {
 	if w == nil {
 		return false
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.failed >= deafCalls && now.Sub(w.failing) >= deafAfter
+	return w.failedCalls >= minFailedCalls && now.Sub(w.firstFailure) >= partitionedAfter
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyANodeThatNobodyAnswersIsDeaf(t *testing.T) {
+func TestPartitionedOnlyAfterRepeatedFailuresWithoutAnswer(t *testing.T) {
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	var w Watch
@@ -19,7 +19,7 @@
 	assert.Assert(t, w.Deaf(at(1500)))
 
 	w.Answered()
-	assert.Assert(t, !w.Deaf(at(1500)), "one answer is enough")
+	assert.Assert(t, !w.Deaf(at(1500)), "one answer resets the failures")
 	w.Failed(at(1600))
 	w.Failed(at(1700))
 	assert.Assert(t, !w.Deaf(at(9000)), "two calls are too few")
@@ -27,7 +27,7 @@
 	assert.Assert(t, w.Deaf(at(9000)))
 }
 
-func TestWithoutAWatchNobodyIsDeaf(t *testing.T) {
+func TestNilWatchIsNeverPartitioned(t *testing.T) {
 	var w *Watch
 	w.Failed(time.Now())
 	w.Answered()
--- a/internal/work/attempt.go
+++ b/internal/work/attempt.go
@@ -9,82 +9,82 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Attempt is one sending of a request to one runner.
+// Attempt is one attempt to run a request on one runner.
 type Attempt struct {
 	Request *Request
 	Runner  Runner
-	// Budget is the time the runner may take.
+	// Budget is the maximum time that the runner may take.
 	Budget time.Duration
-	// ResumeAfter is the id of the last event already had; zero asks for the whole answer.
+	// ResumeAfter is the id of the last event already received; zero requests the whole answer.
 	ResumeAfter int64
 }
 
-// Reply is a runner's answer to one attempt. Body must be closed; closing it before its end tells the runner to stop.
+// Reply is a runner's answer to one attempt. Body must be closed; closing it before its end makes the runner stop.
 type Reply struct {
 	Head Head
-	// NotRun says that the runner did not and will not run the request.
+	// NotRun means that the runner did not and will not run the request.
 	NotRun bool
-	// Replaced says that the address belongs to another runner, which did not run the request.
+	// Replaced means that the address belongs to another runner, which did not run the request.
 	Replaced bool
-	// Sealed says that the answer carries the runner's signature, without which a success does not count.
+	// Sealed means that the answer has the runner's signature; a success without it is not accepted.
 	Sealed bool
-	// Encoded says that the body is not the runner's own bytes.
+	// Encoded means that the body has a content encoding and is not the runner's original bytes.
 	Encoded bool
-	// Framed says that the end of the body is proven by its framing and not only by the end of the connection.
+	// Framed means that the framing of the body marks its end, and not only the close of the connection.
 	Framed bool
-	// Length is the length of the body, or negative where the answer does not tell.
+	// Length is the length of the body in bytes, or negative if the answer does not specify it.
 	Length int64
 	Body   io.ReadCloser
 }
 
-// ErrOtherIncarnation means that another incarnation answers at the address of the one that was asked, which has ended.
+// ErrOtherIncarnation means that the requested incarnation has ended and another one answers at its address.
 const ErrOtherIncarnation = failure.Kind("work: another incarnation answers")
 
 // Caller sends attempts to runners. Its errors wrap connpool.ErrNotSent or connpool.ErrNoAnswer.
 type Caller interface {
 	Send(ctx context.Context, attempt Attempt) (*Reply, error)
-	// Report reads a runner's own account of its work. Its error wraps ErrOtherIncarnation where another one has the address.
+	// Report reads a runner's report of its load. Its error wraps ErrOtherIncarnation if another incarnation has the address.
 	Report(ctx context.Context, runner Runner) (Load, error)
-	// Forget drops the connections kept to a runner.
+	// Forget closes the idle connections to a runner.
 	Forget(runner Runner)
 }
 
-// Retirement asks that a worker be emptied.
+// Retirement is an order to drain a worker.
 type Retirement struct {
 	Node ident.Node
-	// Within is how long that may take, counted from the order.
+	// Within is the maximum duration of the drain, counted from the order.
 	Within time.Duration
 }
 
-// Orders are what operators want.
+// Orders are the operators' orders: the configuration and the workers to drain.
 type Orders struct {
-	// Catalog is the newest configuration, or nil where none came.
+	// Catalog is the newest configuration, or nil if there is none.
 	Catalog *Catalog
-	// Retire holds the workers to be emptied.
+	// Retire lists the workers to drain.
 	Retire []Retirement
 }
 
 // Registry lists the runners and reads the operators' orders.
 type Registry interface {
-	// Runners returns all runners the registry lists, of the revision or later.
+	// Runners returns all runners in the registry and a revision; the list is of that revision or a later one.
 	Runners(ctx context.Context) (runners []Runner, revision int64, err error)
-	// Orders returns all orders and the revision to ask for newer ones after.
+	// Orders returns all orders, and the revision to pass to NextOrders.
 	Orders(ctx context.Context) (Orders, int64, error)
-	// NextOrders waits for orders newer than the revision. It returns none, and a revision to go on from, when none
-	// came within the wait.
+	// NextOrders waits for orders newer than the revision. If there are none within the wait, it returns no orders and
+	// the revision to pass to the next call.
 	NextOrders(ctx context.Context, after int64, wait time.Duration) (Orders, int64, error)
-	// Probe makes the cheapest call there is, to see whether the registry answers at all.
+	// Probe makes the cheapest call available, to check whether the registry answers.
 	Probe(ctx context.Context) error
-	// ReportRetired tells the operators how far a worker is emptied.
+	// ReportRetired reports to the operators whether a worker has been drained.
 	ReportRetired(ctx context.Context, node ident.Node, emptied bool) error
 }
 
-// AnswerWriter passes an answer on to the caller. Its errors mean that the caller is gone.
+// AnswerWriter sends an answer to the caller. Its errors mean that the caller has disconnected.
 type AnswerWriter interface {
-	// Until says when writing to the caller ends in any case: a caller that does not read must not hold the node.
+	// Until sets the deadline for writes to the caller, so that a caller that does not read cannot tie up the node.
 	Until(deadline time.Time)
-	// Begin sends the head. length is the length of the body, or negative for a body that ends by itself.
+	// Begin sends the head. length is the length of the body in bytes, or negative if it is not known in advance.
 	Begin(head Head, length int64) error
-	// Write sends bytes of the body at once.
+	// Write sends bytes of the body without buffering.
 	Write(bytes []byte) error
 }
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,5 +1,6 @@
-// Package work holds the types that pass between the dialects and the core: opaque requests, answers made of ordered
-// events, runners, routes and batch items. It does no I/O and knows no wire format.
+// Package work defines the types and interfaces shared by the dialects and the core: opaque requests, attempts and replies,
+// runners and their load, the registry, the configuration (routes, services, limits and tenants), and batch items with their
+// results. It does no I/O and is independent of the wire formats.
 package work
 
 import (
@@ -10,39 +11,39 @@
 	"mallowlatch.example/mallowlatch/internal/keyhash"
 )
 
-// Part is one piece of a prompt. Requests that share a part and all parts before it can share what a runner keeps.
+// Part is one piece of a prompt. Requests with the same part and the same parts before it can share a runner's prompt cache.
 type Part struct {
-	// ID names the content of the part.
+	// ID identifies the content of the part.
 	ID string
-	// Tokens is its length.
+	// Tokens is the length of the part in tokens.
 	Tokens int
 }
 
-// Request is one client attempt, or one run of a batch item. The core passes method, path, headers and body on
-// unaltered.
+// Request is one client attempt, or one run of a batch item. The core forwards method, path, headers and body
+// unchanged.
 type Request struct {
-	// ID names the attempt; a runner's answer carries it back.
+	// ID identifies the attempt; the runner returns it in its answer.
 	ID      ident.Request
 	Method  string
 	Path    string
 	Host    string
 	Headers http.Header
 	Body    []byte
-	// Prefix is the prompt in order; the last part is the request's own.
+	// Prefix is the prompt in order; the last part is specific to the request.
 	Prefix []Part
-	// PromptTokens and MaximumTokens are the client's counts; zero when it gave none.
+	// PromptTokens and MaximumTokens are the client's counts; zero if it gave none.
 	PromptTokens, MaximumTokens int
-	// Tenant is whose request it is; empty where the configuration names no tenants.
+	// Tenant is the tenant that sent the request; empty if the configuration has no tenants.
 	Tenant ident.Tenant
-	// Rank is that of the tenant; zero is the most urgent.
+	// Rank is the priority of the tenant; zero is the most urgent.
 	Rank int
-	// Connection names the caller's connection; empty where there is none.
+	// Connection identifies the caller's connection; empty if there is none.
 	Connection string
 	// Arrived is when the node received the request.
 	Arrived time.Time
-	// Deadline is when the client stops waiting; zero means that it did not say.
+	// Deadline is when the client stops waiting; zero if it is not known.
 	Deadline time.Time
-	// ResumeAfter is the id of the last event the caller already has; zero asks for the whole answer.
+	// ResumeAfter is the id of the last event that the caller already has; zero requests the whole answer.
 	ResumeAfter int64
 }
 
@@ -50,54 +51,56 @@
 type Head struct {
 	Status  int
 	Headers http.Header
-	// Load is what the runner said of itself, if it did.
+	// Load is the load that the runner reported, or nil.
 	Load *Load
 }
 
-// Pace is how long work takes at a runner now, as a multiple of the usual: 1 is as usual, 2 takes twice as long. Zero is not known.
+// Pace is the current duration of work at a runner, as a multiple of the usual one: 1 is normal, 2 takes twice as long. Zero
+// means unknown.
 type Pace float64
 
-// Known says whether the pace is.
+// Known reports whether the pace is known.
 func (p Pace) Known() bool { return p > 0 }
 
-// Load is a runner's own count of its work.
+// Load is a runner's report of its work.
 type Load struct {
 	Running, Waiting, Slots int
-	// Memory is how many tokens of prompts and output the runner can hold; zero where it is not told.
+	// Memory is the number of tokens of prompts and output that fit in the runner's memory; zero if not reported.
 	Memory int
-	// Pace is told by runners that share their machine with others; zero where it is not told.
+	// Pace is reported by runners that share their machine with others; zero if not reported.
 	Pace Pace
 }
 
-// State is what the registry says of a runner.
+// State is the state of a runner in the registry.
 type State uint8
 
 const (
-	// Ready runners take work.
+	// Ready runners accept work.
 	Ready State = iota
-	// Draining runners finish what they have.
+	// Draining runners finish the work that they have.
 	Draining
-	// Unreadable entries name no runner. Whichever incarnation had the entry's name before takes no more work.
+	// Unreadable entries could not be decoded. The incarnation that the entry listed before gets no more work.
 	Unreadable
 )
 
 // Runner is one incarnation of a model engine, as the registry lists it.
 type Runner struct {
-	// ID is the incarnation; a restart begins a new one, also under the same name. That of an unreadable entry is the name alone.
+	// ID is the incarnation; each restart begins a new one, even under the same name. The ID of an unreadable entry is the name
+	// alone.
 	ID      ident.Incarnation
 	Service string
 	Address string
 	Zone    ident.Zone
 	Slots   int
 	State   State
-	// WarmUp is how long the runner stays slow, counted from the reading of the registry.
+	// WarmUp is how long the runner stays slow, counted from the read of the registry.
 	WarmUp time.Duration
-	// Registered is the registry's revision at which the runner's entry was made. An entry that ran out and came back has
-	// another one.
+	// Registered is the registry's revision at which the runner's entry was created. An entry that expired and was created
+	// again has another one.
 	Registered int64
 }
 
-// Kind says what a route allows.
+// Kind is how requests of a route may run and how they are answered.
 type Kind uint8
 
 const (
@@ -105,55 +108,55 @@
 	Idempotent Kind = iota
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Streaming requests are answered by events.
+	// Streaming requests are answered with a stream of events.
 	Streaming
-	// Batch routes take jobs of many items.
+	// Batch routes accept jobs of many items.
 	Batch
 )
 
-// WeightedService is one part of a route's split.
+// WeightedService is a service and its weight in a route's split.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route says which requests go to which service, and how.
+// Route maps requests to services and sets how they are served.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Split holds the services that serve the route; one entry without a split.
+	// Split lists the services that serve the route; one entry if the traffic is not split.
 	Split []WeightedService
-	// Timeout is the longest time a client attempt is held; zero means no bound.
+	// Timeout is the maximum duration of a client attempt; zero means no limit.
 	Timeout time.Duration
-	// Objective is the time to the first event (or the answer) that earns full credit.
+	// Objective is the longest time to the first event (or the answer) that earns full credit.
 	Objective time.Duration
-	// Pause is the longest time between two events of a stream that earns full credit; zero names none.
+	// Pause is the longest time between two events of a stream that earns full credit; zero means no limit.
 	Pause time.Duration
 	// CompletionObjective is when all results of a batch job are due, counted from its submission.
 	CompletionObjective time.Duration
-	// Retention is when items of a batch job may be given up, counted from its submission.
+	// Retention is the time after which items of a batch job may be given up, counted from its submission.
 	Retention time.Duration
 	// Priority is the rank; zero is the most urgent.
 	Priority int
-	// MaximumAttempts bounds the runners one client attempt may run on, and the failed runs of a batch item.
+	// MaximumAttempts limits the runners that one client attempt may run on, and the failed runs of a batch item.
 	MaximumAttempts int
-	// Resumable says that another runner can go on after the last event.
+	// Resumable means that another runner can resume a stream after the last event.
 	Resumable bool
-	// MaximumQueuedTokens bounds the waiting tokens of a batch route over all nodes, of each tenant where there are tenants; zero
-	// means no bound.
+	// MaximumQueuedTokens limits the waiting tokens of a batch route over all nodes, for each tenant if there are tenants; zero
+	// means no limit.
 	MaximumQueuedTokens int
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool `json:",omitempty"`
 }
 
-// Repeatable says whether a request of the route may run on a second runner after it may have run on a first.
+// Repeatable reports whether a request that may already have run on one runner may run on another.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Batch || (r.Kind == Streaming && r.Resumable)
 }
 
-// GoesTo says whether a service serves a part of the route.
+// GoesTo reports whether the service is in the route's split.
 func (r *Route) GoesTo(service string) bool {
 	for _, part := range r.Split {
 		if part.Service == service {
@@ -167,11 +170,11 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaximumConnections is what one runner takes from all callers together.
+	// MaximumConnections is the maximum number of connections that one runner accepts from all callers together.
 	MaximumConnections int
 }
 
-// Limits bound what a client may send.
+// Limits are the size and time limits for client requests.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -180,29 +183,29 @@
 // Tenant is a team that shares the fleet.
 type Tenant struct {
 	Name ident.Tenant
-	// Keys are the hashes of its keys. No other tenant has one of them.
+	// Keys are the hashes of the tenant's keys. A key belongs to one tenant only.
 	Keys []keyhash.Digest
-	// Priority is the rank of its requests; zero is the most urgent.
+	// Priority is the rank of the tenant's requests; zero is the most urgent.
 	Priority int
-	// Rate bounds its requests a second over all nodes, beside a Burst above that; zero means no bound.
+	// Rate limits the tenant's requests per second over all nodes, and Burst is allowed in addition; zero means no limit.
 	Rate, Burst float64
 }
 
-// CatalogForm numbers what this build reads of a configuration. A node passes on only what it read itself, so that one of an older
-// build passes on less.
+// CatalogForm is the version of the configuration format that this build reads. A node relays only the fields that it decodes, so
+// a node of an older build relays fewer.
 const CatalogForm = 1
 
-// Catalog is one whole configuration.
+// Catalog is one complete configuration.
 type Catalog struct {
-	// Version rises with each change, by uneven steps.
+	// Version increases with each change, not always by one.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Keyed says that requests carry the key of a tenant.
+	// Keyed means that requests must have the key of a tenant.
 	Keyed   bool     `json:",omitempty"`
 	Tenants []Tenant `json:",omitempty"`
-	// Form is the CatalogForm of the build that read the configuration; builds before the first number say none.
+	// Form is the CatalogForm of the build that read the configuration; zero for builds older than CatalogForm.
 	Form int `json:",omitempty"`
 }
 
@@ -211,16 +214,16 @@
 	ID      ident.Request     `json:"id"`
 	Path    string            `json:"path"`
 	Headers map[string]string `json:"headers"`
-	// Tokens are the prompt and the most that may be made, summed.
+	// Tokens is the sum of the prompt's tokens and the maximum output tokens.
 	Tokens int    `json:"tokens"`
 	Body   []byte `json:"-"`
 }
 
-// ResultState says how an item ended.
+// ResultState is the outcome of an item.
 type ResultState string
 
 const (
-	// Completed items have their whole output.
+	// Completed items have their complete output.
 	Completed ResultState = "completed"
 	// DeadLetter items were given up.
 	DeadLetter ResultState = "dead_letter"
@@ -230,15 +233,15 @@
 type Result struct {
 	ID    ident.Request `json:"id"`
 	State ResultState   `json:"state"`
-	// Text is the data of all events in order, parted by line feeds.
+	// Text is the data of all events in order, separated by line feeds.
 	Text string `json:"text"`
 }
 
-// Held is what the worker that runs a job knows of it.
+// Held is the state of a job at the worker that runs it.
 type Held struct {
-	// Tenant is whose job it is, if anybody's.
+	// Tenant is the tenant that submitted the job, if any.
 	Tenant ident.Tenant
-	// Total is the number of its items; Results are those from the position asked for on.
+	// Total is the number of items of the job; Results are the results from the requested position on.
 	Total   int
 	Results []Result
 }
