--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,7 +1,7 @@
-// Package changefeed passes a state of the key-value service on from the node that reads it to those that follow it, change by
-// change. Each reading has its price, and its number is to grow with the facts and not with the nodes. A follower names the
-// revision that it has and gets the changes since, or the whole state where these are not kept. Times are arguments; the package
-// makes no calls.
+// Package changefeed distributes a part of the key-value service's state from the node that reads it to the nodes that follow it.
+// Reads of the service are expensive, and their number should grow with the number of changes and not with the number of nodes. A
+// follower sends the revision that it has and gets the changes since then, or the whole state if these are no longer buffered.
+// Times of reads are arguments; the package makes no calls.
 package changefeed
 
 import (
@@ -17,41 +17,41 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// Update is what a follower lacks of a state.
+// Update contains the changes that bring a follower to a newer state.
 type Update struct {
-	// Whole says that the state begins anew: what Changes does not name is gone.
+	// Whole means that Changes contains the whole state: keys that are not in Changes are removed.
 	Whole bool
-	// Changes are in the order of their revisions. A whole state has no removals.
+	// Changes are sorted by revision. A whole state contains no removals.
 	Changes []kv.WatchEvent
-	// Revision is that of the state with the changes; each change after it comes with a later update.
+	// Revision is the revision of the state after the changes; later changes are in later updates.
 	Revision int64
-	// AsOf is no later than the moment at which the state was so.
+	// AsOf is not later than the time at which the state was current.
 	AsOf time.Time
 }
 
-// ErrBehind means that nothing can be told to a follower: the feed is empty, or the follower knows more.
+// ErrBehind means that the feed has no update for a follower because it is empty or older than the follower's state.
 const ErrBehind = failure.Kind("change feed: the follower knows more")
 
-// keptChanges bounds the changes that are kept for followers. A follower asks every second or two; a heap of jobs makes some
-// hundred changes.
-const keptChanges = 2048
+// maxBufferedChanges limits the changes that are buffered for followers. A follower polls every second or two; a large batch of jobs
+// causes some hundred changes.
+const maxBufferedChanges = 2048
 
-// Feed holds a state and its latest changes. The zero Feed is empty. It is safe for concurrent use.
+// Feed stores a state and its latest changes. The zero Feed is empty. It is safe for concurrent use.
 type Feed struct {
 	mutex sync.Mutex
 	state map[string]kv.Pair
-	// changes are all those after the revision since, in order.
+	// changes are all changes after the revision since, in order.
 	changes []kv.WatchEvent
 	since   int64
-	// revision and asOf never go back.
+	// revision and asOf never decrease.
 	revision int64
 	asOf     time.Time
-	// changed is closed with the next change; nil while nobody waits.
+	// changed is closed on the next change; nil if no caller waits.
 	changed chan struct{}
 }
 
-// Take takes over what was read here or told by another node. An update of an older state than is known is passed over, and
-// Take returns false.
+// Take applies an update that this node read or received from another node. It ignores an update older than the stored state, or
+// changes to an empty feed, and returns false.
 func (f *Feed) Take(update Update) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -65,14 +65,14 @@
 		f.apply(change)
 	}
 	if !update.Whole {
-		f.keep(update.Changes)
+		f.bufferChanges(update.Changes)
 	}
-	moved := update.Revision > f.revision
+	advanced := update.Revision > f.revision
 	f.revision = update.Revision
 	if update.AsOf.After(f.asOf) {
 		f.asOf = update.AsOf
 	}
-	if moved && f.changed != nil {
+	if advanced && f.changed != nil {
 		close(f.changed)
 		f.changed = nil
 	}
@@ -87,41 +87,43 @@
 	f.state[change.Pair.Key] = change.Pair
 }
 
-// keep remembers changes, and forgets the oldest beyond what is kept.
-func (f *Feed) keep(changes []kv.WatchEvent) {
+// bufferChanges appends changes to the buffer and discards the oldest ones beyond maxBufferedChanges.
+func (f *Feed) bufferChanges(changes []kv.WatchEvent) {
 	f.changes = append(f.changes, changes...)
-	if over := len(f.changes) - keptChanges; over > 0 {
-		f.since = f.changes[over-1].Pair.ModRevision
-		f.changes = slices.Clone(f.changes[over:])
+	if excess := len(f.changes) - maxBufferedChanges; excess > 0 {
+		f.since = f.changes[excess-1].Pair.ModRevision
+		f.changes = slices.Clone(f.changes[excess:])
 	}
 }
 
-// Next returns what a follower lacks that has the state after a revision, zero for none of it. With nothing new it waits, at
-// most for the wait, and returns an update without changes. Its error wraps ErrBehind, or is the context's.
+// Next returns the update for a follower that has the state at the revision after; zero means that it has none. If there is nothing
+// new, Next waits for a change, at most for the duration wait, and then returns an update without changes. Its error wraps
+// ErrBehind or the error of the context.
 func (f *Feed) Next(ctx context.Context, after int64, wait time.Duration) (Update, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := false; ; {
-		update, changed, news := f.compare(after)
+	for timedOut := false; ; {
+		update, changed, newer := f.compare(after)
 		switch {
-		case news:
+		case newer:
 			return update, nil
-		case over && update.Revision < max(after, 1):
+		case timedOut && update.Revision < max(after, 1):
 			return Update{}, fmt.Errorf("%w: it has %d, the feed %d", ErrBehind, after, update.Revision)
-		case over:
+		case timedOut:
 			return update, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return Update{}, fmt.Errorf("waiting for a change: %w", ctx.Err())
 		}
 	}
 }
 
-// compare returns what a follower lacks, what is closed at the next change, and whether there is anything.
+// compare returns the update for a follower, a channel that is closed on the next change, and whether the update is newer than the
+// follower's state.
 func (f *Feed) compare(after int64) (Update, <-chan struct{}, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -137,7 +139,7 @@
 		for _, pair := range f.state {
 			update.Changes = append(update.Changes, kv.WatchEvent{Pair: pair})
 		}
-		slices.SortFunc(update.Changes, inOrder)
+		slices.SortFunc(update.Changes, byRevision)
 		return update, f.changed, true
 	}
 	from, _ := slices.BinarySearchFunc(f.changes, after+1, func(change kv.WatchEvent, revision int64) int {
@@ -147,7 +149,8 @@
 	return update, f.changed, true
 }
 
-func inOrder(first, second kv.WatchEvent) int {
+// byRevision compares changes by revision and then by key.
+func byRevision(first, second kv.WatchEvent) int {
 	if first.Pair.ModRevision != second.Pair.ModRevision {
 		return int(first.Pair.ModRevision - second.Pair.ModRevision)
 	}
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -19,15 +19,15 @@
 	return kv.WatchEvent{Pair: kv.Pair{Key: key, Value: fmt.Append(nil, revision), ModRevision: revision}}
 }
 
-func gone(key string, revision int64) kv.WatchEvent {
+func del(key string, revision int64) kv.WatchEvent {
 	return kv.WatchEvent{Pair: kv.Pair{Key: key, ModRevision: revision}, Deleted: true}
 }
 
-// TestFollowerGetsTheChangesItLacks asks with each revision.
-func TestFollowerGetsTheChangesItLacks(t *testing.T) {
+// TestFollowerGetsMissingChanges requests an update at each revision, older than, within and beyond the feed's.
+func TestFollowerGetsMissingChanges(t *testing.T) {
 	feed := &changefeed.Feed{}
 	assert.Assert(t, feed.Take(changefeed.Update{Whole: true, Changes: []kv.WatchEvent{put("a", 3), put("b", 5)}, Revision: 5, AsOf: start}))
-	assert.Assert(t, feed.Take(changefeed.Update{Changes: []kv.WatchEvent{gone("a", 7), put("c", 9)}, Revision: 9, AsOf: start.Add(time.Second)}))
+	assert.Assert(t, feed.Take(changefeed.Update{Changes: []kv.WatchEvent{del("a", 7), put("c", 9)}, Revision: 9, AsOf: start.Add(time.Second)}))
 	for after, wanted := range map[int64]int{0: 2, 4: 2, 5: 2, 6: 2, 7: 1, 8: 1} {
 		update, err := feed.Next(context.Background(), after, 0)
 		assert.NilError(t, err)
@@ -45,19 +45,19 @@
 	assert.ErrorIs(t, err, changefeed.ErrBehind)
 }
 
-// TestFeedNeverGoesBack passes an older state over, whole or not.
-func TestFeedNeverGoesBack(t *testing.T) {
+// TestFeedIgnoresOlderState checks that older updates, whole or not, are ignored.
+func TestFeedIgnoresOlderState(t *testing.T) {
 	feed := &changefeed.Feed{}
 	assert.Assert(t, !feed.Take(changefeed.Update{Changes: []kv.WatchEvent{put("a", 3)}, Revision: 3}), "changes without the state before them")
 	assert.Assert(t, feed.Take(changefeed.Update{Whole: true, Changes: []kv.WatchEvent{put("a", 9)}, Revision: 9}))
 	assert.Assert(t, !feed.Take(changefeed.Update{Whole: true, Revision: 8}))
-	assert.Assert(t, !feed.Take(changefeed.Update{Changes: []kv.WatchEvent{gone("a", 8)}, Revision: 8}))
+	assert.Assert(t, !feed.Take(changefeed.Update{Changes: []kv.WatchEvent{del("a", 8)}, Revision: 8}))
 	state, revision := feed.State()
 	assert.Equal(t, len(state), 1)
 	assert.Equal(t, revision, int64(9))
 }
 
-func TestFollowerIsAnsweredWithTheChangeItWaitsFor(t *testing.T) {
+func TestWaitingFollowerGetsNextChange(t *testing.T) {
 	feed := &changefeed.Feed{}
 	feed.Take(changefeed.Update{Whole: true, Revision: 5})
 	time.AfterFunc(20*time.Millisecond, func() {
@@ -72,9 +72,9 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// TestDrawnFollowersHaveTheStateOfTheirSource draws changes at a service, a reader that misses answers and reads anew, and chains
-// of followers of which each asks now and then: whoever has a revision has the state that the service had at it.
-func TestDrawnFollowersHaveTheStateOfTheirSource(t *testing.T) {
+// TestFollowersMatchSourceState generates changes to a service, a reader that reads either the changes or the whole state, and
+// followers that poll each other at random times. Each feed must have the state that the service had at the feed's revision.
+func TestFollowersMatchSourceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []kv.WatchEvent
 		states := map[int64]map[string]int64{0: {}}
@@ -90,7 +90,7 @@
 				key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				change := put(key, revision)
 				if rapid.Bool().Draw(t, "removed") {
-					change = gone(key, revision)
+					change = del(key, revision)
 				}
 				history = append(history, change)
 				states[revision] = stateAfter(history)
@@ -130,10 +130,10 @@
 	return state
 }
 
-// read has a feed read the service: the changes since what it has, or the whole.
-func read(feed *changefeed.Feed, history []kv.WatchEvent, revision int64, anew bool) {
+// read updates a feed from the service, with the changes since the feed's revision or with the whole state.
+func read(feed *changefeed.Feed, history []kv.WatchEvent, revision int64, whole bool) {
 	_, has := feed.State()
-	update := changefeed.Update{Whole: anew || has == 0, Revision: revision}
+	update := changefeed.Update{Whole: whole || has == 0, Revision: revision}
 	if revision == 0 {
 		return
 	}
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal remembers which values of an outside store cannot be read, and why. The same value is read again every second
-// or two: each refusal is told of when it begins, ends or changes, and not with each reading.
+// Package refusal tracks which values of an external store cannot be decoded, and why. The same values are read every second or
+// two; the package reports a refusal only when it begins, changes or ends, and not on each read.
 package refusal
 
 import (
@@ -8,50 +8,51 @@
 	"sync"
 )
 
-// Book holds the refusals. It is safe for concurrent use.
+// Book stores the refused values. It is safe for concurrent use.
 type Book struct {
-	// Tell is told of a value; err is nil where it can be read again or is gone. total is how many are refused now.
+	// Tell is called when a refusal begins, changes or ends; err is nil if the value can be read again or was removed. total is the
+	// number of values refused now. Tell is called with the mutex held and must not call the Book.
 	Tell func(key string, err error, total int)
 
 	mutex sync.Mutex
-	// why holds the reason of each value that is refused now.
-	why map[string]string
+	// reasons holds the error text of each value that is refused now, by key.
+	reasons map[string]string
 }
 
-// Settle takes over the whole reading of all keys that begin with the prefix.
+// Settle records a complete read of all keys that begin with the prefix; refused holds those that could not be decoded.
 func (b *Book) Settle(prefix string, refused map[string]error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for key := range maps.Clone(b.why) {
+	for key := range maps.Clone(b.reasons) {
 		if _, still := refused[key]; !still && strings.HasPrefix(key, prefix) {
-			b.note(key, nil)
+			b.record(key, nil)
 		}
 	}
 	for key, err := range refused {
-		b.note(key, err)
+		b.record(key, err)
 	}
 }
 
-// Note takes over the reading of one value; err is nil where it can be read, or is gone.
+// Note records a read of one value; err is nil if it could be decoded or was removed.
 func (b *Book) Note(key string, err error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.note(key, err)
+	b.record(key, err)
 }
 
-// note tells of what changed. The caller holds the mutex.
-func (b *Book) note(key string, err error) {
-	known, refused := b.why[key]
+// record stores the state of a value and calls Tell if it changed. The caller must hold the mutex.
+func (b *Book) record(key string, err error) {
+	known, refused := b.reasons[key]
 	switch {
 	case err == nil && !refused, err != nil && refused && known == err.Error():
 		return
 	case err == nil:
-		delete(b.why, key)
+		delete(b.reasons, key)
 	default:
-		if b.why == nil {
-			b.why = map[string]string{}
+		if b.reasons == nil {
+			b.reasons = map[string]string{}
 		}
-		b.why[key] = err.Error()
+		b.reasons[key] = err.Error()
 	}
-	b.Tell(key, err, len(b.why))
+	b.Tell(key, err, len(b.reasons))
 }
--- a/internal/routetable/keys.go
+++ b/internal/routetable/keys.go
@@ -9,19 +9,20 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// KeyChange is how the keys of a configuration differ from those of another, in the order of their hashes. A key that goes from one
-// tenant to another is in both lists.
+// KeyChange is the difference between the keys of two configurations, sorted by hash. A key that moved from one tenant to another
+// is in both lists.
 type KeyChange struct {
 	Added, Removed []keyhash.Digest
 }
 
-// CompareKeys returns which keys came and went between two configurations.
+// CompareKeys returns the keys that were added and removed between two configurations.
 func CompareKeys(before, after *work.Catalog) KeyChange {
-	had, has := holders(before), holders(after)
-	return KeyChange{Added: lacking(has, had), Removed: lacking(had, has)}
+	had, has := tenantsByKey(before), tenantsByKey(after)
+	return KeyChange{Added: keysOnlyIn(has, had), Removed: keysOnlyIn(had, has)}
 }
 
-func holders(catalog *work.Catalog) map[keyhash.Digest]ident.Tenant {
+// tenantsByKey returns the tenant of each key of a configuration.
+func tenantsByKey(catalog *work.Catalog) map[keyhash.Digest]ident.Tenant {
 	byKey := map[keyhash.Digest]ident.Tenant{}
 	for _, tenant := range catalog.Tenants {
 		for _, key := range tenant.Keys {
@@ -31,8 +32,8 @@
 	return byKey
 }
 
-// lacking returns the keys of some holders that others do not have, or that another tenant has there.
-func lacking(some, others map[keyhash.Digest]ident.Tenant) []keyhash.Digest {
+// keysOnlyIn returns the sorted keys of some that others lack or assign to another tenant.
+func keysOnlyIn(some, others map[keyhash.Digest]ident.Tenant) []keyhash.Digest {
 	var keys []keyhash.Digest
 	for key, holder := range some {
 		if other, known := others[key]; !known || other != holder {
--- a/internal/routetable/keys_test.go
+++ b/internal/routetable/keys_test.go
@@ -23,8 +23,8 @@
 	return catalog
 }
 
-// TestKeysGoWithTheirConfiguration takes a key away and passes one on to another tenant.
-func TestKeysGoWithTheirConfiguration(t *testing.T) {
+// TestKeysFollowConfiguration adds a key, moves one to another tenant and checks the lookups and the difference.
+func TestKeysFollowConfiguration(t *testing.T) {
 	before := withKeys(1, map[ident.Tenant][]string{"a": {"one", "two"}, "b": {"three"}})
 	after := withKeys(2, map[ident.Tenant][]string{"a": {"one"}, "b": {"three", "two", "four"}})
 	table := &routetable.Table{}
@@ -33,7 +33,7 @@
 	assert.Equal(t, table.Holder(keyhash.Of("two")).Name, ident.Tenant("a"))
 	assert.Assert(t, table.Adopt(after))
 	assert.Equal(t, table.Holder(keyhash.Of("two")).Name, ident.Tenant("b"))
-	assert.Assert(t, !table.Adopt(before), "an older configuration came back")
+	assert.Assert(t, !table.Adopt(before), "an older configuration was adopted")
 	assert.Assert(t, table.Holder(keyhash.Of("five")) == nil)
 	assert.Equal(t, table.Tenant("b").Name, ident.Tenant("b"))
 
@@ -44,7 +44,7 @@
 	assert.Equal(t, len(unchanged.Added)+len(unchanged.Removed), 0)
 }
 
-func TestHostWithAPublicBatchRouteTakesJobsWithoutAKey(t *testing.T) {
+func TestPublicBatchRouteAcceptsJobsWithoutKey(t *testing.T) {
 	table := &routetable.Table{}
 	assert.Assert(t, !table.PublicJobs("h"))
 	table.Adopt(&work.Catalog{Version: 1, Routes: []work.Route{
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -1,5 +1,5 @@
-// Package routetable holds the newest configuration a node knows and finds the route of a request. A configuration
-// never goes back: an older version than the one in force is ignored.
+// Package routetable stores the newest configuration known to a node. It finds the route of a request and the tenant of a key,
+// and compares the keys of two configurations. A configuration older than the active one is ignored.
 package routetable
 
 import (
@@ -14,7 +14,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Table holds the catalog in force. It is safe for concurrent use; the zero Table knows no configuration.
+// Table holds the active catalog. It is safe for concurrent use; the zero Table has no configuration.
 type Table struct {
 	current atomic.Pointer[index]
 }
@@ -27,7 +27,7 @@
 	byName  map[ident.Tenant]*work.Tenant
 }
 
-// Adopt puts the catalog in force if its version is higher than that of the one in force, and says whether it did.
+// Adopt activates the catalog if its version is higher than that of the active one, and reports whether it did.
 func (t *Table) Adopt(catalog *work.Catalog) bool {
 	next := newIndex(catalog)
 	for {
@@ -61,13 +61,13 @@
 	return built
 }
 
-// Keyed says whether requests carry the key of a tenant.
+// Keyed reports whether requests must have the key of a tenant.
 func (t *Table) Keyed() bool {
 	current := t.current.Load()
 	return current != nil && current.catalog.Keyed
 }
 
-// Holder returns the tenant that holds a key, or nil.
+// Holder returns the tenant to which a key belongs, or nil.
 func (t *Table) Holder(key keyhash.Digest) *work.Tenant {
 	if current := t.current.Load(); current != nil {
 		return current.byKey[key]
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Tenant returns the tenant of a name, or nil.
+// Tenant returns the tenant with the given name, or nil.
 func (t *Table) Tenant(name ident.Tenant) *work.Tenant {
 	if current := t.current.Load(); current != nil {
 		return current.byName[name]
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// PublicJobs says whether a batch route of a host takes jobs without a key.
+// PublicJobs reports whether the host has a batch route that accepts jobs without a key.
 func (t *Table) PublicJobs(host string) bool {
 	current := t.current.Load()
 	if current == nil {
@@ -97,7 +97,7 @@
 	return false
 }
 
-// Catalog returns the configuration in force, or nil.
+// Catalog returns the active configuration, or nil.
 func (t *Table) Catalog() *work.Catalog {
 	if current := t.current.Load(); current != nil {
 		return current.catalog
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// retryAfter is when a caller may come back to a node that knows no configuration yet.
+// retryAfter is the retry delay given to callers while the node has no configuration.
 const retryAfter = 500 * time.Millisecond
 
-// Route returns the route of a request. The error is a *failure.Error: a missing route is not found only where a
-// configuration says so, and a node without one refuses.
+// Route returns the route of a request. The error is a *failure.Error: CodeNotFound if the configuration has no such route, or
+// CodeNoBackend if the node has no configuration yet.
 func (t *Table) Route(host, path string) (*work.Route, error) {
 	route, known := t.Match(host, path)
 	switch {
@@ -121,10 +121,10 @@
 	return route, nil
 }
 
-// defaultBodyBytes bounds a body while the configuration names no bound.
+// defaultBodyBytes is the body limit if the configuration sets none.
 const defaultBodyBytes = 4 << 20
 
-// BodyLimit is the largest body a client may send, in bytes.
+// BodyLimit returns the maximum size of a request body in bytes.
 func (t *Table) BodyLimit() int64 {
 	if catalog := t.Catalog(); catalog != nil && catalog.Limits.BodyBytes > 0 {
 		return int64(catalog.Limits.BodyBytes)
@@ -132,8 +132,8 @@
 	return defaultBodyBytes
 }
 
-// Match returns the route with the longest prefix among those of the host, or nil. known is false while the node
-// knows no configuration, so that a missing route proves nothing.
+// Match returns the host's route with the longest matching path prefix, or nil. known is false while the node has no
+// configuration, in which case a nil route does not mean that the route does not exist.
 func (t *Table) Match(host, path string) (route *work.Route, known bool) {
 	current := t.current.Load()
 	if current == nil {
@@ -151,7 +151,7 @@
 	return best, true
 }
 
-// normalHost drops the port and the case of a Host header.
+// normalHost removes the port of a Host header and converts it to lower case.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/sharedread/sharedread.go
+++ b/internal/sharedread/sharedread.go
@@ -1,5 +1,5 @@
-// Package sharedread lets all that need a reading which began after they asked share one. What asking causes is bounded, however many
-// ask.
+// Package sharedread shares reads between callers that each need a read that began after their call. The rate of reads is limited,
+// regardless of the number of callers.
 package sharedread
 
 import (
@@ -10,43 +10,43 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Readings makes readings for those that must not go by an earlier one. Its exported fields are set before it is used; it is safe for
-// concurrent use.
+// Readings performs reads for callers that must not use the result of an earlier read. Its exported fields must be set before use; it
+// is safe for concurrent use.
 type Readings struct {
-	// Read makes one reading.
+	// Read performs one read.
 	Read func(ctx context.Context) error
-	// Every is the least time between the beginnings of two readings.
+	// Every is the minimum time between the starts of two reads.
 	Every time.Duration
 	Now   func() time.Time
 
 	mutex sync.Mutex
-	// next is the reading that has not begun yet, or nil; last is the one that began last.
+	// next is the read that has not begun yet, or nil; last is the one that began most recently.
 	next, last *Reading
 }
 
-// Reading is one that its askers wait for.
+// Reading is one read, shared by the callers that wait for it.
 type Reading struct {
-	// Ended is closed when the reading has ended.
+	// Ended is closed when the read has finished.
 	Ended chan struct{}
-	// Err is why it failed, once it has ended.
+	// Err is the error of the read; it is valid once Ended is closed.
 	Err   error
 	began time.Time
 }
 
-// Ask returns a reading that begins after the call.
+// Ask returns a read that begins after the call.
 func (r *Readings) Ask() *Reading {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.next == nil {
 		next, last := &Reading{Ended: make(chan struct{})}, r.last
 		r.next = next
-		// The reading is the others' too: it goes on where its first asker leaves, and so has a tomb of its own.
-		new(tomb.Tomb).Go(func() error { r.make(next, last); return nil })
+		// Other callers share the read, so it has a separate tomb and continues if the first caller gives up.
+		new(tomb.Tomb).Go(func() error { r.perform(next, last); return nil })
 	}
 	return r.next
 }
 
-// Fresh returns nil once a reading that began after the call has ended well.
+// Fresh waits for a read that begins after the call and returns its error, or the error of the context.
 func (r *Readings) Fresh(ctx context.Context) error {
 	reading := r.Ask()
 	select {
@@ -57,8 +57,9 @@
 	}
 }
 
-// make makes a reading when the last one has ended and its time has come. Whoever asks once it has begun waits for the one after.
-func (r *Readings) make(next, last *Reading) {
+// perform runs a read after the last one has finished and Every has passed since it began. Callers that arrive after the start of
+// the read get the next one.
+func (r *Readings) perform(next, last *Reading) {
 	if last != nil {
 		<-last.Ended
 		time.Sleep(r.Every - r.Now().Sub(last.began))
