--- a/internal/heldbytes/budget.go
+++ b/internal/heldbytes/budget.go
@@ -1,5 +1,6 @@
-// Package heldbytes keeps the sum of what a node holds for others: bodies of requests, of jobs and of answers. What would not fit is
-// refused at once, so that a node is never killed for its memory and one tenant or connection never has all of it. It does no I/O.
+// Package heldbytes accounts for the memory that a node uses for buffered data: bodies of requests and jobs, results and answers. It
+// refuses a reservation at once if it would exceed a limit, so that a node does not run out of memory and no single tenant or connection
+// uses the whole budget. The package does no I/O.
 package heldbytes
 
 import (
@@ -14,103 +15,106 @@
 type (
 	// OfNode is the budget of a node. Connections are named by the address of their other end.
 	OfNode = Budget[ident.Tenant, string]
-	// Held is a reservation of a node's budget, Whose its owner.
+	// Held is a reservation in a node's budget, Whose the owner of a reservation.
 	Held  = Reservation[ident.Tenant, string]
 	Whose = Owner[ident.Tenant, string]
 )
 
-// ErrOver means that bytes do not fit the budget. Nothing of them is held.
-const ErrOver = failure.Kind("held bytes: no room")
+// ErrOver means that a reservation exceeds the budget. Nothing was reserved.
+const ErrOver = failure.Kind("held bytes: memory budget exceeded")
 
-// ErrShare means that bytes do not fit the part of one tenant or connection. It comes with ErrOver.
-const ErrShare = failure.Kind("held bytes: beyond the part of one")
+// ErrShare means that a reservation exceeds the limit of one tenant or connection. It is always wrapped together with ErrOver.
+const ErrShare = failure.Kind("held bytes: limit of one tenant or connection exceeded")
 
-// Kind is what bytes are held for: what passes through a front, the least urgent first, and what a worker keeps.
+// Kind is the purpose of a reservation. The kinds that a front uses come first, in order of rising urgency, then those that a worker
+// uses.
 type Kind uint8
 
 const (
-	// Submission is a job on its way to those who keep it.
+	// Submission is a submitted job that is being stored or handed over.
 	Submission Kind = iota
-	// Request is the body of a request whose caller waits.
+	// Request is the body of an online request.
 	Request
-	// Result is a page of results, or the body of an item that is asked for.
+	// Result is a page of results, or the body of an item, that is being sent to a client.
 	Result
-	// Answer is what a runner made and its caller has not taken yet.
+	// Answer is output of a runner that the client has not received yet.
 	Answer
-	// Job is a job that a worker runs: the bodies of its items and what they have put out.
+	// Job is a job that a worker runs: the bodies of its items and their output so far.
 	Job
-	// Kept is what the store has too, and a worker keeps for readers.
+	// Kept is data that the store also has and that a worker caches for readers.
 	Kept
-	kinds
+	kindCount
 )
 
 const (
-	// memoryShare of a node's memory may be held for others. A body is there up to three times for moments: as read, as decoded or
-	// encoded, as sent. The rest is the process's own.
+	// memoryShare is the fraction of a node's memory that may be reserved. A body can briefly exist three times: as read, as decoded
+	// or encoded, and as sent. The rest is left for the process itself.
 	memoryShare = 0.2
-	// tenantShare of the budget is the most of one tenant, connectionShare that of one connection.
+	// tenantShare and connectionShare are the largest fractions of the budget that one tenant and one connection may use.
 	tenantShare     = 0.5
 	connectionShare = 0.25
-	// submissionShare and incomingShare of the budget may be held in all when a job, or a request, is taken: what is left is for
-	// what is more urgent. An answer may fill it, since its request has run.
+	// submissionShare and incomingShare are the fractions of the budget up to which submissions, and requests or results, are admitted.
+	// The rest is reserved for more urgent kinds. Answers may use the whole budget, because their requests have already run.
 	submissionShare = 0.5
 	incomingShare   = 0.75
-	// jobShare of the budget may be held in all when a worker takes a job: what is left is for the output of those that it has.
-	// keptShare may be when it keeps something for readers: that is let go for a job.
+	// jobShare is the fraction of the budget up to which a worker takes jobs; the rest is for the output of jobs that already run.
+	// keptShare is the fraction up to which it caches data for readers; cached data is evicted in favour of jobs.
 	jobShare  = 0.75
 	keptShare = 0.5
 )
 
-// Limits are the most that may be held, in bytes.
+// Limits are upper bounds on reserved bytes.
 type Limits struct {
 	All, Tenant, Connection int64
-	// Kinds bounds what is held in all, of any kind, when bytes of a kind are taken.
-	Kinds [kinds]int64
+	// Kinds bounds, for each kind, the total of all kinds up to which a reservation of that kind is admitted.
+	Kinds [kindCount]int64
 }
 
-// LimitsOf returns the limits of a node with so many bytes of memory.
+// LimitsOf returns the limits of a node with the given memory in bytes.
 func LimitsOf(memory int64) Limits {
 	all := memoryShare * float64(memory)
 	limits := Limits{All: int64(all), Tenant: int64(tenantShare * all), Connection: int64(connectionShare * all)}
-	limits.Kinds = [kinds]int64{
+	limits.Kinds = [kindCount]int64{
 		Submission: int64(submissionShare * all), Request: int64(incomingShare * all), Result: int64(incomingShare * all), Answer: int64(all),
 		Job: int64(jobShare * all), Kept: int64(keptShare * all),
 	}
 	return limits
 }
 
-// Owner is for whom bytes are held. The zero value of either part is nobody, and bounded only by what is held in all.
+// Owner identifies the tenant and the connection that a reservation is counted for. A zero field stands for no tenant or no
+// connection; only the limits on the total apply to it.
 type Owner[T, C comparable] struct {
 	Tenant     T
 	Connection C
 }
 
-// Budget keeps what is held for tenants, each named by a T, and connections, each named by a C. A nil Budget refuses nothing. It is
-// safe for concurrent use.
+// Budget accounts for reservations by tenant (identified by a T) and connection (identified by a C). A nil Budget refuses nothing. It
+// is safe for concurrent use.
 type Budget[T, C comparable] struct {
 	mutex  sync.Mutex
 	limits Limits
-	// held is the sum of all reservations. It is above limits.All only after the limits were lowered, and by what was Set.
+	// held is the sum of all reservations. It can exceed limits.All after the limits were lowered, after Set, or because the only job
+	// is admitted whatever its size.
 	held int64
-	// jobs counts the reservations of jobs that hold anything.
+	// jobs counts the non-empty reservations of kind Job.
 	jobs int
-	// tenants and connections hold the sums of those that hold anything.
+	// tenants and connections are the non-zero sums by tenant and by connection.
 	tenants     map[T]int64
 	connections map[C]int64
 	tally       Tally
 }
 
-// Tally is what became of reservations since it was last taken.
+// Tally is the use of a budget since the previous call of Take.
 type Tally struct {
-	// Held is what is held now, Most the most since then, of All that may be; in bytes.
+	// Held is the current total, Most the peak since the previous call of Take, and All the limit, in bytes.
 	Held, Most, All int64
-	// Refused counts the reservations and growths that did not fit, by kind.
-	Refused [kinds]int
-	// Cut counts the callers that were cut off because they read too slowly.
+	// Refused counts the refused reservations and growths, by kind.
+	Refused [kindCount]int
+	// Cut counts the clients that were disconnected because they read too slowly.
 	Cut int
 }
 
-// RefusedInAll is the number of refusals of all kinds.
+// RefusedInAll returns the number of refusals of all kinds.
 func (t Tally) RefusedInAll() int {
 	sum := 0
 	for _, refused := range t.Refused {
@@ -119,12 +123,13 @@
 	return sum
 }
 
-// tellShare of the budget is how much must have been held for an operator to be told, without a refusal.
-const tellShare = 0.25
+// reportShare is the fraction of the budget from which on the use is reported even without a refusal.
+const reportShare = 0.25
 
-// Telling says whether an operator wants to know: something was refused or cut, or much was held.
+// Telling reports whether the tally is worth a log line: something was refused, a client was disconnected, or the peak exceeded
+// reportShare of the budget.
 func (t Tally) Telling() bool {
-	return t.RefusedInAll() > 0 || t.Cut > 0 || float64(t.Most) > tellShare*float64(t.All)
+	return t.RefusedInAll() > 0 || t.Cut > 0 || float64(t.Most) > reportShare*float64(t.All)
 }
 
 // New returns an empty budget.
@@ -132,14 +137,14 @@
 	return &Budget[T, C]{limits: limits, tenants: map[T]int64{}, connections: map[C]int64{}}
 }
 
-// SetLimits changes the limits. What is held stays.
+// SetLimits changes the limits. Existing reservations stay, even above the new limits.
 func (b *Budget[T, C]) SetLimits(limits Limits) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.limits = limits
 }
 
-// Reserve takes bytes for an owner. The error wraps ErrOver. The reservation is released once the bytes are held no more.
+// Reserve reserves bytes for an owner. The error wraps ErrOver. The caller releases the reservation once the memory is no longer in use.
 func (b *Budget[T, C]) Reserve(kind Kind, owner Owner[T, C], bytes int64) (*Reservation[T, C], error) {
 	if b == nil {
 		return nil, nil
@@ -151,7 +156,7 @@
 	return made, nil
 }
 
-// Open returns a reservation that holds nothing yet.
+// Open returns an empty reservation.
 func (b *Budget[T, C]) Open(kind Kind, owner Owner[T, C]) *Reservation[T, C] {
 	if b == nil {
 		return nil
@@ -159,7 +164,7 @@
 	return &Reservation[T, C]{budget: b, owner: owner, kind: kind}
 }
 
-// Take returns the tally and begins a new one.
+// Take returns the tally and starts a new one.
 func (b *Budget[T, C]) Take() Tally {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -169,7 +174,7 @@
 	return taken
 }
 
-// NoteCut counts a caller that was cut off.
+// NoteCut counts a client that was disconnected because it read too slowly.
 func (b *Budget[T, C]) NoteCut() {
 	if b == nil {
 		return
@@ -179,7 +184,7 @@
 	b.tally.Cut++
 }
 
-// Over says whether more is held in all than when bytes of a kind are taken.
+// Over reports whether the total exceeds the limit up to which reservations of a kind are admitted.
 func (b *Budget[T, C]) Over(kind Kind) bool {
 	if b == nil {
 		return false
@@ -189,7 +194,7 @@
 	return b.held > b.limits.Kinds[kind]
 }
 
-// Load returns the bytes held in all, and how many may be.
+// Load returns the total of all reservations and its limit, in bytes.
 func (b *Budget[T, C]) Load() (held, all int64) {
 	if b == nil {
 		return 0, 0
@@ -199,8 +204,8 @@
 	return b.held, b.limits.All
 }
 
-// fits returns why an owner may not have so many more bytes, or nil. The caller holds the mutex.
-func (b *Budget[T, C]) fits(kind Kind, owner Owner[T, C], bytes int64) error {
+// checkLimits returns nil if an owner may reserve more bytes, and otherwise the limit that refuses them. The caller holds the mutex.
+func (b *Budget[T, C]) checkLimits(kind Kind, owner Owner[T, C], bytes int64) error {
 	var noTenant T
 	var noConnection C
 	switch {
@@ -214,34 +219,34 @@
 	return nil
 }
 
-// admits is fits, but for the only job, which is taken whatever its size: it is accepted, and may fit no other worker either. The
-// caller holds the mutex.
-func (b *Budget[T, C]) admits(kind Kind, owner Owner[T, C], bytes int64) error {
+// checkAdmission is checkLimits with one exception: a job is admitted whatever its size if it is the only one, because it was accepted
+// and may not fit on any other worker either. The caller holds the mutex.
+func (b *Budget[T, C]) checkAdmission(kind Kind, owner Owner[T, C], bytes int64) error {
 	if kind == Job && b.jobs == 0 && bytes >= 0 {
 		return nil
 	}
-	return b.fits(kind, owner, bytes)
+	return b.checkLimits(kind, owner, bytes)
 }
 
-// change changes what a reservation holds. The caller holds the mutex.
+// change changes the size of a reservation. The caller holds the mutex.
 func (b *Budget[T, C]) change(r *Reservation[T, C], bytes int64) {
 	before := r.bytes
 	r.bytes += bytes
 	if r.kind == Job {
-		b.jobs += holding(r.bytes) - holding(before)
+		b.jobs += oneIfHeld(r.bytes) - oneIfHeld(before)
 	}
 	b.add(r.owner, bytes)
 }
 
-// holding counts a reservation of so many bytes.
-func holding(bytes int64) int {
+// oneIfHeld returns 1 for a non-empty reservation and 0 for an empty one.
+func oneIfHeld(bytes int64) int {
 	if bytes > 0 {
 		return 1
 	}
 	return 0
 }
 
-// add changes what an owner holds. The caller holds the mutex.
+// add changes the total and the sums of an owner. The caller holds the mutex.
 func (b *Budget[T, C]) add(owner Owner[T, C], bytes int64) {
 	var noTenant T
 	var noConnection C
@@ -255,7 +260,7 @@
 	}
 }
 
-// addTo changes a sum, and forgets one that is zero.
+// addTo changes the sum of a key, and deletes the key when the sum is zero.
 func addTo[K comparable](sums map[K]int64, key K, bytes int64) {
 	if sum := sums[key] + bytes; sum != 0 {
 		sums[key] = sum
@@ -264,37 +269,37 @@
 	delete(sums, key)
 }
 
-// Reservation is what is held for one request, answer or job. A nil one holds nothing and may grow without bound. It is safe for
-// concurrent use.
+// Reservation is the memory reserved for one request, answer or job. A nil Reservation counts nothing and can grow without limit. It
+// is safe for concurrent use.
 type Reservation[T, C comparable] struct {
 	budget *Budget[T, C]
 	owner  Owner[T, C]
 	kind   Kind
-	// bytes are guarded by the budget's mutex; released ends their changing.
+	// bytes and released are guarded by the budget's mutex. Once released is set, bytes stays zero.
 	bytes    int64
 	released bool
 }
 
-// Grow takes more bytes. The error wraps ErrOver; then the reservation is as it was.
+// Grow reserves more bytes. The error wraps ErrOver; the reservation is unchanged then.
 func (r *Reservation[T, C]) Grow(bytes int64) error {
 	if r == nil {
 		return nil
 	}
 	r.budget.mutex.Lock()
 	defer r.budget.mutex.Unlock()
-	err := r.budget.admits(r.kind, r.owner, bytes)
+	err := r.budget.checkAdmission(r.kind, r.owner, bytes)
 	if r.released {
 		err = ErrOver
 	}
 	if err != nil {
 		r.budget.tally.Refused[r.kind]++
-		return fmt.Errorf("%w for %d bytes beside %d", err, bytes, r.budget.held)
+		return fmt.Errorf("%w: %d bytes requested, %d reserved", err, bytes, r.budget.held)
 	}
 	r.budget.change(r, bytes)
 	return nil
 }
 
-// Set has the reservation hold what is there already, whether it fits or not.
+// Set sets the size of the reservation for memory that is already in use, without checking the limits.
 func (r *Reservation[T, C]) Set(bytes int64) {
 	if r == nil {
 		return
@@ -306,7 +311,7 @@
 	}
 }
 
-// Shrink gives some of the bytes back.
+// Shrink returns some of the bytes to the budget.
 func (r *Reservation[T, C]) Shrink(bytes int64) {
 	if r == nil {
 		return
@@ -316,7 +321,7 @@
 	r.budget.change(r, -min(max(bytes, 0), r.bytes))
 }
 
-// Release gives all bytes back. Further calls do nothing.
+// Release returns all bytes to the budget. The reservation cannot be used again: Grow fails, and other calls do nothing.
 func (r *Reservation[T, C]) Release() {
 	if r == nil {
 		return
@@ -327,11 +332,11 @@
 	r.budget.change(r, -r.bytes)
 }
 
-// returnSoonest is when a caller may come back that found no room: requests end within some hundred milliseconds.
-const returnSoonest = 300 * time.Millisecond
+// minimumRetryAfter is the shortest retry delay after a refusal: requests end within a few hundred milliseconds and free memory.
+const minimumRetryAfter = 300 * time.Millisecond
 
-// ReturnAfter is when a caller may come back that was refused, given a random number from 0 to 1: those that were refused together come
-// back spread over as much time again.
+// ReturnAfter returns the retry delay of a refused client, given a random number from 0 to 1. Clients that were refused at the same time
+// retry between minimumRetryAfter and twice that.
 func ReturnAfter(random float64) time.Duration {
-	return returnSoonest + time.Duration(random*float64(returnSoonest))
+	return minimumRetryAfter + time.Duration(random*float64(minimumRetryAfter))
 }
--- a/internal/heldbytes/budget_test.go
+++ b/internal/heldbytes/budget_test.go
@@ -14,7 +14,7 @@
 const (
 	kilobyte = int64(1 << 10)
 	megabyte = int64(1 << 20)
-	// smallFront is the memory of the smallest front that is known.
+	// smallFront is the memory of the smallest known front.
 	smallFront = 136 * megabyte
 	// itemsBody is the body of a job with large items.
 	itemsBody = 620_000
@@ -28,7 +28,7 @@
 
 func newBudget(memory int64) *budget { return heldbytes.New[string, int](heldbytes.LimitsOf(memory)) }
 
-// mustReserve takes bytes that fit.
+// mustReserve reserves bytes and fails the test if they are refused.
 func mustReserve(t *testing.T, of *budget, kind heldbytes.Kind, whose owner, bytes int64) *reservation {
 	t.Helper()
 	made, err := of.Reserve(kind, whose, bytes)
@@ -36,10 +36,10 @@
 	return made
 }
 
-// TestHeapOfJobsLeavesRoomForRequests is the load of a hundred jobs of 620,000 bytes that come at one front in a moment, beside a peak of
-// 1,435 requests of 4 KiB: the jobs beyond the budget are refused, every request fits. A request that finds no room may be late for its
-// caller, a job comes again. 2,870 descriptors are what the smallest front has, and a request takes two.
-func TestHeapOfJobsLeavesRoomForRequests(t *testing.T) {
+// TestManyJobsLeaveSpaceForRequests submits a hundred jobs of 620,000 bytes to one front at once, together with a peak of 1,435 requests
+// of 4 KiB. Jobs beyond their part of the budget must be refused and every request admitted: a refused request may miss its deadline,
+// a refused job is submitted again. The smallest front has 2,870 file descriptors, and a request takes two.
+func TestManyJobsLeaveSpaceForRequests(t *testing.T) {
 	held := newBudget(smallFront)
 	taken := 0
 	for connection := range 100 {
@@ -56,7 +56,7 @@
 	assert.Assert(t, tally.Most <= smallFront/5, "%d bytes were held", tally.Most)
 }
 
-// TestAnswersFitBesideRequests fills a front with requests: a quarter is left for the answers of those that have run.
+// TestAnswersFitBesideRequests fills a front with requests: a quarter of the budget must be left for answers to requests that have run.
 func TestAnswersFitBesideRequests(t *testing.T) {
 	held := newBudget(smallFront)
 	for connection := 1; ; connection++ {
@@ -75,9 +75,9 @@
 	assert.Assert(t, answers > smallFront/5/4-2*megabyte, "answers had %d bytes", answers)
 }
 
-// TestOneTenantLeavesRoomForOthers has a tenant send as many requests as it can, over many connections: the others find room for as much
-// as half as many, which is what a node holds for one tenant that sends alone.
-func TestOneTenantLeavesRoomForOthers(t *testing.T) {
+// TestOneTenantLeavesSpaceForOthers has one tenant send as many requests as are admitted, over many connections. Another tenant must
+// still be able to send half as many.
+func TestOneTenantLeavesSpaceForOthers(t *testing.T) {
 	held := newBudget(smallFront)
 	hot := 0
 	for ; ; hot++ {
@@ -90,8 +90,9 @@
 	}
 }
 
-// TestOneConnectionLeavesRoomForOthers is the same without tenants: a connection that takes all it can leaves three quarters.
-func TestOneConnectionLeavesRoomForOthers(t *testing.T) {
+// TestOneConnectionLeavesSpaceForOthers has one connection without a tenant reserve all it can: three quarters of the budget must be
+// left for other connections.
+func TestOneConnectionLeavesSpaceForOthers(t *testing.T) {
 	held := newBudget(smallFront)
 	one := mustReserve(t, held, heldbytes.Request, owner{Connection: 1}, 4*megabyte)
 	for one.Grow(megabyte) == nil {
@@ -100,7 +101,7 @@
 	mustReserve(t, held, heldbytes.Request, owner{Connection: 3}, 4*megabyte)
 }
 
-func TestReservationIsGivenBackOnce(t *testing.T) {
+func TestReservationIsReleasedOnce(t *testing.T) {
 	held := newBudget(smallFront)
 	first := mustReserve(t, held, heldbytes.Request, owner{Tenant: "a", Connection: 1}, 1000)
 	second := mustReserve(t, held, heldbytes.Request, owner{Tenant: "a", Connection: 2}, 10)
@@ -113,8 +114,8 @@
 	assert.Equal(t, held.Take().Held, int64(0))
 }
 
-// TestLowerLimitsRefuseUntilWhatIsHeldFits has the settings read again with less memory.
-func TestLowerLimitsRefuseUntilWhatIsHeldFits(t *testing.T) {
+// TestLoweredLimitsRefuseUntilReservationsFit lowers the limits below the current total, as when settings are reloaded with less memory.
+func TestLoweredLimitsRefuseUntilReservationsFit(t *testing.T) {
 	held := newBudget(smallFront)
 	large := mustReserve(t, held, heldbytes.Request, owner{Connection: 1}, 4*megabyte)
 	held.SetLimits(heldbytes.LimitsOf(megabyte))
@@ -124,8 +125,8 @@
 	mustReserve(t, held, heldbytes.Request, owner{Connection: 2}, 1)
 }
 
-// TestNoBudgetRefusesNothing is that of a node whose settings bound nothing.
-func TestNoBudgetRefusesNothing(t *testing.T) {
+// TestNilBudgetRefusesNothing uses the nil budget of a node whose settings set no limit.
+func TestNilBudgetRefusesNothing(t *testing.T) {
 	var none *budget
 	made, err := none.Reserve(heldbytes.Request, owner{}, 1<<60)
 	assert.NilError(t, err)
@@ -135,19 +136,19 @@
 	none.NoteCut()
 }
 
-// model is what a budget is to hold, kept the plain way.
+// model is a reference implementation that sums up all reservations for every check.
 type model struct {
-	made map[*reservation]*modelled
+	made map[*reservation]*modelReservation
 }
 
-type modelled struct {
+type modelReservation struct {
 	kind     heldbytes.Kind
 	whose    owner
 	bytes    int64
 	released bool
 }
 
-// sum adds up the reservations that are counted.
+// sum adds up the reservations whose owner is selected by counts.
 func (m *model) sum(counts func(owner) bool) int64 {
 	sum := int64(0)
 	for _, one := range m.made {
@@ -158,7 +159,7 @@
 	return sum
 }
 
-// allows says whether an owner may have more by the limits.
+// allows reports whether the limits admit more bytes for an owner.
 func (m *model) allows(limits heldbytes.Limits, kind heldbytes.Kind, whose owner, bytes int64) bool {
 	all := m.sum(func(owner) bool { return true })
 	tenant := m.sum(func(other owner) bool { return other.Tenant == whose.Tenant })
@@ -167,13 +168,13 @@
 		(whose.Connection == 0 || connection+bytes <= limits.Connection)
 }
 
-// TestDrawnBudgetsHoldWhatTheirReservationsDo draws reservations, growths and releases: the budget takes exactly what its limits allow,
-// and its sum is that of the reservations at each step.
-func TestDrawnBudgetsHoldWhatTheirReservationsDo(t *testing.T) {
+// TestRandomReservationsMatchModel compares a budget with the model under random reservations, growths, shrinks and releases: it must
+// admit exactly what its limits allow, and its total must be the sum of the reservations after each step.
+func TestRandomReservationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := heldbytes.LimitsOf(rapid.Int64Range(100, 10_000).Draw(t, "memory"))
 		held := heldbytes.New[string, int](limits)
-		kept := &model{made: map[*reservation]*modelled{}}
+		reference := &model{made: map[*reservation]*modelReservation{}}
 		var order []*reservation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			bytes := rapid.Int64Range(0, 600).Draw(t, "bytes")
@@ -182,30 +183,30 @@
 			if step == 0 || len(order) == 0 {
 				whose := owner{Tenant: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant"), Connection: rapid.IntRange(0, 3).Draw(t, "connection")}
 				made, err := held.Reserve(kind, whose, bytes)
-				if fits := kept.allows(limits, kind, whose, bytes); fits != (err == nil) {
+				if fits := reference.allows(limits, kind, whose, bytes); fits != (err == nil) {
 					t.Fatalf("reserving %d of %v: fits %v, %v", bytes, whose, fits, err)
 				}
 				if err == nil {
-					kept.made[made] = &modelled{kind: kind, whose: whose, bytes: bytes}
+					reference.made[made] = &modelReservation{kind: kind, whose: whose, bytes: bytes}
 					order = append(order, made)
 				}
 			} else {
-				changeDrawn(t, limits, kept, order, step, bytes)
+				changeRandom(t, limits, reference, order, step, bytes)
 			}
-			if got, want := held.Take().Held, kept.sum(func(owner) bool { return true }); got != want {
+			if got, want := held.Take().Held, reference.sum(func(owner) bool { return true }); got != want {
 				t.Fatalf("%d bytes are held, want %d", got, want)
 			}
 		}
 	})
 }
 
-// changeDrawn grows, shrinks or releases one of the reservations.
-func changeDrawn(t *rapid.T, limits heldbytes.Limits, kept *model, order []*reservation, step int, bytes int64) {
+// changeRandom grows, shrinks or releases a random reservation.
+func changeRandom(t *rapid.T, limits heldbytes.Limits, reference *model, order []*reservation, step int, bytes int64) {
 	chosen := rapid.SampledFrom(order).Draw(t, "reservation")
-	one := kept.made[chosen]
+	one := reference.made[chosen]
 	switch step {
 	case 1:
-		fits := !one.released && kept.allows(limits, one.kind, one.whose, bytes)
+		fits := !one.released && reference.allows(limits, one.kind, one.whose, bytes)
 		err := chosen.Grow(bytes)
 		if fits != (err == nil) || (err != nil && !errors.Is(err, heldbytes.ErrOver)) {
 			t.Fatalf("growing %v by %d: fits %v, %v", one, bytes, fits, err)
@@ -222,7 +223,7 @@
 	}
 }
 
-// TestBudgetUnderManyGoroutines ends with nothing held.
+// TestBudgetUnderManyGoroutines checks that concurrent reservations stay within the budget and add up to zero once all are released.
 func TestBudgetUnderManyGoroutines(t *testing.T) {
 	held := newBudget(megabyte)
 	var running sync.WaitGroup
@@ -245,9 +246,9 @@
 	assert.Assert(t, tally.Most <= megabyte/5, "%d bytes were held", tally.Most)
 }
 
-// TestOnlyJobIsTakenWhateverItsSize has a worker of the smallest memory claim jobs of 8 MiB: it takes no more than three quarters of its
-// budget has room for, and one that no worker has room for all the same where it has no other.
-func TestOnlyJobIsTakenWhateverItsSize(t *testing.T) {
+// TestOnlyJobIsAdmittedWhateverItsSize has a worker with the smallest memory reserve 6 MiB jobs: it must not admit more of them than fit
+// into three quarters of its budget. A job that exceeds the budget of any worker must be admitted if it is the only one.
+func TestOnlyJobIsAdmittedWhateverItsSize(t *testing.T) {
 	held := newBudget(smallFront)
 	first := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 100*megabyte)
 	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "b"}, 1)
@@ -265,8 +266,9 @@
 	assert.Assert(t, held.Take().Held <= smallFront/5*3/4)
 }
 
-// TestPartOfOneTenantIsToldFromTheWhole has one tenant's jobs refused while there is room for another's.
-func TestPartOfOneTenantIsToldFromTheWhole(t *testing.T) {
+// TestTenantLimitIsDistinguishedFromTotal has the jobs of one tenant refused while those of another still fit: only the refusal by the
+// tenant's limit must wrap ErrShare.
+func TestTenantLimitIsDistinguishedFromTotal(t *testing.T) {
 	held := newBudget(smallFront)
 	mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 12*megabyte)
 	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "a"}, 6*megabyte)
@@ -277,7 +279,7 @@
 	assert.Assert(t, errors.Is(err, heldbytes.ErrOver) && !errors.Is(err, heldbytes.ErrShare), err)
 }
 
-// TestOutputOfJobsIsCountedBeyondTheLimits has the items of a job put out more than the budget: it is there, and counted.
+// TestOutputOfJobsIsCountedBeyondTheLimits has the output of a job exceed the budget: it must be counted, because the memory is in use.
 func TestOutputOfJobsIsCountedBeyondTheLimits(t *testing.T) {
 	held := newBudget(smallFront)
 	job := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, megabyte)
--- a/internal/poison/book.go
+++ b/internal/poison/book.go
@@ -11,81 +11,81 @@
 )
 
 const (
-	// enoughEnds is how many runners may end under a request before it is run no more: the most that the platform allows. A request
-	// that only ran beside such ones is hardly there three times: none of 108,000 was, in 48 simulated storms of ten requests that
-	// end their runners. To pass over ends at which another request had more of them, for the sake of those, had ten requests
-	// hide each other: one was run 18 times more.
-	enoughEnds = 3
-	// keptFor is how long a record is kept after the last end under its request. One that is refused is run again then: runners
-	// with other weights may be able to. If they are not, that costs three runners more.
-	keptFor = time.Hour
-	// keptPrints bounds the prints of a Book. Each takes 0.3 kB. A storm on 18 runners leaves some hundred, nearly all of requests
-	// that only ran beside another.
-	keptPrints = 512
-	// keptEnds bounds the ends that are kept of one print.
-	keptEnds = 16
-	// toldAtOnce bounds the records of one answer, to some 60 kB. The rest is told with the next.
-	toldAtOnce = 256
+	// crashLimit is the number of runners that may crash while running a request before the request is refused: the most that the
+	// platform allows. A request that was only in flight beside such a request rarely reaches it: none of 108,000 did in 48 simulated
+	// storms of ten requests that crash their runners. Ignoring crashes at which another request had a higher count, to protect such
+	// requests, made ten bad requests hide each other: one was run 18 more times.
+	crashLimit = 3
+	// recordRetention is how long a record is retained after the last crash. A refused request may run again afterwards, because
+	// runners with other weights may be able to run it. If they are not, it crashes three more runners.
+	recordRetention = time.Hour
+	// maxRecords bounds the records of a Book. Each takes 0.3 kB. A storm on 18 runners leaves about a hundred, nearly all of requests
+	// that were only in flight beside another one.
+	maxRecords = 512
+	// maxCrashes bounds the crashes that are stored for one fingerprint.
+	maxCrashes = 16
+	// maxRecordsSent bounds the records of one message, to about 60 kB. The rest is sent in the next message.
+	maxRecordsSent = 256
 )
 
-// End is the end of a runner under a request.
+// End is the crash of a runner while it ran a request.
 type End struct {
 	Runner ident.Incarnation `json:"runner"`
-	// AgeMs is how long ago that was when it was told, in milliseconds.
+	// AgeMs is the time from the crash to the sending of the record, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
-	// Excused says that a runner came to the end of the request later, so that this end had another cause.
+	// Excused means that a runner completed the request later, so that this crash had another cause.
 	Excused bool `json:"excused,omitempty"`
 }
 
-// Record is what a node tells others of one print.
+// Record is what a node sends to others about one fingerprint.
 type Record struct {
 	Print Print `json:"print"`
 	Ends  []End `json:"ends"`
 }
 
-// Cursor is how far a node has read the Book of another; the zero Cursor reads from the beginning.
+// Cursor is the position up to which a node has read the Book of another node. The zero Cursor reads from the beginning.
 type Cursor struct {
-	// Book tells Books apart: a node that starts again begins a new one.
+	// Book is the id of the Book: a node that restarts creates a new one.
 	Book     int64 `json:"book,omitempty"`
 	Position int64 `json:"position,omitempty"`
 }
 
-// News are the records that changed since a cursor, and the next cursor. The zero News says that nothing changed.
+// News is the records that changed since a cursor, and the next cursor. The zero News means that nothing changed.
 type News struct {
 	Records []Record `json:"records,omitempty"`
 	Cursor  Cursor   `json:"cursor,omitzero"`
 }
 
-// Book holds which runners ended under which requests. It is safe for concurrent use.
+// Book stores which runners crashed while running which requests. It is safe for concurrent use.
 type Book struct {
 	id    int64
 	mutex sync.Mutex
-	// records are by print; at most keptPrints.
+	// records has at most maxRecords entries.
 	records map[Print]*record
-	// position rises with each change of a record.
+	// position increases with each change of a record.
 	position int64
-	// untold is signalled when there is something to tell others, anything with each change.
-	untold, anything chan struct{}
+	// unsent is signalled when there are records to send to others, changeSignal after each change.
+	unsent, changeSignal chan struct{}
 }
 
-// record is what is known of one print.
+// record is the state of one fingerprint.
 type record struct {
-	// ends are the runners that ended; at most keptEnds. An end that is excused stays so, and none is taken back: whatever the order
-	// in which nodes tell each other, they come to know the same.
-	ends map[ident.Incarnation]*noted
-	// position is the Book's as of the last change.
+	// crashes has at most maxCrashes entries. An excused crash stays excused, and no change is undone, so that nodes converge to the
+	// same records whatever the order in which they exchange them.
+	crashes map[ident.Incarnation]*crash
+	// position is the Book's position at the last change of the record.
 	position int64
-	// untold says that the record has what this node is still to tell others.
-	untold bool
+	// unsent means that the record has changes that this node has not sent to others yet.
+	unsent bool
 }
 
-// noted is the end of one runner.
-type noted struct {
+// crash is the crash of one runner.
+type crash struct {
 	at      time.Time
 	excused bool
 }
 
-// After is the cursor for the next question, where this is the answer to one with a cursor.
+// After returns the cursor for the next call, given the cursor of the call that returned n.
 func (n News) After(asked Cursor) Cursor {
 	if n.Cursor == (Cursor{}) {
 		return asked
@@ -93,72 +93,72 @@
 	return n.Cursor
 }
 
-// NewBook returns an empty Book. The id tells it from those of other processes and of before a restart.
+// NewBook returns an empty Book. The id must differ from those of other processes and from those before a restart.
 func NewBook(id int64) *Book {
-	return &Book{id: id, records: map[Print]*record{}, untold: make(chan struct{}, 1), anything: make(chan struct{}, 1)}
+	return &Book{id: id, records: map[Print]*record{}, unsent: make(chan struct{}, 1), changeSignal: make(chan struct{}, 1)}
 }
 
-// Empty says that nothing is known of any request, so that none needs to be looked up.
+// Empty reports whether the Book has no records, so that callers need not compute fingerprints.
 func (b *Book) Empty() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.records) == 0
 }
 
-// Refused says whether a request is to be run no more.
-func (b *Book) Refused(print Print) bool {
+// Refused reports whether a request must not be run any more.
+func (b *Book) Refused(fingerprint Print) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.records[print]
+	known := b.records[fingerprint]
 	return known != nil && known.refused()
 }
 
-// Ends returns how many runners ended under a request, and when the last did.
-func (b *Book) Ends(print Print) (count int, last time.Time) {
+// Ends returns how many runners crashed while running a request, excused crashes not counted, and the time of the last crash.
+func (b *Book) Ends(fingerprint Print) (count int, last time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.records[print]
+	known := b.records[fingerprint]
 	if known == nil {
 		return 0, time.Time{}
 	}
 	return known.count(), known.last()
 }
 
-// Ended notes that a runner ended while it ran requests. It returns those that are refused from now on.
-func (b *Book) Ended(runner ident.Incarnation, prints []Print, at, now time.Time) []Print {
+// Ended records that a runner crashed while it ran requests. It returns the fingerprints that are refused from now on.
+func (b *Book) Ended(runner ident.Incarnation, fingerprints []Print, at, now time.Time) []Print {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var refused []Print
-	for _, print := range prints {
-		known := b.recordOf(print)
+	for _, fingerprint := range fingerprints {
+		known := b.recordOf(fingerprint)
 		was := known.refused()
-		if known.note(runner, at, false) {
-			b.changed(known, true)
+		if known.add(runner, at, false) {
+			b.markChanged(known, true)
 		}
 		if known.refused() && !was {
-			refused = append(refused, print)
+			refused = append(refused, fingerprint)
 		}
 	}
-	b.forget(now)
+	b.expire(now)
 	return refused
 }
 
-// Well notes that a runner came to the end of a request: those that ended under it before did so for another cause.
-func (b *Book) Well(print Print) {
+// Well records that a runner completed a request: earlier crashes while running it had another cause and are excused.
+func (b *Book) Well(fingerprint Print) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.records[print]
+	known := b.records[fingerprint]
 	if known == nil || known.count() == 0 {
 		return
 	}
-	for _, end := range known.ends {
+	for _, end := range known.crashes {
 		end.excused = true
 	}
-	b.changed(known, true)
+	b.markChanged(known, true)
 }
 
-// Learn takes over what another node told. passOn says that this node is to tell others. It returns the prints that are refused
-// from now on.
+// Learn merges records from another node. passOn means that this node sends the changes on to others. It returns the fingerprints that
+// are refused from now on.
 func (b *Book) Learn(records []Record, now time.Time, passOn bool) []Print {
 	if len(records) == 0 {
 		return nil
@@ -166,55 +166,56 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var refused []Print
-	for _, told := range records {
-		known := b.recordOf(told.Print)
-		was, news := known.refused(), false
-		for _, end := range told.Ends {
+	for _, received := range records {
+		known := b.recordOf(received.Print)
+		was, updated := known.refused(), false
+		for _, end := range received.Ends {
 			at := now.Add(-time.Duration(max(end.AgeMs, 0)) * time.Millisecond)
-			news = known.note(end.Runner, at, end.Excused) || news
+			updated = known.add(end.Runner, at, end.Excused) || updated
 		}
-		if news {
-			b.changed(known, passOn)
+		if updated {
+			b.markChanged(known, passOn)
 		}
 		if known.refused() && !was {
-			refused = append(refused, told.Print)
+			refused = append(refused, received.Print)
 		}
 	}
-	b.forget(now)
+	b.expire(now)
 	return refused
 }
 
-// note takes over one end, and says whether it is news. Where no more are kept, an excused end makes room for one that is not.
-func (r *record) note(runner ident.Incarnation, at time.Time, excused bool) bool {
-	known := r.ends[runner]
+// add adds or excuses one crash, and reports whether that changed the record. In a full record it evicts an excused crash for one that
+// is not excused.
+func (r *record) add(runner ident.Incarnation, at time.Time, excused bool) bool {
+	known := r.crashes[runner]
 	switch {
 	case known != nil && (known.excused || !excused):
 		return false
 	case known != nil:
 		known.excused = true
 		return true
-	case len(r.ends) >= keptEnds && (excused || !r.dropExcused()):
+	case len(r.crashes) >= maxCrashes && (excused || !r.dropExcused()):
 		return false
 	}
-	r.ends[runner] = &noted{at: at, excused: excused}
+	r.crashes[runner] = &crash{at: at, excused: excused}
 	return true
 }
 
-// dropExcused forgets one excused end, if there is any.
+// dropExcused removes one excused crash, and reports whether there was any.
 func (r *record) dropExcused() bool {
-	for runner, end := range r.ends {
+	for runner, end := range r.crashes {
 		if end.excused {
-			delete(r.ends, runner)
+			delete(r.crashes, runner)
 			return true
 		}
 	}
 	return false
 }
 
-// count is the number of ends that are not excused.
+// count returns the number of crashes that are not excused.
 func (r *record) count() int {
 	count := 0
-	for _, end := range r.ends {
+	for _, end := range r.crashes {
 		if !end.excused {
 			count++
 		}
@@ -222,13 +223,13 @@
 	return count
 }
 
-// refused says that the request is to be run no more.
-func (r *record) refused() bool { return r.count() >= enoughEnds }
+// refused reports whether the request must not be run any more.
+func (r *record) refused() bool { return r.count() >= crashLimit }
 
-// last is when the last runner ended.
+// last returns the time of the last crash.
 func (r *record) last() time.Time {
 	var last time.Time
-	for _, end := range r.ends {
+	for _, end := range r.crashes {
 		if end.at.After(last) {
 			last = end.at
 		}
@@ -236,42 +237,43 @@
 	return last
 }
 
-// recordOf returns the record of a print, a new one where there is none. The caller holds the mutex.
-func (b *Book) recordOf(print Print) *record {
-	known := b.records[print]
+// recordOf returns the record of a fingerprint and creates it if it is missing. The caller holds the mutex.
+func (b *Book) recordOf(fingerprint Print) *record {
+	known := b.records[fingerprint]
 	if known == nil {
-		known = &record{ends: map[ident.Incarnation]*noted{}}
-		b.records[print] = known
+		known = &record{crashes: map[ident.Incarnation]*crash{}}
+		b.records[fingerprint] = known
 	}
 	return known
 }
 
-// changed gives a record its place in the order of changes. The caller holds the mutex.
-func (b *Book) changed(known *record, untold bool) {
+// markChanged assigns the next position to a record and signals the change. The caller holds the mutex.
+func (b *Book) markChanged(known *record, unsent bool) {
 	b.position++
 	known.position = b.position
-	signal(b.anything)
-	if untold {
-		known.untold = true
-		signal(b.untold)
+	signal(b.changeSignal)
+	if unsent {
+		known.unsent = true
+		signal(b.unsent)
 	}
 }
 
-func signal(waiting chan struct{}) {
+// signal wakes the reader of a channel with a buffer of one, or does nothing if a signal is pending.
+func signal(channel chan struct{}) {
 	select {
-	case waiting <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// Changed is signalled with each change.
-func (b *Book) Changed() <-chan struct{} { return b.anything }
+// Changed returns a channel that is signalled after each change.
+func (b *Book) Changed() <-chan struct{} { return b.changeSignal }
 
-// Untold is signalled when there is something to tell others.
-func (b *Book) Untold() <-chan struct{} { return b.untold }
+// Untold returns a channel that is signalled when there are records to send to others.
+func (b *Book) Untold() <-chan struct{} { return b.unsent }
 
-// Since returns the records that changed since a cursor, the earliest first; refusedOnly leaves out those of requests that may
-// run and have no end that is excused.
+// Since returns the records that changed since a cursor, the earliest change first. refusedOnly leaves out the records of requests that
+// may run and have no excused crash.
 func (b *Book) Since(cursor Cursor, now time.Time, refusedOnly bool) News {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -284,102 +286,103 @@
 	}
 	news := News{Cursor: Cursor{Book: b.id, Position: b.position}}
 	var changed []Print
-	for print, known := range b.records {
-		if known.position > after && (!refusedOnly || known.refused() || known.count() < len(known.ends)) {
-			changed = append(changed, print)
+	for fingerprint, known := range b.records {
+		if known.position > after && (!refusedOnly || known.refused() || known.count() < len(known.crashes)) {
+			changed = append(changed, fingerprint)
 		}
 	}
 	slices.SortFunc(changed, func(first, second Print) int {
 		return cmp.Compare(b.records[first].position, b.records[second].position)
 	})
-	if len(changed) > toldAtOnce {
-		changed = changed[:toldAtOnce]
-		news.Cursor.Position = b.records[changed[toldAtOnce-1]].position
+	if len(changed) > maxRecordsSent {
+		changed = changed[:maxRecordsSent]
+		news.Cursor.Position = b.records[changed[maxRecordsSent-1]].position
 	}
-	for _, print := range changed {
-		news.Records = append(news.Records, b.records[print].tell(print, now))
+	for _, fingerprint := range changed {
+		news.Records = append(news.Records, b.records[fingerprint].export(fingerprint, now))
 	}
 	return news
 }
 
-// TakeUntold returns the records that this node is to tell others, at most as many as are told at once. What could not be told is
-// given back by PutBack.
+// TakeUntold returns the records that this node has to send to others and marks them as sent, at most maxRecordsSent. The caller passes
+// records that could not be sent to PutBack.
 func (b *Book) TakeUntold(now time.Time) []Record {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var untold []Record
-	for print, known := range b.records {
+	var unsent []Record
+	for fingerprint, known := range b.records {
 		switch {
-		case !known.untold:
-		case len(untold) == toldAtOnce:
-			signal(b.untold)
-			return untold
+		case !known.unsent:
+		case len(unsent) == maxRecordsSent:
+			signal(b.unsent)
+			return unsent
 		default:
-			known.untold = false
-			untold = append(untold, known.tell(print, now))
+			known.unsent = false
+			unsent = append(unsent, known.export(fingerprint, now))
 		}
 	}
-	return untold
+	return unsent
 }
 
-// PutBack has records told again.
+// PutBack marks records as unsent again.
 func (b *Book) PutBack(records []Record) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, record := range records {
 		if known := b.records[record.Print]; known != nil {
-			known.untold = true
-			signal(b.untold)
+			known.unsent = true
+			signal(b.unsent)
 		}
 	}
 }
 
-// All returns all records, at most some 150 kB.
+// All returns all records, at most about 150 kB.
 func (b *Book) All(now time.Time) []Record {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	all := make([]Record, 0, len(b.records))
-	for print, known := range b.records {
-		all = append(all, known.tell(print, now))
+	for fingerprint, known := range b.records {
+		all = append(all, known.export(fingerprint, now))
 	}
 	return all
 }
 
-func (r *record) tell(print Print, now time.Time) Record {
-	told := Record{Print: print}
-	for runner, end := range r.ends {
-		told.Ends = append(told.Ends, End{Runner: runner, AgeMs: now.Sub(end.at).Milliseconds(), Excused: end.excused})
+// export returns the record in the form in which it is sent to other nodes.
+func (r *record) export(fingerprint Print, now time.Time) Record {
+	exported := Record{Print: fingerprint}
+	for runner, end := range r.crashes {
+		exported.Ends = append(exported.Ends, End{Runner: runner, AgeMs: now.Sub(end.at).Milliseconds(), Excused: end.excused})
 	}
-	return told
+	return exported
 }
 
-// forget drops what is old or too much. The caller holds the mutex.
-func (b *Book) forget(now time.Time) {
-	for print, known := range b.records {
-		if now.Sub(known.last()) > keptFor {
-			delete(b.records, print)
+// expire removes the records that are too old, and then those beyond maxRecords. The caller holds the mutex.
+func (b *Book) expire(now time.Time) {
+	for fingerprint, known := range b.records {
+		if now.Sub(known.last()) > recordRetention {
+			delete(b.records, fingerprint)
 		}
 	}
-	b.bound()
+	b.trim()
 }
 
-// bound drops prints beyond what is kept: those whose ends are excused first, then those that are not refused, of each the one of which
-// something was seen longest ago. The caller holds the mutex.
-func (b *Book) bound() {
-	over := len(b.records) - keptPrints
+// trim evicts records beyond maxRecords: those whose crashes are all excused first, then those that are not refused, in each group
+// the ones with the oldest last crash first. The caller holds the mutex.
+func (b *Book) trim() {
+	over := len(b.records) - maxRecords
 	if over <= 0 {
 		return
 	}
-	prints := slices.SortedFunc(maps.Keys(b.records), func(first, second Print) int {
+	fingerprints := slices.SortedFunc(maps.Keys(b.records), func(first, second Print) int {
 		one, other := b.records[first], b.records[second]
 		return cmp.Or(cmp.Compare(one.rank(), other.rank()), one.last().Compare(other.last()))
 	})
-	for _, print := range prints[:over] {
-		delete(b.records, print)
+	for _, fingerprint := range fingerprints[:over] {
+		delete(b.records, fingerprint)
 	}
 }
 
-// rank orders what is dropped: the lowest goes first.
+// rank returns the order of eviction: the lowest rank is evicted first.
 func (r *record) rank() int {
 	switch {
 	case r.refused():
