--- a/internal/jobrecord/accept.go
+++ b/internal/jobrecord/accept.go
@@ -15,11 +15,11 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// partBytes is how much of the bodies one value holds: as few values as the service's bound on entries needs, and small
-// enough that reading one body does not move the whole job.
+// partBytes is the maximum size of a value of item bodies: large enough that a job stays within the service's limit on entries per
+// transaction, and small enough that reading one body does not transfer the whole job.
 const partBytes = 512 << 10
 
-// maximumParts keeps a job within the entries of one transaction, with its header, its open entry and its claim.
+// maximumParts bounds the body values of a job, so that they fit into one transaction with the header, the open entry and the claim.
 const maximumParts = 14
 
 // Submission is a job to be accepted.
@@ -28,28 +28,28 @@
 	Route string
 	Host  string
 	Zone  ident.Zone
-	// Tenant is whose job it is, if anybody's.
+	// Tenant is the tenant that the job belongs to; empty if there is none.
 	Tenant ident.Tenant
-	// Accepted is when the job was accepted; zero means now.
+	// Accepted is the time at which the job was accepted; zero means now.
 	Accepted time.Time
 	Items    []work.Item
-	// Released is called once nobody holds the items any more; nil is told nothing.
+	// Released is called once the items are no longer in use. It may be nil.
 	Released func()
-	// holders counts who still holds the items.
+	// holders is the number of users of the items: calls of Hold without a LetGo.
 	holders atomic.Int32
 }
 
-// Hold notes that a part of the program holds the items from now on: calls with them go on after the caller was answered.
+// Hold adds a user of the items, because calls that use them may continue after the client was answered.
 func (s *Submission) Hold() { s.holders.Add(1) }
 
-// LetGo notes that it holds them no more. The last one tells Released.
+// LetGo removes a user of the items. The last one calls Released.
 func (s *Submission) LetGo() {
 	if s.holders.Add(-1) == 0 && s.Released != nil {
 		s.Released()
 	}
 }
 
-// Tokens are those of all items.
+// Tokens returns the sum of the tokens of all items.
 func (s *Submission) Tokens() int {
 	tokens := 0
 	for _, item := range s.Items {
@@ -58,31 +58,30 @@
 	return tokens
 }
 
-// Accept writes a job. Repeating it is harmless: a job that exists is left as it is. After an error that wraps
-// kv.ErrOutcomeUnknown the job may exist, or come to exist seconds later.
+// Accept writes a job. It is idempotent: a job that exists is not changed. After an error that wraps kv.ErrOutcomeUnknown the job may
+// exist, or the write may take effect seconds later.
 func (r *Records) Accept(ctx context.Context, submission *Submission) error {
 	_, err := r.accept(ctx, submission, nil, nil)
 	return err
 }
 
-// Assignee is a worker that a job is claimed for as it is accepted.
+// Assignee is the worker for which a job is claimed when it is accepted.
 type Assignee struct {
 	Node ident.Node
-	// Lease is the worker's; the claim goes with it.
+	// Lease is the worker's lease. The claim is deleted when it ends.
 	Lease kv.LeaseID
-	// Address is where other nodes call the worker.
+	// Address is the address at which other nodes call the worker.
 	Address string
 }
 
-// Assigned is a job that was accepted together with a claim.
+// Assigned is a job that was accepted together with its claim.
 type Assigned struct {
 	Open  Open
 	Claim Claim
 }
 
-// AcceptFor writes a job and a worker's claim of it in one transaction, under an admission unless it is nil. It returns nil
-// where the job existed before: then nothing was written. The error wraps kv.ErrLeaseNotFound where the worker's lease is
-// over: nothing was written either.
+// AcceptFor writes a job and a worker's claim of it in one transaction, under an admission unless it is nil. If the job exists already it
+// writes nothing and returns nil. If the worker's lease has ended it writes nothing, and the error wraps kv.ErrLeaseNotFound.
 func (r *Records) AcceptFor(ctx context.Context, submission *Submission, admission *Admission, assignee Assignee) (*Assigned, error) {
 	claim := []kv.Write{{
 		Key: keyClaim(submission.ID), Value: encode(claimValue{Node: assignee.Node, Lease: assignee.Lease}), Lease: assignee.Lease,
@@ -90,16 +89,16 @@
 	return r.accept(ctx, submission, admission, claim)
 }
 
-// Admission is the state of a route's queue that a count of its waiting tokens was made under.
+// Admission is the state of a route's queue before a count of its waiting tokens, as a revision for optimistic locking.
 type Admission struct {
 	route    string
 	revision int64
 }
 
-// ErrRaced means that another job was taken under the same admission: the count is old, and nothing was written.
+// ErrRaced means that another job was accepted under the same admission: the count is out of date, and nothing was written.
 const ErrRaced = failure.Kind("job record: another job was taken meanwhile")
 
-// Admission reads the state of a route's queue. A count of the waiting tokens made after it holds for as long as it does.
+// Admission reads the state of a route's queue. A count of the waiting tokens made afterwards is valid while the state does not change.
 func (r *Records) Admission(ctx context.Context, route string) (Admission, error) {
 	pair, _, err := r.Store.Get(ctx, keyAdmission(route))
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
@@ -108,16 +107,16 @@
 	return Admission{route: route, revision: pair.ModRevision}, nil
 }
 
-// AcceptUnder writes a job as Accept does, if no other one was written under the same admission. Otherwise it returns
-// ErrRaced, unless the job exists.
+// AcceptUnder writes a job like Accept if no other job was written under the same admission. Otherwise it returns ErrRaced, unless the
+// job exists.
 func (r *Records) AcceptUnder(ctx context.Context, submission *Submission, admission Admission) error {
 	_, err := r.accept(ctx, submission, &admission, nil)
 	return err
 }
 
-// accept writes a job with some more, under an admission unless it is nil.
+// accept writes a job and additional writes in one transaction, under an admission unless it is nil.
 func (r *Records) accept(ctx context.Context, submission *Submission, admission *Admission, extra []kv.Write) (*Assigned, error) {
-	header, parts, err := r.layOut(submission)
+	header, parts, err := r.packBodies(submission)
 	if err != nil {
 		return nil, err
 	}
@@ -149,17 +148,17 @@
 	}
 	for _, present := range result.Conflicts {
 		if present.Key == keyHeader(header.ID) {
-			return nil, sameTenant(present, header)
+			return nil, checkTenant(present, header)
 		}
 	}
 	if admission == nil {
-		// A transaction that fails its one compare found the header: the job was accepted before.
+		// The header is the only compare, so the transaction can only have failed because the job exists.
 		return nil, nil
 	}
 	return nil, fmt.Errorf("%w: %s", ErrRaced, header.ID)
 }
 
-// sizeOf is the sum of the lengths of some values.
+// sizeOf returns the sum of the lengths of values.
 func sizeOf(values ...[]byte) int64 {
 	sum := int64(0)
 	for _, value := range values {
@@ -168,8 +167,8 @@
 	return sum
 }
 
-// sameTenant returns nil where a job that was accepted before is the tenant's who submits it now.
-func sameTenant(present kv.Pair, header *Header) error {
+// checkTenant returns nil if a job that exists belongs to the tenant that submits it again, and otherwise ErrOthersJob.
+func checkTenant(present kv.Pair, header *Header) error {
 	var before Header
 	if err := decode(present, &before); err != nil {
 		return err
@@ -180,24 +179,25 @@
 	return nil
 }
 
-func (r *Records) accepted(submission *Submission) time.Time {
+// acceptedAt returns the time at which a submission was accepted, by default now.
+func (r *Records) acceptedAt(submission *Submission) time.Time {
 	if submission.Accepted.IsZero() {
 		return r.Now()
 	}
 	return submission.Accepted
 }
 
-// Check says whether a job can be kept; the error wraps ErrTooLarge.
+// Check returns an error that wraps ErrTooLarge if a job is too large to be stored.
 func (r *Records) Check(submission *Submission) error {
-	_, _, err := r.layOut(submission)
+	_, _, err := r.packBodies(submission)
 	return err
 }
 
-// layOut puts the bodies one behind the other into values.
-func (r *Records) layOut(submission *Submission) (*Header, [][]byte, error) {
+// packBodies builds the header of a job and packs the bodies of its items into values.
+func (r *Records) packBodies(submission *Submission) (*Header, [][]byte, error) {
 	header := &Header{
 		ID: submission.ID, Route: submission.Route, Host: submission.Host, Zone: submission.Zone, Tenant: submission.Tenant,
-		SubmittedMs: r.accepted(submission).UnixMilli(), Tokens: submission.Tokens(),
+		SubmittedMs: r.acceptedAt(submission).UnixMilli(), Tokens: submission.Tokens(),
 	}
 	largest := r.ValueBytes / 4 * 3
 	var parts [][]byte
@@ -219,7 +219,7 @@
 	return header, parts, nil
 }
 
-// Exists says whether a job was accepted.
+// Exists reports whether a job was accepted and is still retained.
 func (r *Records) Exists(ctx context.Context, job ident.Job) (bool, error) {
 	_, err := r.Header(ctx, job)
 	if isNoSuchJob(err) {
@@ -228,23 +228,23 @@
 	return err == nil, err
 }
 
-// Queue names the items that wait together and are bounded together: those of a tenant on a route, or of the whole route where
-// there are no tenants.
+// Queue identifies the waiting items that share one bound: those of a tenant on a route, or of the whole route if there are no tenants.
 type Queue struct {
 	Route  string
 	Tenant ident.Tenant
 }
 
-// Queue is the job's.
+// Queue returns the queue of the job.
 func (s *Submission) Queue() Queue { return Queue{Route: s.Route, Tenant: s.Tenant} }
 
-// Has says whether a job waits in the queue. One without a tenant is in each queue of its route: whose it is is not known.
+// Has reports whether a job counts for the queue. A job without a tenant counts for every queue of its route, because its tenant is not
+// known.
 func (q Queue) Has(route string, tenant ident.Tenant) bool {
 	return route == q.Route && (q.Tenant == "" || tenant == "" || tenant == q.Tenant)
 }
 
-// WaitingTokens returns the tokens of a queue's items that have no result, over all nodes. Finished items of jobs in
-// progress are only left out where the sum would go beyond the bound: that takes a second call.
+// WaitingTokens returns the tokens of the items of a queue that have no result, over all nodes. It subtracts finished items of jobs in
+// progress only if the sum would exceed the bound, because that takes a second call.
 func (r *Records) WaitingTokens(ctx context.Context, queue Queue, bound int) (int, error) {
 	open, _, err := r.ListOpen(ctx)
 	if err != nil {
@@ -261,12 +261,12 @@
 	if waiting <= bound {
 		return waiting, nil
 	}
-	left, _, err := kv.ListAll(ctx, r.Store, prefixLeft, kv.PageOptions{})
+	left, _, err := kv.ListAll(ctx, r.Store, prefixRemaining, kv.PageOptions{})
 	if err != nil {
 		return 0, err
 	}
 	for _, pair := range left {
-		whole, isOpen := tokens[ident.Job(strings.TrimPrefix(pair.Key, prefixLeft))]
+		whole, isOpen := tokens[ident.Job(strings.TrimPrefix(pair.Key, prefixRemaining))]
 		remaining, err := strconv.Atoi(string(pair.Value))
 		if isOpen && err == nil {
 			waiting -= whole - remaining
--- a/internal/jobrecord/claim_test.go
+++ b/internal/jobrecord/claim_test.go
@@ -13,11 +13,11 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// claimed returns a job of four items, claimed by one client.
-func claimed(t *testing.T) (*bench, *jobrecord.Records, *kvtest.Paged, jobrecord.Open, jobrecord.Claim, *jobrecord.Header) {
+// claimed returns a job of four items that one client has claimed.
+func claimed(t *testing.T) (*fixture, *jobrecord.Records, *kvtest.Paged, jobrecord.Open, jobrecord.Claim, *jobrecord.Header) {
 	t.Helper()
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	assert.NilError(t, records.Accept(ctx, submission("j", 4)))
 	lease, err := store.Grant(ctx, time.Minute)
@@ -46,10 +46,10 @@
 	assert.ErrorIs(t, err, jobrecord.ErrClaimLost)
 }
 
-// TestClaimKnowsItsOwnLostAnswer repeats a claim that took effect although its answer was lost.
-func TestClaimKnowsItsOwnLostAnswer(t *testing.T) {
+// TestRepeatedClaimRecognizesItsEffect repeats a claim that took effect although its answer was lost.
+func TestRepeatedClaimRecognizesItsEffect(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	assert.NilError(t, records.Accept(ctx, submission("j", 1)))
 	lease, _ := store.Grant(ctx, time.Minute)
@@ -61,9 +61,9 @@
 	assert.NilError(t, err)
 }
 
-// TestRestartedHolderTakesItsClaimOver has a holder start again before its old lease lapses: it goes on at once, and what
-// was sent under the old claim is not recorded any more.
-func TestRestartedHolderTakesItsClaimOver(t *testing.T) {
+// TestRestartedHolderReplacesItsClaim restarts a holder before its old lease expires: it must be able to claim the job again at once, and
+// results sent under the old claim must be refused.
+func TestRestartedHolderReplacesItsClaim(t *testing.T) {
 	ctx := context.Background()
 	b, records, _, open, old, header := claimed(t)
 	again, store := b.client()
@@ -94,8 +94,9 @@
 	assert.ErrorIs(t, err, jobrecord.ErrClaimLost)
 }
 
-// TestRepeatedAppendKnowsItsOwnEffect loses the answer of an Append and repeats it, alone and with more behind it.
-func TestRepeatedAppendKnowsItsOwnEffect(t *testing.T) {
+// TestRepeatedAppendRecognizesItsEffect loses the answer of an Append and repeats it: unchanged it must succeed, with more results it must
+// be refused.
+func TestRepeatedAppendRecognizesItsEffect(t *testing.T) {
 	ctx := context.Background()
 	_, records, store, _, claim, header := claimed(t)
 	first := []work.Result{{ID: "j-0", State: work.Completed, Text: "a"}}
@@ -109,8 +110,7 @@
 	assert.Equal(t, len(results), 1)
 }
 
-// TestLateAppendDoesNotOverwrite applies an unanswered Append after the holder, having read the results anew under the
-// same claim, wrote another result at the position.
+// TestLateAppendDoesNotOverwrite applies an unanswered Append after the holder, under the same claim, wrote another result at the position.
 func TestLateAppendDoesNotOverwrite(t *testing.T) {
 	ctx := context.Background()
 	_, records, store, _, claim, header := claimed(t)
@@ -123,10 +123,11 @@
 	assert.DeepEqual(t, results, []work.Result{{ID: "j-1", Text: "b"}})
 }
 
-// TestJobIsAcceptedWithAClaim writes a job and its first claim at once, again, and for a worker whose lease is over.
+// TestJobIsAcceptedWithAClaim writes a job and its first claim in one transaction, repeats that, and tries it for a worker whose lease has
+// ended.
 func TestJobIsAcceptedWithAClaim(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	lease, err := store.Grant(ctx, time.Minute)
 	assert.NilError(t, err)
@@ -144,7 +145,7 @@
 
 	again, err := other.AcceptFor(ctx, submission("j", 2), nil, jobrecord.Assignee{Node: "m", Lease: otherLease})
 	assert.NilError(t, err)
-	assert.Assert(t, again == nil, "a job that exists was claimed anew")
+	assert.Assert(t, again == nil, "a job that exists was claimed again")
 	assert.NilError(t, records.Append(ctx, assigned.Claim, &loaded.Header, 1, []work.Result{{ID: "j-1"}}, 0, true))
 
 	assert.NilError(t, store.Revoke(ctx, lease))
@@ -155,10 +156,10 @@
 	assert.Assert(t, !exists)
 }
 
-// TestAdmissionHoldsWithAClaim has another job taken between the count and the write.
-func TestAdmissionHoldsWithAClaim(t *testing.T) {
+// TestAdmissionIsCheckedWithAClaim has another job accepted between the count and the write.
+func TestAdmissionIsCheckedWithAClaim(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	lease, _ := store.Grant(ctx, time.Minute)
 	assignee := jobrecord.Assignee{Node: "n", Lease: lease}
--- a/internal/jobrecord/live.go
+++ b/internal/jobrecord/live.go
@@ -13,21 +13,21 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// Worker is the entry of a node that runs jobs. It goes with the node's lease.
+// Worker is the entry of a node that runs jobs. It is deleted when the node's lease ends.
 type Worker struct {
 	Node ident.Node `json:"-"`
 	Zone ident.Zone `json:"zone"`
-	// Address is where other nodes read results from the worker's memory.
+	// Address is the address at which other nodes read results from the worker's memory.
 	Address string `json:"address"`
 }
 
-// Live is what every worker follows. The zero Live is empty; it is not safe for concurrent use.
+// Live is the state that every worker follows: open jobs, claims and workers. The zero Live is empty. It is not safe for concurrent use.
 type Live struct {
 	Open map[ident.Job]Open
-	// Claimed holds the node that holds each claim.
+	// Claimed maps each claimed job to the node that holds the claim.
 	Claimed map[ident.Job]ident.Node
 	Workers map[ident.Node]Worker
-	// Revision is what to ask for changes after; zero asks for the whole.
+	// Revision is the revision up to which changes were applied; zero means that the full state must be read.
 	Revision int64
 }
 
@@ -35,7 +35,7 @@
 	return &Live{Open: map[ident.Job]Open{}, Claimed: map[ident.Job]ident.Node{}, Workers: map[ident.Node]Worker{}}
 }
 
-// ReadLive reads the whole.
+// ReadLive reads the full state.
 func (r *Records) ReadLive(ctx context.Context) (*Live, error) {
 	update, err := r.LiveWhole(ctx)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return live, nil
 }
 
-// LiveWhole reads the whole as an update. Its pages are not one snapshot, but each change since the first page comes again with
-// the changes after its revision.
+// LiveWhole reads the full state as an update. Its pages are not one consistent snapshot, but each change since the first page is
+// returned again among the changes after the update's revision.
 func (r *Records) LiveWhole(ctx context.Context) (changefeed.Update, error) {
 	sent := r.Now()
 	pairs, revision, err := kv.ListAll(ctx, r.Store, prefixLive, kv.PageOptions{})
@@ -61,7 +61,7 @@
 	return update, nil
 }
 
-// LiveChanges waits for changes after a revision, at most for the wait.
+// LiveChanges waits for changes after a revision, for at most the given wait.
 func (r *Records) LiveChanges(ctx context.Context, after int64, wait time.Duration) (changefeed.Update, error) {
 	sent := r.Now()
 	response, err := r.Store.Changes(ctx, prefixLive, after, wait)
@@ -71,7 +71,7 @@
 	return changefeed.Update{Changes: response.Events, Revision: max(after, response.Revision), AsOf: sent}, nil
 }
 
-// Apply takes an update over. An entry that cannot be read changes nothing.
+// Apply applies an update. An open entry or a worker that cannot be decoded is ignored; a claim that cannot be decoded has no holder.
 func (r *Records) Apply(live *Live, update changefeed.Update) {
 	if update.Whole {
 		*live = *newLive()
@@ -82,12 +82,12 @@
 	live.Revision = update.Revision
 }
 
-// Register writes the entry of a worker under its lease, and returns the revision of the writing. The entry must be as it was
-// read: a registration that was not answered and takes effect late would put the entry under a lease that is not renewed any
-// more, and the entry would go with it while the worker lives.
+// Register writes the entry of a worker under its lease, and returns the revision of the write. The write requires that the entry has not
+// changed since it was read. Otherwise an earlier registration that was not answered and takes effect late could put the entry under a
+// lease that is no longer renewed, and the entry would expire although the worker is alive.
 func (r *Records) Register(ctx context.Context, worker Worker, lease kv.LeaseID) (int64, error) {
 	revision := int64(0)
-	for range registrationTries {
+	for range registrationAttempts {
 		result, err := r.Store.Commit(ctx,
 			[]kv.Compare{{Key: keyWorker(worker.Node), ModRevision: revision}},
 			[]kv.Write{{Key: keyWorker(worker.Node), Value: encode(worker), Lease: lease}})
@@ -102,10 +102,10 @@
 	return 0, fmt.Errorf("%w: %s", ErrNotRegistered, worker.Node)
 }
 
-// registrationTries bounds how often an entry that changes meanwhile is read: only this worker and its lease change it.
-const registrationTries = 3
+// registrationAttempts bounds the attempts to write an entry that changes concurrently. Only this worker and its lease change it.
+const registrationAttempts = 3
 
-// apply takes one change over. An entry that cannot be read changes nothing.
+// apply applies one change, and reports an entry that cannot be decoded to Refused.
 func (r *Records) apply(live *Live, changed kv.WatchEvent) {
 	if err := live.apply(changed); err != nil && r.Refused != nil {
 		r.Refused(changed.Pair.Key, err)
@@ -144,7 +144,7 @@
 	}
 	var held claimValue
 	err := decode(changed.Pair, &held)
-	// A claim that cannot be read is somebody's all the same.
+	// The job is claimed even if the claim cannot be decoded.
 	l.Claimed[job] = held.Node
 	return err
 }
@@ -162,7 +162,7 @@
 	return err
 }
 
-// Workers returns the nodes that run jobs.
+// Workers reads the entries of all workers.
 func (r *Records) Workers(ctx context.Context) ([]Worker, error) {
 	pairs, _, err := kv.ListAll(ctx, r.Store, prefixWorker, kv.PageOptions{})
 	if err != nil {
--- a/internal/jobrecord/owner.go
+++ b/internal/jobrecord/owner.go
@@ -7,26 +7,26 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Owner returns the worker that gives batch items to a runner: one of the runner's zone, or of all where the zone has
-// none. One owner at a time keeps two workers from filling the same places, and from both stepping aside for the same
-// request. It is a convention and not a lock: while workers come and go two may act, which costs some restarts. It
-// returns false where there is no worker.
+// Owner returns the worker that assigns batch items to a runner, chosen by rendezvous hashing among the workers of the runner's zone, or
+// among all workers if the zone has none. A single owner prevents two workers from filling the same slots and from preempting batch runs
+// for the same request. It is a convention and not a lock: while workers join or leave, two may act as owner, which costs some restarts
+// of items. It returns false if there is no worker.
 func Owner(runner work.Runner, workers []Worker) (Worker, bool) {
-	var near, any candidate
+	var sameZone, overall candidate
 	for _, worker := range workers {
 		rank := xxhash.Sum64String(string(worker.Node) + "/" + string(runner.ID))
-		any = any.better(worker, rank)
+		overall = overall.better(worker, rank)
 		if worker.Zone == runner.Zone {
-			near = near.better(worker, rank)
+			sameZone = sameZone.better(worker, rank)
 		}
 	}
-	if near.worker.Node != "" {
-		return near.worker, true
+	if sameZone.worker.Node != "" {
+		return sameZone.worker, true
 	}
-	return any.worker, any.worker.Node != ""
+	return overall.worker, overall.worker.Node != ""
 }
 
-// OwnerOf is Owner over the workers by node.
+// OwnerOf is like Owner for workers by node. It returns an empty node if there is no worker.
 func OwnerOf(runner work.Runner, workers map[ident.Node]Worker) ident.Node {
 	listed := make([]Worker, 0, len(workers))
 	for node, worker := range workers {
@@ -43,6 +43,7 @@
 	rank   uint64
 }
 
+// better returns the candidate with the higher rank; of equal ranks, the one with the lower node name.
 func (c candidate) better(worker Worker, rank uint64) candidate {
 	if c.worker.Node == "" || rank > c.rank || (rank == c.rank && worker.Node < c.worker.Node) {
 		return candidate{worker: worker, rank: rank}
--- a/internal/jobrecord/read.go
+++ b/internal/jobrecord/read.go
@@ -27,7 +27,7 @@
 	return header, decode(pair, header)
 }
 
-// Body reads the body of an item, or returns ErrNoSuchItem.
+// Body reads the body of an item. It returns ErrNoSuchItem if the job has no such item or its body was deleted.
 func (r *Records) Body(ctx context.Context, header *Header, item ident.Request) ([]byte, error) {
 	for _, candidate := range header.Items {
 		if candidate.ID != item {
@@ -40,36 +40,36 @@
 		if err != nil {
 			return nil, err
 		}
-		return candidate.cut(pair.Value)
+		return candidate.bodyIn(pair.Value)
 	}
 	return nil, fmt.Errorf("%w: %s", ErrNoSuchItem, item)
 }
 
-// cut takes the item's body out of its part.
-func (i *ItemHeader) cut(part []byte) ([]byte, error) {
+// bodyIn returns the item's body, which is a slice of the given part.
+func (i *ItemHeader) bodyIn(part []byte) ([]byte, error) {
 	if i.Offset < 0 || i.Length < 0 || i.Offset+i.Length > len(part) {
 		return nil, fmt.Errorf("%w: body of item %s", ErrDamaged, i.ID)
 	}
 	return part[i.Offset : i.Offset+i.Length : i.Offset+i.Length], nil
 }
 
-// Listing is what one reading of a job's results told.
+// Listing is one page of a job's results.
 type Listing struct {
-	// Results stand at successive positions from the one asked for, one page of them at most.
+	// Results are at successive positions from the requested one.
 	Results []work.Result
-	// Total is the number of the job's items and Tenant whose job it is; Total is zero where the reading did not tell, because nothing
-	// was recorded there, or by an earlier build.
+	// Total is the number of the job's items, and Tenant the tenant that it belongs to. Total is zero if it is unknown, because no
+	// result was recorded there or an older build recorded it.
 	Total  int
 	Tenant ident.Tenant
-	// Revision is that of the reading.
+	// Revision is the store's revision at the time of the reading.
 	Revision int64
 }
 
-// BelongsTo says whether a tenant may read the job, where the reading told of it. One without a tenant is open to all.
+// BelongsTo reports whether a tenant may read the job. A job without a tenant, or whose tenant is unknown, is accessible to all.
 func (l *Listing) BelongsTo(tenant ident.Tenant) bool { return belongsTo(l.Tenant, tenant) }
 
-// Results reads results from a position on, one page at most. The result before the position is read too: it tells of the job where
-// there is none at the position.
+// Results reads results from a position on, at most one page. It also reads the result before the position, which has the total and the
+// tenant of the job even if there is no result at the position yet.
 func (r *Records) Results(ctx context.Context, job ident.Job, from int) (Listing, error) {
 	page, err := r.resultPage(ctx, job, max(from-1, 0))
 	if err != nil {
@@ -87,7 +87,7 @@
 		page.Pairs = page.Pairs[1:]
 	}
 	if len(page.Pairs) == 0 && page.More {
-		// The result before the position filled the page.
+		// The page had only the result before the position.
 		if page, err = r.resultPage(ctx, job, from); err != nil {
 			return Listing{}, err
 		}
@@ -96,7 +96,7 @@
 	return listing, err
 }
 
-// resultPage reads the results from a position on, one page at most.
+// resultPage reads the entries of results from a position on, at most one page.
 func (r *Records) resultPage(ctx context.Context, job ident.Job, from int) (kv.Page, error) {
 	options := kv.PageOptions{}
 	if from > 0 {
@@ -105,8 +105,8 @@
 	return r.Store.ListPage(ctx, resultsOf(job), options)
 }
 
-// NextResults waits for results from a position on that came after the revision. It returns none when the wait is over,
-// or when what came does not continue at the position.
+// NextResults waits for results from a position on that were written after the revision. It returns none after the wait, or if the new
+// results do not start at the position.
 func (r *Records) NextResults(ctx context.Context, job ident.Job, from int, after int64, wait time.Duration) ([]work.Result, error) {
 	response, err := r.Store.Changes(ctx, resultsOf(job), after, wait)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return decodeResults(job, from, pairs)
 }
 
-// decodeResults takes the results at successive positions from the given one on; it stops at a gap.
+// decodeResults decodes the results at successive positions from the given one on. It stops at a gap.
 func decodeResults(job ident.Job, from int, pairs []kv.Pair) ([]work.Result, error) {
 	var results []work.Result
 	for _, pair := range pairs {
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -1,13 +1,13 @@
-// Package jobrecord keeps batch jobs in a key-value service that loses nothing it has acknowledged. It is the only
-// place where a job is durable: the nodes that accept, run and read jobs keep copies in memory and no files.
+// Package jobrecord stores batch jobs, their claims and their results, and the entries of the workers that run them, in a key-value
+// service that loses nothing it has acknowledged. It also defines the queue that a job counts for and the owner of a runner.
 //
-// Invariants, each kept by the compares of one transaction:
-//   - a job exists wholly or not at all: Accept writes its data and its open entry together, if neither exists;
-//   - only the holder of the newest claim adds results: each Append compares the claim's revision, and claims go with
-//     the lease of their holder;
-//   - a position never changes: Append compares that the position is empty, and the holder writes one Append at a time
+// Invariants, each enforced by the compares of one transaction:
+//   - a job is written completely or not at all: Accept writes its data and its open entry together, if the job does not exist;
+//   - only the holder of the newest claim adds results: each Append compares the claim's revision, and a claim is deleted when the lease
+//     of its holder ends;
+//   - a result at a position never changes: Append compares that the position is empty, and the holder sends one Append at a time
 //     and repeats an unanswered one unchanged until it knows the outcome;
-//   - an ended job gets no more results: End removes the claim in the same transaction.
+//   - a job that has ended gets no more results: End deletes the claim in the same transaction.
 package jobrecord
 
 import (
@@ -23,53 +23,55 @@
 
 // Failures of job records.
 const (
-	// ErrNoSuchJob means that no job with the id was ever accepted, or that its retention is over.
+	// ErrNoSuchJob means that no job with the id was accepted, or that its retention period has ended.
 	ErrNoSuchJob = failure.Kind("job record: no such job")
-	// ErrNoSuchItem means that the job has no such item, or that its body is not kept any more.
+	// ErrNoSuchItem means that the job has no such item, or that its body was deleted.
 	ErrNoSuchItem = failure.Kind("job record: no such item")
-	// ErrClaimLost means that the claim is not the newest any more: another node runs the job, or it is ended.
+	// ErrClaimLost means that the claim is no longer the newest one: another node runs the job, or the job has ended.
 	ErrClaimLost = failure.Kind("job record: claim lost")
-	// ErrNotRegistered means that a worker's entry changed with each try to write it.
+	// ErrNotRegistered means that a worker's entry changed during each attempt to write it.
 	ErrNotRegistered = failure.Kind("job record: worker not registered")
-	// ErrTooLarge means that an item or the job cannot be kept.
+	// ErrTooLarge means that an item or the job is too large to be stored.
 	ErrTooLarge = failure.Kind("job record: too large")
-	// ErrOthersJob means that another tenant has a job of that id.
+	// ErrOthersJob means that a job with the id exists and belongs to another tenant.
 	ErrOthersJob = failure.Kind("job record: job of another tenant")
-	// ErrDamaged means that a stored value cannot be read.
+	// ErrDamaged means that a stored value cannot be decoded.
 	ErrDamaged = failure.Kind("job record: damaged value")
 )
 
-// Keys of the key-value service. A job's data lies under one prefix, so that one list reads it whole.
+// Keys of the key-value service. The header and the bodies of a job have one prefix, so that one list call reads them all.
 const (
-	// prefixLive holds what every worker follows: open jobs, claims and workers.
+	// prefixLive is the prefix of the entries that every worker follows: open jobs, claims and workers.
 	prefixLive   = "job/live/"
 	prefixOpen   = prefixLive + "open/"
 	prefixClaim  = prefixLive + "claim/"
 	prefixWorker = prefixLive + "worker/"
 	prefixData   = "job/data/"
-	prefixLeft   = "job/left/"
-	prefixResult = "job/result/"
-	prefixDone   = "job/done/"
-	// prefixAdmission holds one key for each route, written with each job that is taken while its queue is nearly full.
+	// prefixRemaining is the prefix of the remaining tokens of jobs in progress.
+	prefixRemaining = "job/left/"
+	prefixResult    = "job/result/"
+	prefixDone      = "job/done/"
+	// prefixAdmission is the prefix of one key for each route, which is written with each job that is accepted
+	// under an admission, as is done while its queue is nearly full.
 	prefixAdmission = "job/admission/"
 
 	suffixHeader = "/header"
 	suffixBody   = "/part-"
 )
 
-func keyOpen(job ident.Job) string     { return prefixOpen + string(job) }
-func keyWorker(node ident.Node) string { return prefixWorker + string(node) }
-func keyHeader(job ident.Job) string   { return prefixData + string(job) + suffixHeader }
-func keyClaim(job ident.Job) string    { return prefixClaim + string(job) }
-func keyLeft(job ident.Job) string     { return prefixLeft + string(job) }
-func keyAdmission(route string) string { return prefixAdmission + route }
-func keyDone(job ident.Job) string     { return prefixDone + string(job) }
-func resultsOf(job ident.Job) string   { return prefixResult + string(job) + "/" }
+func keyOpen(job ident.Job) string      { return prefixOpen + string(job) }
+func keyWorker(node ident.Node) string  { return prefixWorker + string(node) }
+func keyHeader(job ident.Job) string    { return prefixData + string(job) + suffixHeader }
+func keyClaim(job ident.Job) string     { return prefixClaim + string(job) }
+func keyRemaining(job ident.Job) string { return prefixRemaining + string(job) }
+func keyAdmission(route string) string  { return prefixAdmission + route }
+func keyDone(job ident.Job) string      { return prefixDone + string(job) }
+func resultsOf(job ident.Job) string    { return prefixResult + string(job) + "/" }
 func keyPart(job ident.Job, part int) string {
 	return fmt.Sprintf("%s%s%s%04d", prefixData, job, suffixBody, part)
 }
 
-// keyResult sorts by position.
+// keyResult returns the key of a result. Keys of results sort by position.
 func keyResult(job ident.Job, position int) string {
 	return fmt.Sprintf("%s%06d", resultsOf(job), position)
 }
@@ -80,28 +82,28 @@
 	// Route is the name of the batch route, Host the host it was submitted to.
 	Route string `json:"route"`
 	Host  string `json:"host"`
-	// Zone is where the job was accepted.
+	// Zone is the zone in which the job was accepted.
 	Zone ident.Zone `json:"zone"`
-	// Tenant is whose job it is; empty where it is nobody's, or was accepted by a build that did not know of tenants.
+	// Tenant is the tenant that the job belongs to; empty if there is none, or if the job was accepted by a build without tenants.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
-	// SubmittedMs is when the job was accepted, in milliseconds of Unix time.
+	// SubmittedMs is the time at which the job was accepted, in milliseconds of Unix time.
 	SubmittedMs int64 `json:"submitted_ms"`
-	// Tokens are those of all items.
+	// Tokens is the sum of the tokens of all items.
 	Tokens int `json:"tokens"`
-	// Parts is the number of values the bodies lie in.
+	// Parts is the number of values that the bodies are stored in.
 	Parts int          `json:"parts"`
 	Items []ItemHeader `json:"items"`
 }
 
-// BelongsTo says whether a tenant may read and end the job. One without a tenant is open to all.
+// BelongsTo reports whether a tenant may read and end the job. A job without a tenant is accessible to all.
 func (h *Header) BelongsTo(tenant ident.Tenant) bool { return belongsTo(h.Tenant, tenant) }
 
 func belongsTo(owner, tenant ident.Tenant) bool { return owner == "" || owner == tenant }
 
-// Submitted is when the job was accepted.
+// Submitted returns the time at which the job was accepted.
 func (h *Header) Submitted() time.Time { return time.UnixMilli(h.SubmittedMs) }
 
-// ItemHeader describes an item and where its body lies.
+// ItemHeader describes an item and the location of its body.
 type ItemHeader struct {
 	work.Item
 	Part   int `json:"part"`
@@ -109,31 +111,31 @@
 	Length int `json:"length"`
 }
 
-// StoredResult is the entry of a result. Beside it stands what readers need of the job's header, so that they need not read that.
+// StoredResult is the entry of a result. It repeats the parts of the job's header that readers need, so that they need not read the header.
 type StoredResult struct {
 	work.Result
-	// Total is the number of the job's items; zero where an earlier build recorded the result.
+	// Total is the number of the job's items; zero if an older build recorded the result.
 	Total int `json:"total,omitempty"`
-	// Tenant is the header's.
+	// Tenant is the tenant in the job's header.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
 }
 
-// Open is the entry of a job that is not finished. It is small, because every worker reads it.
+// Open is the entry of a job that has not ended. It is small, because every worker reads it.
 type Open struct {
 	ID    ident.Job  `json:"-"`
 	Route string     `json:"route"`
 	Zone  ident.Zone `json:"zone"`
-	// Tenant is the header's.
+	// Tenant is the tenant in the job's header.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
-	// Tokens are those of all items at acceptance.
+	// Tokens is the sum of the tokens of all items, finished or not.
 	Tokens int `json:"tokens"`
-	// Bytes is the size of the header and the bodies; zero in an entry of a build that did not tell it.
+	// Bytes is the size of the header and the bodies; zero if an older build wrote the entry without it.
 	Bytes int64 `json:"bytes,omitempty"`
-	// Revision is that of the entry.
+	// Revision is the revision of the entry.
 	Revision int64 `json:"-"`
 }
 
-// Size is how much memory the job takes that is about to be read: an unknown one is thought to be as large as a job may be.
+// Size returns the memory that the job takes when it is read. An unknown size is assumed to be the maximum size of a job.
 func (o Open) Size() int64 {
 	if o.Bytes <= 0 {
 		return maximumParts * partBytes
@@ -144,26 +146,26 @@
 // Job is a job with its bodies.
 type Job struct {
 	Header Header
-	// Bodies are those of the items, in their order.
+	// Bodies are the bodies of the items, in the order of Header.Items.
 	Bodies [][]byte
 }
 
 // Claim is the right of one node to add results to a job.
 type Claim struct {
 	Job ident.Job
-	// Revision tells this claim from others of the same job.
+	// Revision distinguishes this claim from other claims of the same job.
 	Revision int64
 }
 
 // Records reads and writes jobs.
 type Records struct {
 	Store kv.Paged
-	// ValueBytes is the largest value the service takes.
+	// ValueBytes is the maximum size of a value of the service.
 	ValueBytes int
-	// Retention is how long an ended job stays readable, counted from its submission.
+	// Retention is how long a job that has ended remains readable, counted from its submission.
 	Retention time.Duration
 	Now       func() time.Time
-	// Refused is told of an entry that cannot be read, once for each writing; nil is told nothing.
+	// Refused is called for each entry that cannot be decoded, each time it is read. It may be nil.
 	Refused func(key string, err error)
 }
 
--- a/internal/jobrecord/record_test.go
+++ b/internal/jobrecord/record_test.go
@@ -18,19 +18,19 @@
 
 var testStart = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// bench is one store with any number of clients, on a clock of its own.
-type bench struct {
+// fixture is a store with any number of clients and a simulated clock.
+type fixture struct {
 	now  time.Time
 	data *kvtest.Data
 }
 
-func newBench() *bench {
-	b := &bench{now: testStart}
+func newFixture() *fixture {
+	b := &fixture{now: testStart}
 	b.data = kvtest.NewData(func() time.Time { return b.now })
 	return b
 }
 
-func (b *bench) client() (*jobrecord.Records, *kvtest.Paged) {
+func (b *fixture) client() (*jobrecord.Records, *kvtest.Paged) {
 	store := kvtest.NewPaged(b.data)
 	return &jobrecord.Records{
 		Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: func() time.Time { return b.now },
@@ -60,10 +60,10 @@
 	return jobrecord.Open{}
 }
 
-// TestJobIsTakenOnceAndReadWhole resubmits a job with other content: the first one stays.
-func TestJobIsTakenOnceAndReadWhole(t *testing.T) {
+// TestJobIsAcceptedOnceAndReadCompletely submits a job again with other content: the first content must stay.
+func TestJobIsAcceptedOnceAndReadCompletely(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, _ := b.client()
 	assert.NilError(t, records.Accept(ctx, submission("j", 5)))
 	assert.NilError(t, records.Accept(ctx, submission("j", 2)))
@@ -81,9 +81,9 @@
 	assert.ErrorIs(t, err, jobrecord.ErrNoSuchJob)
 }
 
-// TestJobTooLargeIsRefusedBeforeAnythingIsWritten covers one item beyond a value and too many values.
+// TestJobTooLargeIsRefusedBeforeAnythingIsWritten covers an item that exceeds one value, and a job that needs too many values.
 func TestJobTooLargeIsRefusedBeforeAnythingIsWritten(t *testing.T) {
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	large := submission("j", 1)
 	large.Items[0].Body = make([]byte, 1<<20)
@@ -96,10 +96,10 @@
 	assert.Equal(t, store.Calls(), 0)
 }
 
-// TestTransactionsStayWithinTheEntriesOfOneCall finishes the largest job with the most results at once.
-func TestTransactionsStayWithinTheEntriesOfOneCall(t *testing.T) {
+// TestTransactionsStayWithinEntryLimit finishes the largest job with the maximum number of results in one Append.
+func TestTransactionsStayWithinEntryLimit(t *testing.T) {
 	const entries = 32
-	b := newBench()
+	b := newFixture()
 	records, _ := b.client()
 	counting := &countingStore{Paged: kvtest.NewPaged(b.data)}
 	records.Store = counting
@@ -129,6 +129,7 @@
 	assert.Equal(t, loaded.Header.Parts, items)
 }
 
+// countingStore records the largest number of entries of a transaction.
 type countingStore struct {
 	*kvtest.Paged
 	most int
@@ -139,10 +140,10 @@
 	return c.Paged.Commit(ctx, compares, writes)
 }
 
-// TestWaitingTokensLeaveOutFinishedItems counts only what has no result once the plain sum would refuse a job.
+// TestWaitingTokensLeaveOutFinishedItems checks that finished items are subtracted once the plain sum exceeds the bound.
 func TestWaitingTokensLeaveOutFinishedItems(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, _ := b.client()
 	assert.NilError(t, records.Accept(ctx, submission("j", 4)))
 	lease, _ := records.Store.Grant(ctx, time.Minute)
@@ -158,10 +159,10 @@
 	assert.Equal(t, waiting, 30)
 }
 
-// TestExpiredJobsGo removes a job only after its retention.
-func TestExpiredJobsGo(t *testing.T) {
+// TestExpiredJobsAreRemoved checks that a job is removed after its retention period and not before.
+func TestExpiredJobsAreRemoved(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, _ := b.client()
 	assert.NilError(t, records.Accept(ctx, submission("j", 2)))
 	header, _ := records.Header(ctx, "j")
@@ -179,28 +180,28 @@
 	assert.Equal(t, len(events), 0)
 }
 
-// machine runs two workers over one job, with answers lost, changes that take effect late, leases that lapse and an end
-// at any time, and checks after each step what readers may see.
+// machine is a state machine of two workers that run the same job, with lost answers, writes that take effect late, leases that expire
+// and an end of the job at any time. It checks after each step what readers see.
 type machine struct {
-	*bench
+	*fixture
 	records [2]*jobrecord.Records
 	stores  [2]*kvtest.Paged
 	leases  [2]kv.LeaseID
 	claims  [2]*jobrecord.Claim
-	// pending is the unanswered Append of a worker, which it repeats unchanged until it knows the outcome.
+	// pending is the unanswered Append of each worker, which it repeats unchanged until it knows the outcome.
 	pending [2][]work.Result
 	at      [2]int
 	header  *jobrecord.Header
-	// seen are the results that some reader has seen, by position.
+	// seen are the results at the last check, by position.
 	seen []work.Result
-	// acknowledged says that an end was, closed that the job was seen closed.
+	// acknowledged means that a call of End succeeded, closed that the job was closed at the last check.
 	acknowledged, closed bool
 }
 
 const machineItems = 4
 
 func newMachine(t *rapid.T) *machine {
-	m := &machine{bench: newBench()}
+	m := &machine{fixture: newFixture()}
 	for worker := range m.records {
 		m.records[worker], m.stores[worker] = m.client()
 	}
@@ -259,7 +260,7 @@
 	}
 }
 
-// draw chooses items that have no result as far as the worker knows; the text tells the run, which differs each time.
+// draw chooses results for items that have none in the worker's view. The text identifies the run, so that runs of an item differ.
 func (m *machine) draw(t *rapid.T, worker int) []work.Result {
 	loaded, results, err := m.records[worker].Load(context.Background(), "j")
 	if err != nil || len(results) != m.at[worker] {
@@ -287,11 +288,11 @@
 	})
 }
 
-func (m *machine) late(t *rapid.T) {
+func (m *machine) applyDelayed(t *rapid.T) {
 	m.stores[rapid.IntRange(0, 1).Draw(t, "worker")].ApplyDelayed()
 }
 
-func (m *machine) lapse(t *rapid.T) {
+func (m *machine) expireLeases(t *rapid.T) {
 	m.now = m.now.Add(4 * time.Second)
 	m.leases = [2]kv.LeaseID{}
 }
@@ -300,50 +301,50 @@
 	if rapid.IntRange(0, 5).Draw(t, "end") != 0 {
 		return
 	}
-	// Without an answer the end may have taken effect, or take effect late: check sees the job closed.
+	// An unanswered call may have taken effect, or may do so late; check detects that the job is closed.
 	m.acknowledged = m.records[0].End(context.Background(), m.header) == nil || m.acknowledged
 }
 
-// check reads everything past any fault.
+// check reads all results through a client without faults.
 func (m *machine) check(t *rapid.T) {
 	reader, _ := m.client()
 	results, err := reader.AllResults(context.Background(), "j")
 	assert.NilError(t, err)
-	assert.Assert(t, len(results) >= len(m.seen), "results went away")
+	assert.Assert(t, len(results) >= len(m.seen), "results were lost")
 	items := map[ident.Request]bool{}
 	for position, result := range results {
-		assert.Assert(t, !items[result.ID], "item %s stands at two positions", result.ID)
+		assert.Assert(t, !items[result.ID], "item %s has results at two positions", result.ID)
 		items[result.ID] = true
 		if position < len(m.seen) {
 			assert.Equal(t, result, m.seen[position])
 		}
 	}
 	if m.closed {
-		assert.Equal(t, len(results), len(m.seen), "a result came after the job was closed")
+		assert.Equal(t, len(results), len(m.seen), "a result was added after the job was closed")
 	}
 	m.seen = results
 	open, _, err := reader.ListOpen(context.Background())
 	assert.NilError(t, err)
 	assert.Assert(t, len(open) == 0 || !m.closed, "a closed job is open again")
-	assert.Assert(t, len(open) == 0 || (!m.acknowledged && len(results) < machineItems), "a job is open that is ended or done")
+	assert.Assert(t, len(open) == 0 || (!m.acknowledged && len(results) < machineItems), "a job is open although it has ended or all items have results")
 	m.closed = len(open) == 0
 }
 
-// TestResultsNeverChange is the state machine of two workers.
+// TestResultsNeverChange runs the state machine of two workers.
 func TestResultsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"claim": m.claim, "append": m.append, "faults": m.faults, "late": m.late, "lapse": m.lapse, "end": m.end,
+			"claim": m.claim, "append": m.append, "faults": m.faults, "late": m.applyDelayed, "lapse": m.expireLeases, "end": m.end,
 			"": m.check,
 		})
 	})
 }
 
-// TestSmallJobsAreRecordedInFewCalls has many results of a job whose bodies fit in one value go into one transaction.
+// TestSmallJobsAreRecordedInFewCalls checks that many results fit into one transaction if the bodies of the job fit into one value.
 func TestSmallJobsAreRecordedInFewCalls(t *testing.T) {
 	ctx := context.Background()
-	b := newBench()
+	b := newFixture()
 	records, store := b.client()
 	counting := &countingStore{Paged: store}
 	records.Store = counting
--- a/internal/jobrecord/run.go
+++ b/internal/jobrecord/run.go
@@ -15,39 +15,39 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// claimValue is what a claim's entry holds. The lease tells a node's claims of before a lapse from those after it.
+// claimValue is the value of a claim's entry. The lease distinguishes the claims of a node before and after its lease expired.
 type claimValue struct {
 	Node  ident.Node `json:"node"`
 	Lease kv.LeaseID `json:"lease"`
 }
 
-// Claim takes the right to run an open job for as long as the lease lives. A claim that the holder made under an earlier
-// lease is taken over at once: it is one of before its restart, or of before its lease lapsed. Claim returns ErrClaimLost
-// where another node holds the job or it is not open any more.
+// Claim acquires the right to run an open job for the lifetime of the lease. It replaces a claim that the holder made under an earlier
+// lease, before it restarted or its lease expired. Claim returns ErrClaimLost if another node holds the claim or the job is no longer
+// open.
 func (r *Records) Claim(ctx context.Context, open Open, holder ident.Node, lease kv.LeaseID) (Claim, error) {
 	value := encode(claimValue{Node: holder, Lease: lease})
-	claim, present, err := r.claimOver(ctx, open, 0, value, lease)
+	claim, present, err := r.replaceClaim(ctx, open, 0, value, lease)
 	if err != nil || present == nil {
 		return claim, err
 	}
 	if bytes.Equal(present.Value, value) {
-		// This node's own, from a try whose answer was lost.
+		// The claim is from an earlier attempt of this node whose answer was lost.
 		return Claim{Job: open.ID, Revision: present.ModRevision}, nil
 	}
 	var held claimValue
 	if decode(*present, &held) != nil || held.Node != holder {
 		return Claim{}, fmt.Errorf("%w: %s", ErrClaimLost, open.ID)
 	}
-	claim, present, err = r.claimOver(ctx, open, present.ModRevision, value, lease)
+	claim, present, err = r.replaceClaim(ctx, open, present.ModRevision, value, lease)
 	if err == nil && present != nil {
 		err = fmt.Errorf("%w: %s", ErrClaimLost, open.ID)
 	}
 	return claim, err
 }
 
-// claimOver claims a job whose claim has the revision, zero for none. It returns the claim that is present where that is
-// another one.
-func (r *Records) claimOver(ctx context.Context, open Open, revision int64, value []byte, lease kv.LeaseID) (Claim, *kv.Pair, error) {
+// replaceClaim claims a job if its present claim has the given revision; zero means that there is no claim. Otherwise it returns the
+// present claim.
+func (r *Records) replaceClaim(ctx context.Context, open Open, revision int64, value []byte, lease kv.LeaseID) (Claim, *kv.Pair, error) {
 	result, err := r.Store.Commit(ctx,
 		[]kv.Compare{{Key: keyClaim(open.ID), ModRevision: revision}, {Key: keyOpen(open.ID), ModRevision: open.Revision}},
 		[]kv.Write{{Key: keyClaim(open.ID), Value: value, Lease: lease}})
@@ -65,7 +65,7 @@
 	return Claim{}, nil, fmt.Errorf("%w: %s", ErrClaimLost, open.ID)
 }
 
-// Release gives a claim up, so that another node may take the job at once.
+// Release deletes a claim, so that another node can claim the job at once.
 func (r *Records) Release(ctx context.Context, claim Claim) error {
 	_, err := r.Store.Commit(ctx,
 		[]kv.Compare{{Key: keyClaim(claim.Job), ModRevision: claim.Revision}},
@@ -83,7 +83,7 @@
 	return loaded, results, err
 }
 
-// LoadFresh reads a job that has no results yet: its claim is the first.
+// LoadFresh reads a job that has no results yet, because it was never claimed before.
 func (r *Records) LoadFresh(ctx context.Context, job ident.Job) (*Job, error) {
 	pairs, _, err := kv.ListAll(ctx, r.Store, prefixData+string(job)+"/", kv.PageOptions{})
 	if err != nil {
@@ -101,7 +101,7 @@
 	return decodeResults(job, 0, pairs)
 }
 
-// assemble puts a job together from its values.
+// assemble builds a job from its values.
 func assemble(job ident.Job, pairs []kv.Pair) (*Job, error) {
 	sort.Slice(pairs, func(first, second int) bool { return pairs[first].Key < pairs[second].Key })
 	loaded := &Job{}
@@ -120,7 +120,7 @@
 	}
 	for index := range loaded.Header.Items {
 		item := &loaded.Header.Items[index]
-		body, err := item.cut(parts[item.Part])
+		body, err := item.bodyIn(parts[item.Part])
 		if err != nil {
 			return nil, err
 		}
@@ -129,19 +129,19 @@
 	return loaded, nil
 }
 
-// transactionEntries is how many compares and writes one transaction of the platform's store may have.
-const transactionEntries = 32
+// maximumTransactionEntries is the maximum number of compares and writes in one transaction of the platform's store.
+const maximumTransactionEntries = 32
 
-// MaximumAppended is how many results of a job one Append takes: each has a compare and a write, beside the compare of the
-// claim and the writes that finish the job.
+// MaximumAppended returns the maximum number of results of a job in one Append: each takes a compare and a write, in addition to the
+// compare of the claim and the writes that close the job.
 func (r *Records) MaximumAppended(header *Header) int {
-	others := 1 + len(r.closing(header))
-	return max((transactionEntries-others)/2, 1)
+	others := 1 + len(r.closingWrites(header))
+	return max((maximumTransactionEntries-others)/2, 1)
 }
 
-// Append writes results from a position on. remaining are the tokens of the items without a result; finished says that
-// there are none, and closes the job in the same transaction. After an error that wraps kv.ErrOutcomeUnknown the
-// caller repeats the same Append until it knows. It returns ErrClaimLost where the claim is not the newest.
+// Append writes results from a position on. remaining is the number of tokens of the items without a result; finished means that all items
+// have a result, and closes the job in the same transaction. After an error that wraps kv.ErrOutcomeUnknown the caller must repeat the
+// same Append until the outcome is known. It returns ErrClaimLost if the claim is not the newest one.
 func (r *Records) Append(ctx context.Context, claim Claim, header *Header, position int, results []work.Result, remaining int, finished bool) error {
 	compares := []kv.Compare{{Key: keyClaim(claim.Job), ModRevision: claim.Revision}}
 	var writes []kv.Write
@@ -152,22 +152,22 @@
 		writes = append(writes, kv.Write{Key: key, Value: encode(stored)})
 	}
 	if finished {
-		writes = append(writes, r.closing(header)...)
+		writes = append(writes, r.closingWrites(header)...)
 	} else {
-		writes = append(writes, kv.Write{Key: keyLeft(claim.Job), Value: strconv.AppendInt(nil, int64(remaining), 10)})
+		writes = append(writes, kv.Write{Key: keyRemaining(claim.Job), Value: strconv.AppendInt(nil, int64(remaining), 10)})
 	}
 	outcome, err := r.Store.Commit(ctx, compares, writes)
 	if err != nil || outcome.Succeeded {
 		return err
 	}
-	if holdsResults(outcome.Conflicts, writes[:len(results)]) {
+	if alreadyWritten(outcome.Conflicts, writes[:len(results)]) {
 		return nil
 	}
 	return fmt.Errorf("%w: %s", ErrClaimLost, claim.Job)
 }
 
-// holdsResults says whether an earlier try of the same Append took effect.
-func holdsResults(present []kv.Pair, writes []kv.Write) bool {
+// alreadyWritten reports whether all writes are present, because an earlier attempt of the same Append took effect.
+func alreadyWritten(present []kv.Pair, writes []kv.Write) bool {
 	found := 0
 	for _, pair := range present {
 		for _, write := range writes {
@@ -179,20 +179,20 @@
 	return found == len(writes)
 }
 
-// End ends a job: its claim goes, so that no more results are added. Repeating it is harmless.
+// End ends a job and deletes its claim, so that no more results are added. It is idempotent.
 func (r *Records) End(ctx context.Context, header *Header) error {
-	_, err := r.Store.Commit(ctx, nil, r.closing(header))
+	_, err := r.Store.Commit(ctx, nil, r.closingWrites(header))
 	return err
 }
 
-// closing removes what only an open job needs and notes when the rest may go.
-func (r *Records) closing(header *Header) []kv.Write {
+// closingWrites returns the writes that delete the entries that only an open job needs, and that record when the rest expires.
+func (r *Records) closingWrites(header *Header) []kv.Write {
 	expires := header.Submitted().Add(r.Retention)
 	writes := []kv.Write{
 		{Key: keyDone(header.ID), Value: strconv.AppendInt(nil, expires.UnixMilli(), 10)},
 		{Key: keyOpen(header.ID), Delete: true},
 		{Key: keyClaim(header.ID), Delete: true},
-		{Key: keyLeft(header.ID), Delete: true},
+		{Key: keyRemaining(header.ID), Delete: true},
 	}
 	for part := range header.Parts {
 		writes = append(writes, kv.Write{Key: keyPart(header.ID, part), Delete: true})
@@ -200,11 +200,11 @@
 	return writes
 }
 
-// retentionSlack is kept beyond the retention, because clocks of machines differ.
+// retentionSlack is added to the retention period, because the clocks of machines differ.
 const retentionSlack = 30 * time.Second
 
-// RemoveExpired removes closed jobs whose retention is over. Results are removed before the entry that names the job,
-// so that a removal cut short is taken up again.
+// RemoveExpired removes closed jobs whose retention period has ended, and returns their number. It removes the results before the entry
+// that identifies the job, so that the next call continues an interrupted removal.
 func (r *Records) RemoveExpired(ctx context.Context) (int, error) {
 	pairs, _, err := kv.ListAll(ctx, r.Store, prefixDone, kv.PageOptions{})
 	if err != nil {
@@ -224,8 +224,8 @@
 	return removed, nil
 }
 
-// removedTogether bounds the entries of one removing transaction.
-const removedTogether = 24
+// removalBatch bounds the entries that one transaction removes.
+const removalBatch = 24
 
 func (r *Records) remove(ctx context.Context, job ident.Job) error {
 	pairs, _, err := kv.ListAll(ctx, r.Store, resultsOf(job), kv.PageOptions{})
@@ -235,7 +235,7 @@
 	var writes []kv.Write
 	for _, pair := range pairs {
 		writes = append(writes, kv.Write{Key: pair.Key, Delete: true})
-		if len(writes) == removedTogether {
+		if len(writes) == removalBatch {
 			if _, err := r.Store.Commit(ctx, nil, writes); err != nil {
 				return err
 			}
@@ -247,5 +247,5 @@
 	return err
 }
 
-// Unknown says whether an error leaves open what happened.
+// Unknown reports whether an error means that the outcome of a call is unknown.
 func Unknown(err error) bool { return errors.Is(err, kv.ErrOutcomeUnknown) }
