--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -10,7 +10,7 @@
 
 // NoRoom returns the error for a request that exceeds the node's free memory. The request has not run.
 func NoRoom(err error) *failure.Error {
-	return failure.New(failure.CodeOverloaded, "the node has no free memory for the request").WithCause(err).
+	return failure.New(failure.CodeOverloaded, "the node holds as much as it can").WithCause(err).
 		WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
 }
 
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -75,7 +75,7 @@
 	now := e.forwarder.Now()
 	budget := e.deadline.Sub(now)
 	if budget < minBudget {
-		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", nil)
+		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", nil)
 	}
 	if e.isPoison() {
 		return e.refusePoison()
@@ -112,9 +112,9 @@
 	switch {
 	case errors.Is(err, errNoSlotInTime):
 		e.queue.recordHeldBack(e.waiter)
-		return e.refusal(failure.CodeOverloaded, "no runner has a free slot in time", err)
+		return e.refusal(failure.CodeOverloaded, "no runner has a place in time", err)
 	case e.ctx.Err() != nil:
-		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", err)
+		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", err)
 	}
 	return e.refusal(failure.CodeNoBackend, "no runner may take the request", err)
 }
@@ -270,12 +270,12 @@
 		return err
 	}
 	if e.forwarder.Now().Add(minBudget).After(e.deadline) {
-		return e.refusal(failure.CodeDeadlineExceeded, "the deadline of the request has passed", err)
+		return e.refusal(failure.CodeDeadlineExceeded, "the time of the request is over", err)
 	}
 	if e.outcome == outcome.NotRun {
-		return e.refusal(failure.CodeOverloaded, "no runner accepted the request", err)
+		return e.refusal(failure.CodeOverloaded, "no runner took the request", err)
 	}
-	return e.refusal(failure.CodeBackendFailed, "the runner's answer is incomplete or missing", err)
+	return e.refusal(failure.CodeBackendFailed, "the runner's answer was lost", err)
 }
 
 // refusal returns the final error of a request that is given up. It carries a retry delay only if the request has not run.
--- a/internal/online/poison.go
+++ b/internal/online/poison.go
@@ -45,5 +45,5 @@
 // it carries no retry delay.
 func (e *exchange) refusePoison() error {
 	event.RequestTurnedAway.Log(e.forwarder.Logger).Str("request", string(e.request.ID)).Str("print", string(e.fingerprint())).Send()
-	return failure.New(failure.CodeEndsRunners, "runners ended while running this request").WithOutcome(outcome.Ran)
+	return failure.New(failure.CodeEndsRunners, "runners ended while they ran this request").WithOutcome(outcome.Ran)
 }
