--- a/cmd/mallowlatch-site/front.go
+++ b/cmd/mallowlatch-site/front.go
@@ -46,32 +46,32 @@
 func runFront(path string, settings sitesettings.Settings) error {
 	process := newProcess(path, settings, "front")
 	if !settings.Node.FirstStart {
-		process.runners.StartsAgain()
+		process.runners.AssumeFullUntilReported()
 	}
 	forwarder := &online.Forwarder{
-		Runners: process.runners, Caller: process.caller, Ends: process.ends, Held: process.heldBytes, Key: settings.Key(),
+		Runners: process.runners, Caller: process.caller, PoisonWatch: process.ends, MemoryBudget: process.heldBytes, Key: settings.Key(),
 		Logger: process.logger, Now: clock.Now,
 	}
 	pool := newPeerPool()
 	defer func() { _ = pool.Close() }()
 	records := process.records()
-	holders := &jobpeer.Holders{
+	holders := &jobpeer.WorkerClient{
 		Records: records, Zone: ident.Zone(settings.Node.Zone), Connect: pool.ConnAddress, Copies: settings.Bounds.LostDisks + 1,
-		Seeds: settings.Seeds, SeedsFor: process.startGrace(), Heard: process.reachability, Now: clock.Now,
+		Seeds: settings.Seeds, SeedsFor: process.startGrace(), Reach: process.reachability, Now: clock.Now,
 	}
-	desk := &jobentry.Desk{
-		Records: records, Logger: process.logger, Holders: holders, LinkBytes: settings.Limits.LinkBytes(), Heard: process.reachability,
+	desk := &jobentry.Intake{
+		Records: records, Logger: process.logger, Workers: holders, LinkBytes: settings.Limits.LinkBytes(), Reachability: process.reachability,
 	}
-	newest := &jobpeer.Newest{Holders: holders, Logger: process.logger}
+	newest := &jobpeer.NewestConfiguration{Holders: holders, Logger: process.logger}
 	orders := &follower.Follower{
 		Source: &jobpeer.WorkerFeed{Holders: holders, Index: xxhash.Sum64String(settings.Node.Name)}, Newest: newest.Catalog,
 	}
 	process.follow(orders)
 	gate := &access.Gate{Routes: process.routes, Refresh: orders.Refresh, Logger: process.logger, Now: clock.Now}
 	reporter := process.startDemandReporter(holders, forwarder)
-	forwarder.Owners = &jobpeer.Owners{Holders: holders, Teller: reporter}
-	forwarder.Asks = func() { reporter.Changed(true) }
-	holders.TellEnds(process.tomb, process.ends)
+	forwarder.Owners = &jobpeer.Owners{Holders: holders, Reporter: reporter}
+	forwarder.RequestSlots = func() { reporter.Changed(true) }
+	holders.SendPoisonRecords(process.tomb, process.ends)
 	jobs := platform.NewJobAPI(desk, ident.Zone(settings.Node.Zone), gate)
 	jobs.Held = process.heldBytes
 	start := &site.Start{Known: process.knowsFleet, Now: clock.Now}
@@ -92,23 +92,23 @@
 }
 
 // limiter returns the limiter that enforces the quotas of tenants together with the ledger owners among the workers.
-func (p *process) limiter(holders *jobpeer.Holders) *access.Limiter {
+func (p *process) limiter(holders *jobpeer.WorkerClient) *access.Limiter {
 	node, now := ident.Node(p.settings.Node.Name), clock.Now()
 	limiter := &access.Limiter{
 		Meter: quota.NewMeter(node, clock.Date().UnixNano(), p.settings.Bounds.QuotaWindow(), now),
-		Owner: holders.QuotaOwner, Tell: holders.TellQuota, Logger: p.logger, Now: clock.Now,
+		Owner: holders.QuotaOwner, Report: holders.ReportQuota, Logger: p.logger, Now: clock.Now,
 	}
 	limiter.Start(p.tomb)
 	return limiter
 }
 
 // startDemandReporter starts reporting the online work of this node to the workers.
-func (p *process) startDemandReporter(holders *jobpeer.Holders, forwarder *online.Forwarder) *demand.Teller {
+func (p *process) startDemandReporter(holders *jobpeer.WorkerClient, forwarder *online.Forwarder) *demand.Reporter {
 	onlineWork := &jobpeer.OnlineWork{
 		Holders: holders, Runners: p.runners, Ends: p.ends, Tenants: forwarder, Waiters: forwarder, Logger: p.logger, Now: clock.Now,
 	}
-	reporter := demand.NewTeller(ident.Node(p.settings.Node.Name), onlineWork, clock.Now)
-	reporter.Tell = onlineWork.Tell
+	reporter := demand.NewReporter(ident.Node(p.settings.Node.Name), onlineWork, clock.Now)
+	reporter.Send = onlineWork.Report
 	p.runners.OnOnlineChanged(reporter.Changed)
 	reporter.Start(p.tomb)
 	return reporter
--- a/cmd/mallowlatch-site/process.go
+++ b/cmd/mallowlatch-site/process.go
@@ -207,7 +207,7 @@
 	}
 	event.RunnersSlow.Log(p.logger).Int("begun", counted.Begun).Int("ended", counted.Ended).
 		Int("slow", len(slow)).Strs("runners", slow[:min(len(slow), maxSlowRunnersLogged)]).
-		Int("choices", counted.Chosen).Int("at_slow", counted.Slow).Int("beyond_pause", counted.Beyond).Send()
+		Int("choices", counted.Chosen).Int("at_slow", counted.Slow).Int("beyond_pause", counted.PauseExceeded).Send()
 }
 
 // logHeldBytes logs the memory used for clients if it is large or if something was refused or cut off because of it.
--- a/cmd/mallowlatch-site/worker.go
+++ b/cmd/mallowlatch-site/worker.go
@@ -31,17 +31,17 @@
 	worker := &jobworker.Worker{
 		Node: ident.Node(settings.Node.Name), Zone: ident.Zone(settings.Node.Zone), Address: settings.Listen.Peers,
 		Records: process.records(), Store: process.store, Runners: process.runners, Routes: process.routes,
-		Caller: process.caller, Ends: process.ends, Key: settings.Key(), Registry: process.registry(),
+		Caller: process.caller, PoisonWatch: process.ends, Key: settings.Key(), Registry: process.registry(),
 		Options: options, Logger: process.logger, Now: clock.Now,
 	}
 	worker.Budget = process.heldBytes
-	worker.StartsAgain = !settings.Node.FirstStart
+	worker.Restarted = !settings.Node.FirstStart
 	handoffLog, err := process.openHandoff()
 	if err != nil {
 		return err
 	}
 	worker.Handoff = handoffLog
-	if worker.Outputs, err = process.openOutputs(); err != nil {
+	if worker.MirrorJournal, err = process.openOutputs(); err != nil {
 		return err
 	}
 	pool := newPeerPool()
@@ -49,20 +49,20 @@
 	peers := &jobpeer.Peers{Connect: pool.ConnAddress, Now: clock.Now}
 	worker.Mirrors, worker.Lenders, worker.Readers, worker.Accounts = peers, peers, peers, peers
 	worker.Tolerance = settings.Bounds.LostDisks
-	worker.Seeds, worker.SeedsFor = settings.Seeds, process.startGrace()
-	source := &jobpeer.LeaderFeed{Reader: worker.Reader, InLine: worker.ReadsForAll, Connect: pool.ConnAddress, Now: clock.Now}
-	worker.Followed = source.Changed
+	worker.Seeds, worker.SeedPeriod = settings.Seeds, process.startGrace()
+	source := &jobpeer.LeaderFeed{Reader: worker.Reader, Eligible: worker.IsReader, Connect: pool.ConnAddress, Now: clock.Now}
+	worker.OnLiveChanged = source.Changed
 	if settings.Node.DataFolder != "" {
-		process.ends.Keep(filepath.Join(settings.Node.DataFolder, endsFile))
+		process.ends.Persist(filepath.Join(settings.Node.DataFolder, endsFile))
 	}
 	worker.Start(process.tomb)
 	process.startDeliverer(handoffLog, worker)
-	ends := &jobpeer.WorkerEnds{Node: worker.Node, Watch: process.ends, Workers: worker.Registered, Peers: peers}
+	ends := &jobpeer.PoisonRecordSync{Node: worker.Node, Watch: process.ends, Workers: worker.Registered, Peers: peers}
 	ends.Start(process.tomb)
 	feed := fleetfeed.New(clock.Now)
 	feed.Workers = jobpeer.FeedWorkers(worker)
 	orders := &follower.Follower{Retire: worker.Retire, Feed: feed, Source: source}
-	feed.Refresh = jobpeer.NewestReadings(orders.Refresh, clock.Now).Fresh
+	feed.Refresh = jobpeer.NewSharedReads(orders.Refresh, clock.Now).Fresh
 	process.follow(orders)
 	if err := process.servePeers(worker, feed); err != nil {
 		return err
@@ -98,8 +98,8 @@
 		return
 	}
 	deliverer := &handoff.Deliverer{
-		Log: log, Store: p.records(), Lifetime: p.settings.Bounds.ResultRetention(), Taken: worker.Accepted, Logger: p.logger, Now: clock.Date,
-		Held: p.heldBytes,
+		Log: log, Store: p.records(), Lifetime: p.settings.Bounds.ResultRetention(), KnownAccepted: worker.Accepted, Logger: p.logger, Now: clock.Date,
+		MemoryBudget: p.heldBytes,
 	}
 	deliverer.Start(p.tomb)
 }
--- a/internal/access/limiter.go
+++ b/internal/access/limiter.go
@@ -48,8 +48,8 @@
 	// Owner returns the ledger owner of a tenant, or an empty address if none is reachable. kept is false if the
 	// workers are of a build that keeps no ledger.
 	Owner func(tenant ident.Tenant) (address string, kept bool)
-	// Tell reports the admitted requests to a worker and returns its answer.
-	Tell   func(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error)
+	// Report reports the admitted requests to a worker and returns its answer.
+	Report func(ctx context.Context, address string, spending *quota.NodeReport) (*quota.Answer, error)
 	Logger zerolog.Logger
 	Now    func() time.Time
 
@@ -90,7 +90,7 @@
 // Admit returns nil for a request within its tenant's limit. While the tenant has requests refused that can still
 // meet their objective, it also refuses retries that cannot, because they would use the limit of the former. The
 // error is a *failure.Error of a request that was not run.
-func (l *Limiter) Admit(ctx context.Context, tenant *work.Tenant, asked Asked) error {
+func (l *Limiter) Admit(ctx context.Context, tenant *work.Tenant, asked RequestInfo) error {
 	if l == nil || tenant == nil {
 		return nil
 	}
@@ -115,12 +115,12 @@
 func (l *Limiter) await(ctx context.Context, tenant ident.Tenant, limit quota.Limit) quota.Verdict {
 	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
-	failures := l.Meter.Wait(tenant, limit)
-	defer l.Meter.Leave(tenant)
-	for ctx.Err() == nil && l.Meter.Failures(tenant)-failures < maxOwners {
+	failures := l.Meter.BeginWait(tenant, limit)
+	defer l.Meter.EndWait(tenant)
+	for ctx.Err() == nil && l.Meter.UnansweredReports(tenant)-failures < maxOwners {
 		owner, kept := l.Owner(tenant)
 		if !kept {
-			l.Meter.Pass(tenant, limit, l.Now())
+			l.Meter.AdmitUncounted(tenant, limit, l.Now())
 			return quota.Verdict{}
 		}
 		if owner == "" {
@@ -136,7 +136,7 @@
 			return verdict
 		}
 	}
-	return l.Meter.TakeAlone(tenant, limit, l.Now())
+	return l.Meter.TakeIsolated(tenant, limit, l.Now())
 }
 
 func (l *Limiter) nextAnswer() <-chan struct{} {
@@ -158,29 +158,29 @@
 		address, _ := l.Owner(tenant)
 		return address
 	}
-	for address, spending := range l.Meter.Due(owner, l.Now()) {
+	for address, spending := range l.Meter.DueReports(owner, l.Now()) {
 		// Each call has its own tomb: during shutdown requests are still served for a while after the process's
 		// tomb accepts no more goroutines.
 		new(tomb.Tomb).Go(func() error { l.send(address, spending); return nil })
 	}
 }
 
-func (l *Limiter) send(address string, spending *quota.Spending) {
+func (l *Limiter) send(address string, spending *quota.NodeReport) {
 	ctx, cancel := context.WithTimeout(l.tomb.Context(context.Background()), callTimeout)
 	defer cancel()
 	sent := l.Now()
-	answer, err := l.Tell(ctx, address, spending)
+	answer, err := l.Report(ctx, address, spending)
 	if err == nil {
-		l.Meter.Settle(spending, answer, sent)
+		l.Meter.ApplyAnswer(spending, answer, sent)
 	} else {
-		l.Meter.Failed(spending)
+		l.Meter.ReportFailed(spending)
 	}
 	l.notifyWaiters()
 }
 
 // checkRetry reports whether a request is a retry that is too late to meet its objective, and whether it has to be
 // refused in favour of requests that can.
-func (l *Limiter) checkRetry(tenant ident.Tenant, limit quota.Limit, asked Asked) (lateRetry, refuse bool) {
+func (l *Limiter) checkRetry(tenant ident.Tenant, limit quota.Limit, asked RequestInfo) (lateRetry, refuse bool) {
 	if !limit.Bounded() {
 		return false, false
 	}
--- a/internal/access/limiter_test.go
+++ b/internal/access/limiter_test.go
@@ -55,7 +55,7 @@
 	return "", true
 }
 
-func (a *account) send(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error) {
+func (a *account) send(ctx context.Context, address string, spending *quota.NodeReport) (*quota.Answer, error) {
 	time.Sleep(time.Millisecond)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -67,14 +67,14 @@
 		a.avoided[address] = true
 		return nil, errUnresponsive
 	}
-	return a.ledgers[address].Settle(spending, func(ident.Tenant) (quota.Limit, bool) { return a.limit, true }, time.Now()), nil
+	return a.ledgers[address].ApplyReport(spending, func(ident.Tenant) (quota.Limit, bool) { return a.limit, true }, time.Now()), nil
 }
 
 const window = 5 * time.Second
 
 func (a *account) limiter(node ident.Node, parent *tomb.Tomb) *access.Limiter {
 	limiter := &access.Limiter{
-		Meter: quota.NewMeter(node, 1, window, time.Now().Add(-time.Minute)), Owner: a.owner, Tell: a.send, Logger: zerolog.Nop(), Now: time.Now,
+		Meter: quota.NewMeter(node, 1, window, time.Now().Add(-time.Minute)), Owner: a.owner, Report: a.send, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	limiter.Start(parent)
 	return limiter
@@ -91,7 +91,7 @@
 			go func() {
 				defer all.Done()
 				time.Sleep(time.Duration(float64(sent) / rate * float64(time.Second)))
-				err := limiter.Admit(context.Background(), tenant, access.Asked{})
+				err := limiter.Admit(context.Background(), tenant, access.RequestInfo{})
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err == nil {
@@ -176,7 +176,7 @@
 		limiter := newAccount(quota.Limit{Rate: clinic.Rate, Burst: clinic.Burst}).limiter("a", parent)
 		parent.Kill(nil)
 		assert.NilError(t, parent.Wait())
-		err := limiter.Admit(context.Background(), clinic, access.Asked{})
+		err := limiter.Admit(context.Background(), clinic, access.RequestInfo{})
 		assert.Assert(t, err == nil || failure.As(err).Outcome == outcome.NotRun)
 	})
 }
@@ -196,6 +196,6 @@
 		assert.Check(t, sendRequests(t, limiters, free, 100, time.Second) == 200)
 		assert.Check(t, account.calls == 0)
 		var none *access.Limiter
-		assert.Check(t, none.Admit(context.Background(), clinic, access.Asked{}) == nil)
+		assert.Check(t, none.Admit(context.Background(), clinic, access.RequestInfo{}) == nil)
 	})
 }
--- a/internal/access/retries.go
+++ b/internal/access/retries.go
@@ -23,11 +23,11 @@
 	maxTimeouts   = 256
 )
 
-// Asked is the data of a request that is known before its body is read.
-type Asked struct {
+// RequestInfo is the data of a request that is known before its body is read.
+type RequestInfo struct {
 	Route *work.Route
-	// Left is the time for which the caller still waits, or zero if it gave no timeout.
-	Left time.Duration
+	// TimeLeft is the time for which the caller still waits, or zero if it gave no timeout.
+	TimeLeft time.Duration
 }
 
 // timeoutCounts counts the requests of a tenant on a route by their timeout.
@@ -53,8 +53,8 @@
 
 // lateRetry counts a request and reports whether it is a retry that can no longer meet its objective: its timeout
 // is not common, and is shorter than the longest common one by more than maxElapsedFraction of the objective.
-func (r *retryTracker) lateRetry(tenant ident.Tenant, asked Asked, now time.Time) bool {
-	if asked.Left <= 0 || asked.Route == nil || asked.Route.Objective <= 0 {
+func (r *retryTracker) lateRetry(tenant ident.Tenant, asked RequestInfo, now time.Time) bool {
+	if asked.TimeLeft <= 0 || asked.Route == nil || asked.Route.Objective <= 0 {
 		return false
 	}
 	if r.byRoute == nil || now.Sub(r.since) > timeoutWindow {
@@ -66,14 +66,14 @@
 		entry = &timeoutCounts{counts: map[time.Duration]int{}}
 		r.byRoute[key] = entry
 	}
-	if len(entry.counts) < maxTimeouts || entry.counts[asked.Left] > 0 {
-		entry.counts[asked.Left]++
+	if len(entry.counts) < maxTimeouts || entry.counts[asked.TimeLeft] > 0 {
+		entry.counts[asked.TimeLeft]++
 	}
-	if entry.counts[asked.Left] >= commonAfter {
-		entry.longest = max(entry.longest, asked.Left)
+	if entry.counts[asked.TimeLeft] >= commonAfter {
+		entry.longest = max(entry.longest, asked.TimeLeft)
 		return false
 	}
-	elapsed := entry.longest - asked.Left
+	elapsed := entry.longest - asked.TimeLeft
 	return elapsed > time.Duration(maxElapsedFraction*float64(asked.Route.Objective))
 }
 
--- a/internal/access/retries_test.go
+++ b/internal/access/retries_test.go
@@ -28,9 +28,9 @@
 		for sent := range int(rate * duration.Seconds()) {
 			all.Go(func() {
 				time.Sleep(time.Duration(float64(sent) / rate * float64(time.Second)))
-				asked := access.Asked{Route: testRoute}
+				asked := access.RequestInfo{Route: testRoute}
 				if reportsTimeout {
-					asked.Left = timeout
+					asked.TimeLeft = timeout
 				}
 				began := time.Now()
 				err := limiter.Admit(context.Background(), clinic, asked)
@@ -42,7 +42,7 @@
 				}
 				time.Sleep(failure.As(err).RetryAfter)
 				if reportsTimeout {
-					asked.Left = timeout - time.Since(began)
+					asked.TimeLeft = timeout - time.Since(began)
 				}
 				if limiter.Admit(context.Background(), clinic, asked) != nil {
 					return
@@ -92,7 +92,7 @@
 		passed := map[time.Duration]int{}
 		for range 200 {
 			for _, left := range []time.Duration{5 * time.Second, 2 * time.Second} {
-				if limiters[0].Admit(context.Background(), clinic, access.Asked{Route: testRoute, Left: left}) == nil {
+				if limiters[0].Admit(context.Background(), clinic, access.RequestInfo{Route: testRoute, TimeLeft: left}) == nil {
 					passed[left]++
 				}
 				time.Sleep(17 * time.Millisecond)
@@ -110,7 +110,7 @@
 			if index%3 == 2 {
 				left -= time.Duration(400+index) * time.Millisecond
 			}
-			assert.Check(t, limiters[0].Admit(context.Background(), clinic, access.Asked{Route: testRoute, Left: left}) == nil)
+			assert.Check(t, limiters[0].Admit(context.Background(), clinic, access.RequestInfo{Route: testRoute, TimeLeft: left}) == nil)
 			time.Sleep(60 * time.Millisecond)
 		}
 	})
--- a/internal/batchroom/gauge.go
+++ b/internal/batchroom/gauge.go
@@ -58,24 +58,24 @@
 	g.waitedBefore, g.waiting, g.handled = g.waiting, load.Waiting, false
 }
 
-// Told is the online work at a runner as reported by nodes.
-type Told struct {
+// ReportedWork is the online work at a runner as reported by nodes.
+type ReportedWork struct {
 	Online int
-	// Any is true if nodes report their work at all, so that no reported work means that there is none.
-	Any bool
+	// Reported is true if nodes report their work at all, so that no reported work means that there is none.
+	Reported bool
 	// Orphans is the number of orphaned runs there.
 	Orphans int
 }
 
-// Kept returns how many slots of all its runners together an owner leaves free if nodes report their online work.
-func Kept(slots int) int { return int(math.Ceil(ownerReserveShare * float64(slots))) }
+// OwnerReserve returns how many slots of all its runners together an owner leaves free if nodes report their online work.
+func OwnerReserve(slots int) int { return int(math.Ceil(ownerReserveShare * float64(slots))) }
 
 // others returns the work of others to leave slots for. What nodes report is newer than any report of the runner; the
 // work that all runner reports show beyond it (of nodes that do not report, or are gone) is added. If nodes report
 // nothing, it is the mean of the window or the newest count, whichever is larger: the maximum of the window would be far
 // above the mean at every runner, by chance alone.
-func (g *Gauge) others(reported Told) int {
-	if reported.Any {
+func (g *Gauge) others(reported ReportedWork) int {
+	if reported.Reported {
 		return reported.Online + max(g.unreported(), reported.Orphans)
 	}
 	if len(g.samples) == 0 {
@@ -102,37 +102,37 @@
 	return least
 }
 
-// Blind reports whether no report of the runner is recent enough to be valid.
-func (g *Gauge) Blind(now time.Time) bool { return now.Sub(g.observedAt) > maxReportAge }
+// Stale reports whether no report of the runner is recent enough to be valid.
+func (g *Gauge) Stale(now time.Time) bool { return now.Sub(g.observedAt) > maxReportAge }
 
-// Room returns how many more batch items the runner may run, given own, the number of this node's items that it has.
+// FreeSlots returns how many more batch items the runner may run, given own, the number of this node's items that it has.
 // reported is the online work that nodes report now; if they do, the owner leaves slots free over all its runners, not
 // at each.
-func (g *Gauge) Room(slots, own int, reported Told, now time.Time) int {
-	if g.Blind(now) {
+func (g *Gauge) FreeSlots(slots, own int, reported ReportedWork, now time.Time) int {
+	if g.Stale(now) {
 		return max(blindLimit-own, 0)
 	}
 	if g.waiting > 0 {
 		return 0
 	}
 	reserve := max(int(reservedShare*float64(slots)+0.5), minReserve)
-	if reported.Any {
+	if reported.Reported {
 		reserve = 0
 	}
 	return max(slots-reserve-g.others(reported)-own, 0)
 }
 
-// Excess returns how many of the own batch items must be preempted for the online work that nodes report now: those that
+// ExcessItems returns how many of the own batch items must be preempted for the online work that nodes report now: those that
 // do not fit beside it. They are preempted before a request has to wait.
-func Excess(slots, own, reported int) int {
+func ExcessItems(slots, own, reported int) int {
 	return min(max(reported+own-slots, 0), own)
 }
 
-// Yield returns how many of the own batch items must be preempted because requests wait at the runner. If none waited in
+// Preemptions returns how many of the own batch items must be preempted because requests wait at the runner. If none waited in
 // the report before, that is one item for each waiting request beyond toleratedQueue, else one item for every two
 // waiting requests. Online requests are short, so a few that wait for the first time find slots by themselves sooner
 // than a slot can be cleared; toleratedQueue is how many. Each report is acted on once.
-func (g *Gauge) Yield(own int) int {
+func (g *Gauge) Preemptions(own int) int {
 	if g.handled {
 		return 0
 	}
--- a/internal/batchroom/gauge_test.go
+++ b/internal/batchroom/gauge_test.go
@@ -28,15 +28,15 @@
 				Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"), Slots: slots,
 			}
 			gauge.Observe(load, own, 0, now)
-			room := gauge.Room(slots, own, batchroom.Told{}, now)
+			room := gauge.FreeSlots(slots, own, batchroom.ReportedWork{}, now)
 			assert.Assert(t, room >= 0)
 			if room > 0 {
 				assert.Equal(t, load.Waiting, 0)
 				assert.Assert(t, load.Running+room <= slots-2, "%d run, %d more are allowed, %d slots", load.Running, room, slots)
 			}
-			yield := gauge.Yield(own)
+			yield := gauge.Preemptions(own)
 			assert.Assert(t, yield >= 0 && yield <= min(own, load.Waiting))
-			assert.Equal(t, gauge.Yield(own), 0, "one report was acted on twice")
+			assert.Equal(t, gauge.Preemptions(own), 0, "one report was acted on twice")
 		}
 	})
 }
@@ -44,18 +44,18 @@
 func TestQueueSeenOnceAndAgain(t *testing.T) {
 	var gauge batchroom.Gauge
 	gauge.Observe(work.Load{Running: 10, Waiting: 4, Slots: 10}, 6, 0, start)
-	assert.Equal(t, gauge.Yield(6), 4)
+	assert.Equal(t, gauge.Preemptions(6), 4)
 	gauge.Observe(work.Load{Running: 10, Waiting: 4, Slots: 10}, 6, 0, start.Add(200*time.Millisecond))
-	assert.Equal(t, gauge.Yield(6), 2)
+	assert.Equal(t, gauge.Preemptions(6), 2)
 }
 
 func TestUnknownRunnerGetsOneItem(t *testing.T) {
 	var gauge batchroom.Gauge
-	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start), 1)
-	assert.Equal(t, gauge.Room(10, 1, batchroom.Told{}, start), 0)
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start), 1)
+	assert.Equal(t, gauge.FreeSlots(10, 1, batchroom.ReportedWork{}, start), 0)
 	gauge.Observe(work.Load{Slots: 10}, 0, 0, start)
-	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start), 8)
-	assert.Equal(t, gauge.Room(10, 0, batchroom.Told{}, start.Add(5*time.Second)), 1, "an old report is still valid")
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start), 8)
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start.Add(5*time.Second)), 1, "an old report is still valid")
 }
 
 // TestRoomFollowsTheMeanOfOnlineWork has the online work of one runner vary by chance, as it always does: slots are not
@@ -67,12 +67,14 @@
 		gauge.Observe(work.Load{Running: online, Slots: 12}, 0, 0, now)
 		now = now.Add(150 * time.Millisecond)
 	}
-	assert.Equal(t, gauge.Room(12, 0, batchroom.Told{}, now), 12-2-4)
+	assert.Equal(t, gauge.FreeSlots(12, 0, batchroom.ReportedWork{}, now), 12-2-4)
 	gauge.Observe(work.Load{Running: 9, Slots: 12}, 0, 0, now)
-	assert.Equal(t, gauge.Room(12, 0, batchroom.Told{}, now), 12-2-9)
+	assert.Equal(t, gauge.FreeSlots(12, 0, batchroom.ReportedWork{}, now), 12-2-9)
 }
 
-func reported(online int) batchroom.Told { return batchroom.Told{Online: online, Any: true} }
+func reported(online int) batchroom.ReportedWork {
+	return batchroom.ReportedWork{Online: online, Reported: true}
+}
 
 // TestToldWorkIsNewerThanReports has nodes report their online work: the free capacity follows it at once, and what all
 // runner reports of the window show beyond it is added. The slots left free are reserved by the owner, over all its
@@ -80,33 +82,33 @@
 func TestToldWorkIsNewerThanReports(t *testing.T) {
 	var gauge batchroom.Gauge
 	gauge.Observe(work.Load{Running: 7, Slots: 8}, 3, 4, start)
-	assert.Equal(t, gauge.Room(8, 3, reported(4), start), 1)
-	assert.Equal(t, gauge.Room(8, 3, reported(5), start), 0)
-	assert.Equal(t, gauge.Room(8, 3, reported(1), start), 4, "slots of requests that ended are free at once")
-	assert.Equal(t, gauge.Room(8, 3, reported(0), start), 5, "no reported work means that there is none")
-	assert.Equal(t, batchroom.Excess(8, 3, 5), 0)
-	assert.Equal(t, batchroom.Excess(8, 3, 7), 2, "two items are preempted before anything waits")
-	assert.Equal(t, batchroom.Excess(8, 3, 20), 3, "no more than there are")
+	assert.Equal(t, gauge.FreeSlots(8, 3, reported(4), start), 1)
+	assert.Equal(t, gauge.FreeSlots(8, 3, reported(5), start), 0)
+	assert.Equal(t, gauge.FreeSlots(8, 3, reported(1), start), 4, "slots of requests that ended are free at once")
+	assert.Equal(t, gauge.FreeSlots(8, 3, reported(0), start), 5, "no reported work means that there is none")
+	assert.Equal(t, batchroom.ExcessItems(8, 3, 5), 0)
+	assert.Equal(t, batchroom.ExcessItems(8, 3, 7), 2, "two items are preempted before anything waits")
+	assert.Equal(t, batchroom.ExcessItems(8, 3, 20), 3, "no more than there are")
 	now := start.Add(200 * time.Millisecond)
 	gauge.Observe(work.Load{Running: 8, Slots: 8}, 3, 1, now)
-	assert.Equal(t, gauge.Room(8, 0, reported(1), now), 7, "one report is no proof of unreported work")
+	assert.Equal(t, gauge.FreeSlots(8, 0, reported(1), now), 7, "one report is no proof of unreported work")
 	for range 4 {
 		now = now.Add(200 * time.Millisecond)
 		gauge.Observe(work.Load{Running: 8, Slots: 8}, 3, 1, now)
 	}
-	assert.Equal(t, gauge.Room(8, 0, reported(1), now), 3, "four requests of a node that does not report")
+	assert.Equal(t, gauge.FreeSlots(8, 0, reported(1), now), 3, "four requests of a node that does not report")
 }
 
 // TestPlacesKeptFreeFollowThePlaces has owners with few and with many slots: at least one slot is left free, and at most
 // a share of them, however few slots each runner has.
 func TestPlacesKeptFreeFollowThePlaces(t *testing.T) {
-	assert.Equal(t, batchroom.Kept(0), 0)
-	assert.Equal(t, batchroom.Kept(5), 1)
-	assert.Equal(t, batchroom.Kept(17), 2)
+	assert.Equal(t, batchroom.OwnerReserve(0), 0)
+	assert.Equal(t, batchroom.OwnerReserve(5), 1)
+	assert.Equal(t, batchroom.OwnerReserve(17), 2)
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 500).Draw(t, "slots")
-		kept := batchroom.Kept(slots)
+		kept := batchroom.OwnerReserve(slots)
 		assert.Assert(t, kept >= 1 && kept <= max(1, slots/8), "%d of %d", kept, slots)
-		assert.Assert(t, batchroom.Kept(slots+1) >= kept)
+		assert.Assert(t, batchroom.OwnerReserve(slots+1) >= kept)
 	})
 }
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -20,10 +20,10 @@
 // discard the report, and no longer than the requests of a dead node may continue at their runners.
 const Lifetime = 1500 * time.Millisecond
 
-// OldAfter is the age from which an online request is included in the newest report that the owner has read from
+// MaxReportAge is the age from which an online request is included in the newest report that the owner has read from
 // the request's runner. An owner polls a runner at least every 200 ms while it checks for orphaned runs, and a
 // report is about 100 ms old by then.
-const OldAfter = 300 * time.Millisecond
+const MaxReportAge = 300 * time.Millisecond
 
 // Count is the online work of one node at one runner.
 type Count struct {
@@ -41,8 +41,8 @@
 	// report was made. Both are zero if the node knows no pace, or if its build does not read it.
 	Pace      work.Pace `json:"pace,omitempty"`
 	PaceAgeMs int64     `json:"pace_age_ms,omitempty"`
-	// Heard is when this node received the pace, by its own clock. It is not sent.
-	Heard time.Time `json:"-"`
+	// PaceReceivedAt is when this node received the pace, by its own clock. It is not sent.
+	PaceReceivedAt time.Time `json:"-"`
 }
 
 // HasWork reports whether the count carries more than a pace.
@@ -50,7 +50,7 @@
 
 // withoutPace returns the count without its pace and without the number of old requests.
 func (c Count) withoutPace() Count {
-	c.Pace, c.PaceAgeMs, c.Heard, c.Old = 0, 0, time.Time{}, 0
+	c.Pace, c.PaceAgeMs, c.PaceReceivedAt, c.Old = 0, 0, time.Time{}, 0
 	return c
 }
 
@@ -68,7 +68,7 @@
 type Bound struct {
 	Service string       `json:"service"`
 	Tenant  ident.Tenant `json:"tenant"`
-	Places  int          `json:"places"`
+	Slots   int          `json:"places"`
 }
 
 // Waiting counts the requests for one service that wait for a slot at a node.
@@ -112,8 +112,8 @@
 	// Others is the online work of all nodes but the polling one, Batch the number of batch items of the worker.
 	Others int `json:"others"`
 	Batch  int `json:"batch"`
-	// Silent means that the runner is unresponsive both to some node and to the worker.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive means that the runner is unresponsive both to some node and to the worker.
+	Unresponsive bool `json:"silent,omitempty"`
 	// Orphans is the number of orphaned runs at the runner: work that no living node accounts for.
 	Orphans int `json:"orphans,omitempty"`
 	// Rationed means that the worker grants the runner's slots one by one: the polling node may start Granted
@@ -126,8 +126,8 @@
 	// Tokens is the number of tokens of the requests of all nodes but the polling one, and of the worker's items.
 	// Memory is the number of tokens that the runner can hold. Both are sent only when all tokens together exceed
 	// half of Memory.
-	Tokens int `json:"tokens,omitempty"`
-	Memory int `json:"memory,omitempty"`
+	Tokens        int `json:"tokens,omitempty"`
+	TokenCapacity int `json:"memory,omitempty"`
 	// Pace is the newest pace that any node received from the runner. PaceAgeMs is its age in milliseconds when the
 	// answer was made. Both are zero if no pace is known, or if the worker's build does not read it.
 	Pace      work.Pace `json:"pace,omitempty"`
@@ -142,7 +142,7 @@
 	// Waiting is the number of items that are not assigned to a runner, Places the number that its runners could
 	// run now.
 	Waiting int `json:"waiting"`
-	Places  int `json:"places"`
+	Slots   int `json:"places"`
 	// RunMs is the mean run time in milliseconds.
 	RunMs int64 `json:"run_ms"`
 }
@@ -150,7 +150,7 @@
 // Wait estimates how long new items wait behind those of the worker and some more.
 func (b Batch) Wait(more int) time.Duration {
 	run := time.Duration(b.RunMs) * time.Millisecond
-	return run * time.Duration(b.Waiting+more) / time.Duration(max(b.Places, 1))
+	return run * time.Duration(b.Waiting+more) / time.Duration(max(b.Slots, 1))
 }
 
 // Answer is a worker's answer to a report: the shares of all runners that it owns, its batch load, and the entries
@@ -191,9 +191,9 @@
 	counted bool
 }
 
-// Take stores a report. It returns the runners at which the node's work changed, or none if a newer report was
+// Record stores a report. It returns the runners at which the node's work changed, or none if a newer report was
 // stored already.
-func (l *Ledger) Take(report *Report, now time.Time) []ident.Incarnation {
+func (l *Ledger) Record(report *Report, now time.Time) []ident.Incarnation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.expire(now)
@@ -295,9 +295,9 @@
 	return r.Sequence > other.sequence
 }
 
-// Heard returns when a node's newest report arrived, or zero if there is none or its entry was deleted, so that
+// LastReport returns when a node's newest report arrived, or zero if there is none or its entry was deleted, so that
 // the node's view of earlier answers is out of date.
-func (l *Ledger) Heard(node ident.Node) time.Time {
+func (l *Ledger) LastReport(node ident.Node) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if entry := l.nodes[node]; entry != nil {
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -24,18 +24,18 @@
 // TestNewestReportOfEachNodeCounts has reports overtake each other, a node restart, and one become unresponsive.
 func TestNewestReportOfEachNodeCounts(t *testing.T) {
 	var ledger demand.Ledger
-	assert.DeepEqual(t, ledger.Take(report("a", 1, 2, 3), start), []ident.Incarnation{"r"})
-	assert.Equal(t, len(ledger.Take(report("a", 1, 1, 9), start)), 0, "an older report was stored")
-	assert.DeepEqual(t, ledger.Take(report("b", 1, 1, 1), start), []ident.Incarnation{"r"})
+	assert.DeepEqual(t, ledger.Record(report("a", 1, 2, 3), start), []ident.Incarnation{"r"})
+	assert.Equal(t, len(ledger.Record(report("a", 1, 1, 9), start)), 0, "an older report was stored")
+	assert.DeepEqual(t, ledger.Record(report("b", 1, 1, 1), start), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", start), 4)
 	assert.Equal(t, ledger.Online("r", "a", start), 1)
-	assert.Equal(t, len(ledger.Take(report("a", 1, 3, 3), start)), 0, "an unchanged report was taken for a change")
-	assert.DeepEqual(t, ledger.Take(report("a", 1, 4, 2), start), []ident.Incarnation{"r"})
-	assert.DeepEqual(t, ledger.Take(report("a", 2, 1, 5), start), []ident.Incarnation{"r"})
+	assert.Equal(t, len(ledger.Record(report("a", 1, 3, 3), start)), 0, "an unchanged report was taken for a change")
+	assert.DeepEqual(t, ledger.Record(report("a", 1, 4, 2), start), []ident.Incarnation{"r"})
+	assert.DeepEqual(t, ledger.Record(report("a", 2, 1, 5), start), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", start), 6)
 	late := start.Add(demand.Lifetime + time.Millisecond)
 	assert.Equal(t, ledger.Online("r", "", late), 0, "an expired report was counted")
-	assert.DeepEqual(t, ledger.Take(&demand.Report{Node: "a", Incarnation: 2, Sequence: 2}, late), []ident.Incarnation{"r"})
+	assert.DeepEqual(t, ledger.Record(&demand.Report{Node: "a", Incarnation: 2, Sequence: 2}, late), []ident.Incarnation{"r"})
 	assert.Equal(t, ledger.Online("r", "", late), 0)
 }
 
@@ -51,7 +51,7 @@
 			if known == nil || next.Incarnation > known.Incarnation || (next.Incarnation == known.Incarnation && next.Sequence > known.Sequence) {
 				newest[node] = next
 			}
-			ledger.Take(next, start)
+			ledger.Record(next, start)
 		}
 		want := 0
 		for _, known := range newest {
@@ -84,7 +84,7 @@
 					latest.Counts = append(latest.Counts, demand.Count{Runner: runner, Online: online[runner]})
 				}
 			}
-			ledger.Take(latest, now)
+			ledger.Record(latest, now)
 			newest[node] = received{at: now, online: online}
 			queryTime := now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later")) * time.Millisecond)
 			now = queryTime
@@ -121,13 +121,13 @@
 	f.online = online
 }
 
-func (f *fakeWork) Online() map[string]demand.Owned {
+func (f *fakeWork) Online() map[string]demand.OwnerDemand {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.online == 0 && !f.suspect {
-		return map[string]demand.Owned{}
+		return map[string]demand.OwnerDemand{}
 	}
-	return map[string]demand.Owned{"w": {Counts: []demand.Count{{Runner: "r", Online: f.online, Suspect: f.suspect}}}}
+	return map[string]demand.OwnerDemand{"w": {Counts: []demand.Count{{Runner: "r", Online: f.online, Suspect: f.suspect}}}}
 }
 
 func (f *fakeWork) Take(_ string, answer *demand.Answer, _ time.Time) {
@@ -151,7 +151,7 @@
 	if w.down || address != "w" {
 		return nil, failure.Kind("away")
 	}
-	w.ledger.Take(report, time.Now())
+	w.ledger.Record(report, time.Now())
 	for _, count := range report.Counts {
 		if count.Suspect {
 			w.suspected++
@@ -172,8 +172,8 @@
 // reported repeatedly, and that it is reported anew after the worker was down.
 func TestWorkerReceivesEachChange(t *testing.T) {
 	work, worker := &fakeWork{}, &fakeWorker{}
-	teller := demand.NewTeller("front", work, time.Now)
-	teller.Tell = worker.send
+	teller := demand.NewReporter("front", work, time.Now)
+	teller.Send = worker.send
 	supervisor := new(tomb.Tomb)
 	teller.Start(supervisor)
 	t.Cleanup(func() {
@@ -200,11 +200,11 @@
 	expectOnline(3)
 	change(2, false)
 	expectOnline(2)
-	time.Sleep(demand.Lifetime + demand.IdleRefreshEvery)
+	time.Sleep(demand.Lifetime + demand.IdleRefreshInterval)
 	expectOnline(2)
 	worker.setDown(true)
 	change(4, true)
-	time.Sleep(2 * demand.IdleRefreshEvery)
+	time.Sleep(2 * demand.IdleRefreshInterval)
 	worker.setDown(false)
 	expectOnline(4)
 	change(0, false)
@@ -230,7 +230,7 @@
 func TestReportOfASilentNodeExpires(t *testing.T) {
 	const expiresAfter = 1500 * time.Millisecond
 	var ledger demand.Ledger
-	ledger.Take(report("a", 1, 1, 3), start)
+	ledger.Record(report("a", 1, 1, 3), start)
 	assert.Equal(t, ledger.Online("r", "", start.Add(expiresAfter)), 3)
 	assert.Equal(t, ledger.Online("r", "", start.Add(expiresAfter+time.Millisecond)), 0)
 }
--- a/internal/demand/poll.go
+++ b/internal/demand/poll.go
@@ -25,20 +25,20 @@
 	return slices.Contains(q.addresses, address)
 }
 
-// AskNear polls the workers of this node's zone whose last answer is older than the given age, and waits for the
+// PollOwnZone polls the workers of this node's zone whose last answer is older than the given age, and waits for the
 // answers until the context ends. Calls that take longer continue in the background, and their answers are applied
 // when they arrive. AskNear returns at once if all answers are fresh.
-func (t *Teller) AskNear(ctx context.Context, maxAge time.Duration) {
+func (t *Reporter) PollOwnZone(ctx context.Context, maxAge time.Duration) {
 	t.poll(ctx, pollRequest{maxAge: maxAge})
 }
 
-// Ask is like AskNear for the workers at the given addresses, in any zone. It reports whether any
+// Poll is like AskNear for the workers at the given addresses, in any zone. It reports whether any
 // worker was called or waited for.
-func (t *Teller) Ask(ctx context.Context, addresses []string, maxAge time.Duration) bool {
+func (t *Reporter) Poll(ctx context.Context, addresses []string, maxAge time.Duration) bool {
 	return len(addresses) > 0 && t.poll(ctx, pollRequest{addresses: addresses, maxAge: maxAge})
 }
 
-func (t *Teller) poll(ctx context.Context, request pollRequest) bool {
+func (t *Reporter) poll(ctx context.Context, request pollRequest) bool {
 	if t.fresh(&request) {
 		return false
 	}
@@ -59,7 +59,7 @@
 }
 
 // fresh reports whether no worker has to be polled or waited for.
-func (t *Teller) fresh(request *pollRequest) bool {
+func (t *Reporter) fresh(request *pollRequest) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.Now()
@@ -72,7 +72,7 @@
 }
 
 // startPolls starts the calls for a request and returns those to wait for. It runs in the teller's loop.
-func (t *Teller) startPolls(ctx context.Context, request *pollRequest) []<-chan struct{} {
+func (t *Reporter) startPolls(ctx context.Context, request *pollRequest) []<-chan struct{} {
 	online := t.Work.Online()
 	now := t.Now()
 	t.mutex.Lock()
--- a/internal/demand/poll_test.go
+++ b/internal/demand/poll_test.go
@@ -16,14 +16,14 @@
 // fleetWork is a node's online work at workers of its own and of another zone; it counts the answers it receives.
 type fleetWork struct {
 	mutex  sync.Mutex
-	online map[string]Owned
+	online map[string]OwnerDemand
 	taken  map[string]int
 }
 
-func (w *fleetWork) Online() map[string]Owned {
+func (w *fleetWork) Online() map[string]OwnerDemand {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	online := map[string]Owned{}
+	online := map[string]OwnerDemand{}
 	for address, owned := range w.online {
 		online[address] = owned
 	}
@@ -85,12 +85,12 @@
 }
 
 // startTeller starts a teller for two workers of its own zone and one of another.
-func startTeller(t *testing.T) (*Teller, *fleetWork, *fleetWorkers) {
+func startTeller(t *testing.T) (*Reporter, *fleetWork, *fleetWorkers) {
 	t.Helper()
-	work := &fleetWork{online: map[string]Owned{"near-1": {}, "near-2": {}, "far": {Far: true}}, taken: map[string]int{}}
+	work := &fleetWork{online: map[string]OwnerDemand{"near-1": {}, "near-2": {}, "far": {Far: true}}, taken: map[string]int{}}
 	workers := &fleetWorkers{dead: map[string]bool{}, reports: map[string][]*Report{}}
-	teller := NewTeller("front", work, time.Now)
-	teller.Tell = workers.send
+	teller := NewReporter("front", work, time.Now)
+	teller.Send = workers.send
 	supervisor := new(tomb.Tomb)
 	teller.Start(supervisor)
 	t.Cleanup(func() {
@@ -119,22 +119,22 @@
 func TestStaleWorkersArePolledOnRequest(t *testing.T) {
 	teller, work, workers := startTeller(t)
 	near, far := workers.calls("near-1"), workers.calls("far")
-	assert.Assert(t, !teller.Ask(t.Context(), []string{"near-1", "far"}, time.Hour))
-	teller.AskNear(t.Context(), time.Hour)
+	assert.Assert(t, !teller.Poll(t.Context(), []string{"near-1", "far"}, time.Hour))
+	teller.PollOwnZone(t.Context(), time.Hour)
 	assert.Equal(t, workers.calls("near-1"), near, "a worker with a fresh answer was called")
 	work.mutex.Lock()
 	before := work.taken["near-1"]
 	work.mutex.Unlock()
-	teller.AskNear(t.Context(), time.Nanosecond)
+	teller.PollOwnZone(t.Context(), time.Nanosecond)
 	assert.Assert(t, workers.calls("near-1") > near)
 	assert.Equal(t, workers.calls("far"), far, "a worker of another zone was called")
 	work.mutex.Lock()
 	assert.Assert(t, work.taken["near-1"] > before, "AskNear returned before the answer was applied")
 	work.mutex.Unlock()
-	assert.Assert(t, teller.Ask(t.Context(), []string{"far"}, time.Nanosecond))
+	assert.Assert(t, teller.Poll(t.Context(), []string{"far"}, time.Nanosecond))
 	assert.Assert(t, workers.calls("far") > far)
-	assert.Assert(t, !teller.Ask(t.Context(), []string{"unknown"}, time.Nanosecond))
-	assert.Assert(t, !teller.Ask(t.Context(), nil, time.Nanosecond))
+	assert.Assert(t, !teller.Poll(t.Context(), []string{"unknown"}, time.Nanosecond))
+	assert.Assert(t, !teller.Poll(t.Context(), nil, time.Nanosecond))
 }
 
 // TestUnresponsiveWorkerDelaysNoRequestForLong polls a worker that does not answer. The poll ends with its
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	polled := make(chan struct{})
 	go func() {
-		teller.Ask(ctx, []string{"near-2"}, time.Nanosecond)
+		teller.Poll(ctx, []string{"near-2"}, time.Nanosecond)
 		close(polled)
 	}()
 	cancel()
@@ -167,11 +167,11 @@
 
 // TestPollAfterTheTellerEndedReturns polls through a teller whose loop does not run.
 func TestPollAfterTheTellerEndedReturns(t *testing.T) {
-	teller := NewTeller("front", &fleetWork{}, time.Now)
+	teller := NewReporter("front", &fleetWork{}, time.Now)
 	teller.workers["near"] = &workerState{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	teller.AskNear(ctx, time.Nanosecond)
+	teller.PollOwnZone(ctx, time.Nanosecond)
 }
 
 // TestEachPaceIsReportedOnce receives paces of a runner at which this node has no requests. Each is reported once,
@@ -179,7 +179,7 @@
 func TestEachPaceIsReportedOnce(t *testing.T) {
 	receivedAt := time.Unix(100, 0)
 	now := receivedAt.Add(30 * time.Millisecond)
-	count := Count{Runner: "r", Pace: 2.5, Heard: receivedAt}
+	count := Count{Runner: "r", Pace: 2.5, PaceReceivedAt: receivedAt}
 	state := &workerState{calledAt: now}
 	assert.Assert(t, state.reportDue([]Count{count}, time.Hour, now))
 	report := state.nextReport([]Count{count}, now)
@@ -190,13 +190,13 @@
 	later := now.Add(time.Second)
 	assert.Assert(t, !state.reportDue([]Count{count}, time.Hour, later), "the age of a pace made a report due")
 	assert.Equal(t, len(state.nextReport([]Count{count}, later).Counts), 0)
-	count.Heard = later
+	count.PaceReceivedAt = later
 	assert.Assert(t, state.reportDue([]Count{count}, time.Hour, later), "a newer pace makes no report due")
 
-	online := Count{Runner: "r", Online: 2, Pace: 2.5, Heard: receivedAt}
+	online := Count{Runner: "r", Online: 2, Pace: 2.5, PaceReceivedAt: receivedAt}
 	other := &workerState{}
 	other.acknowledge(other.nextReport([]Count{online}, now), now)
-	assert.Assert(t, !other.reportDue([]Count{online}, time.Hour, now.Add(RefreshEvery-time.Millisecond)))
+	assert.Assert(t, !other.reportDue([]Count{online}, time.Hour, now.Add(RefreshInterval-time.Millisecond)))
 	repeated := other.nextReport([]Count{online}, now)
 	assert.DeepEqual(t, repeated.Counts, []Count{{Runner: "r", Online: 2}})
 }
@@ -205,13 +205,13 @@
 // failed call the pace is reported again.
 func TestPaceIsReportedAfterTheRequestEnded(t *testing.T) {
 	teller, work, workers := startTeller(t)
-	work.set("far", Count{Runner: "r", Pace: 3, Heard: time.Now()})
+	work.set("far", Count{Runner: "r", Pace: 3, PaceReceivedAt: time.Now()})
 	teller.Changed(false)
 	eventually(t, func() bool { return len(workers.paces("far")) == 1 })
 	workers.mutex.Lock()
 	workers.dead["near-1"] = true
 	workers.mutex.Unlock()
-	work.set("near-1", Count{Runner: "n", Pace: 3, Heard: time.Now()})
+	work.set("near-1", Count{Runner: "n", Pace: 3, PaceReceivedAt: time.Now()})
 	teller.Changed(false)
 	eventually(t, func() bool { return len(workers.paces("near-1")) == 1 })
 	workers.mutex.Lock()
--- a/internal/demand/teller.go
+++ b/internal/demand/teller.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// RefreshEvery is the time between two reports to a worker at whose runners this node has work, even if
+	// RefreshInterval is the time between two reports to a worker at whose runners this node has work, even if
 	// nothing changed: the answer carries the work of the other nodes, which choose among the same runners all the
 	// time.
-	RefreshEvery = 50 * time.Millisecond
-	// IdleRefreshEvery is that time for the other workers of this node's zone. Requests go to their runners when
+	RefreshInterval = 50 * time.Millisecond
+	// IdleRefreshInterval is that time for the other workers of this node's zone. Requests go to their runners when
 	// those in use are full, and jobs go to the worker that would start them first.
-	IdleRefreshEvery = 500 * time.Millisecond
+	IdleRefreshInterval = 500 * time.Millisecond
 	// farCallsPerSecond is the total rate of a node's calls to the workers of other zones at whose runners it has
 	// no work. With the answers this is about 2.4 kB a second, within the 3 kB that a node may spend on control
 	// traffic. Without a bound, the calls of all nodes grow with nodes times workers.
@@ -35,34 +35,34 @@
 // Work is the online work of this node.
 type Work interface {
 	// Online returns the online work by the address of the worker that owns the runners. It lists every worker.
-	Online() map[string]Owned
+	Online() map[string]OwnerDemand
 	// Take applies the answer of the worker at an address: its shares of runners and its batch load, as of the
 	// given time.
 	Take(address string, answer *Answer, asOf time.Time)
 }
 
-// Owned is the online work of this node at the runners that one worker owns.
-type Owned struct {
+// OwnerDemand is the online work of this node at the runners that one worker owns.
+type OwnerDemand struct {
 	// Counts are the counts of the runners that have online work, are suspected, or whose pace this node knows.
 	Counts []Count
 	// Far means that the worker is in another zone.
 	Far bool
 	// Zone is the worker's zone. Doubted is the time since when that zone does not answer, or zero. Its workers
 	// are polled until one answers: first all of them at once, then one at a time.
-	Zone    ident.Zone
-	Doubted time.Time
+	Zone              ident.Zone
+	UnresponsiveSince time.Time
 	// Uses are the tenants' uses of the services for which the worker is the account holder.
 	Uses []Use
 	// Waiting counts the requests that wait for slots granted by the worker, ordered by service.
 	Waiting []Waiting
 }
 
-// Teller reports the online work of this node to workers. Its exported fields are set before Start.
-type Teller struct {
+// Reporter reports the online work of this node to workers. Its exported fields are set before Start.
+type Reporter struct {
 	Node ident.Node
 	Work Work
-	// Tell makes one call to the worker at an address.
-	Tell func(ctx context.Context, address string, report *Report) (*Answer, error)
+	// Send makes one call to the worker at an address.
+	Send func(ctx context.Context, address string, report *Report) (*Answer, error)
 	Now  func() time.Time
 
 	tomb        *tomb.Tomb
@@ -104,10 +104,10 @@
 	usesSentAt time.Time
 }
 
-// NewTeller returns a teller that is not started.
-func NewTeller(node ident.Node, work Work, now func() time.Time) *Teller {
+// NewReporter returns a teller that is not started.
+func NewReporter(node ident.Node, work Work, now func() time.Time) *Reporter {
 	createdAt := now()
-	return &Teller{
+	return &Reporter{
 		Node: node, Work: work, Now: now, incarnation: createdAt.UnixNano(), createdAt: createdAt,
 		started: make(chan struct{}, 1), ended: make(chan struct{}, 1), request: make(chan pollRequest),
 		workers: map[string]*workerState{},
@@ -116,7 +116,7 @@
 
 // Changed signals that the node's online work, or its view of runners, changed. started selects an immediate
 // report; otherwise the change is reported after completionDelay. Changed never blocks.
-func (t *Teller) Changed(started bool) {
+func (t *Reporter) Changed(started bool) {
 	signal := t.ended
 	if started {
 		signal = t.started
@@ -128,13 +128,13 @@
 }
 
 // Start sends reports to the workers until the tomb dies.
-func (t *Teller) Start(parent *tomb.Tomb) {
+func (t *Reporter) Start(parent *tomb.Tomb) {
 	t.tomb = parent
 	parent.Go(t.run)
 }
 
-func (t *Teller) run() error {
-	timer := time.NewTimer(RefreshEvery)
+func (t *Reporter) run() error {
+	timer := time.NewTimer(RefreshInterval)
 	defer timer.Stop()
 	ctx := t.tomb.Context(context.Background())
 	// completionPending means that the timer is set to the end of completionDelay; further completions must not
@@ -164,7 +164,7 @@
 
 // reportAll calls the workers for which a report is due. It returns the time after which it has to be called
 // again.
-func (t *Teller) reportAll(ctx context.Context) time.Duration {
+func (t *Reporter) reportAll(ctx context.Context) time.Duration {
 	online := t.Work.Online()
 	now := t.Now()
 	t.mutex.Lock()
@@ -178,21 +178,21 @@
 			delete(t.workers, address)
 			continue
 		}
-		online[address] = Owned{}
+		online[address] = OwnerDemand{}
 	}
 	idleFar := idleFarInterval(online)
 	probesDue := t.probesDue(online, now)
-	next := RefreshEvery
+	next := RefreshInterval
 	nextFar := t.nextFar(online, idleFar, now)
 	for address, owned := range online {
 		state := t.worker(address, owned)
 		state.changedDuringCall = state.inFlight()
-		idle := IdleRefreshEvery
+		idle := IdleRefreshInterval
 		if owned.Far {
 			idle = idleFar
 		}
 		extrasDue := state.usesDue(owned.Uses, now) || state.waitingDue(owned.Waiting, now)
-		if state.inFlight() || (!probesDue[address] && !state.unpolledSince(owned.Doubted) &&
+		if state.inFlight() || (!probesDue[address] && !state.unpolledSince(owned.UnresponsiveSince) &&
 			!state.reportDue(owned.Counts, idle, now) && !extrasDue) {
 			if state.waitingChanged(owned.Waiting, now) {
 				next = waitingReportInterval
@@ -200,7 +200,7 @@
 			continue
 		}
 		if owned.Far && state.idle(owned.Counts) && !state.calledAt.IsZero() && !probesDue[address] &&
-			!state.unpolledSince(owned.Doubted) && address != nextFar && !extrasDue {
+			!state.unpolledSince(owned.UnresponsiveSince) && address != nextFar && !extrasDue {
 			continue
 		}
 		t.startCall(ctx, address, state, owned, now)
@@ -209,7 +209,7 @@
 }
 
 // worker returns the state of a worker, and creates it if necessary. The caller holds the mutex.
-func (t *Teller) worker(address string, owned Owned) *workerState {
+func (t *Reporter) worker(address string, owned OwnerDemand) *workerState {
 	state := t.workers[address]
 	if state == nil {
 		state = &workerState{}
@@ -220,7 +220,7 @@
 }
 
 // startCall starts a call to a worker. The caller holds the mutex, and runs in the teller's loop.
-func (t *Teller) startCall(ctx context.Context, address string, state *workerState, owned Owned, now time.Time) {
+func (t *Reporter) startCall(ctx context.Context, address string, state *workerState, owned OwnerDemand, now time.Time) {
 	report := state.nextReport(owned.Counts, now)
 	report.Uses = state.nextUses(owned.Uses, now)
 	report.Waiting, state.waiting = owned.Waiting, owned.Waiting
@@ -233,7 +233,7 @@
 const ageReportedFor = 15 * time.Second
 
 // age returns the uptime of this process in milliseconds, at least 1, or zero once it is no longer reported.
-func (t *Teller) age(now time.Time) int64 {
+func (t *Reporter) age(now time.Time) int64 {
 	lived := now.Sub(t.createdAt)
 	if lived > ageReportedFor {
 		return 0
@@ -243,20 +243,20 @@
 
 // idleFarInterval returns the time between two reports to a worker of another zone at whose runners this node has
 // no work.
-func idleFarInterval(online map[string]Owned) time.Duration {
+func idleFarInterval(online map[string]OwnerDemand) time.Duration {
 	idle := 0
 	for _, owned := range online {
 		if owned.Far && len(owned.Counts) == 0 {
 			idle++
 		}
 	}
-	return max(time.Duration(idle)*time.Second/farCallsPerSecond, IdleRefreshEvery)
+	return max(time.Duration(idle)*time.Second/farCallsPerSecond, IdleRefreshInterval)
 }
 
 // nextFar returns the next worker to call among those of other zones at whose runners this node has no work, or an
 // empty address. Calls are spread evenly in time. Of the workers that are due it selects one of the zone that was
 // called the longest ago, so that each zone is polled at even intervals. The caller holds the mutex.
-func (t *Teller) nextFar(online map[string]Owned, every time.Duration, now time.Time) string {
+func (t *Reporter) nextFar(online map[string]OwnerDemand, every time.Duration, now time.Time) string {
 	zones := map[ident.Zone]time.Time{}
 	var last time.Time
 	for address, owned := range online {
@@ -305,12 +305,12 @@
 // probesDue selects the worker to probe in each unresponsive zone: the one that was called the longest ago. The
 // value says whether a probe is due now. A zone is probed once per probeInterval, and less often if there are many
 // such zones. The caller holds the mutex.
-func (t *Teller) probesDue(online map[string]Owned, now time.Time) map[string]bool {
+func (t *Reporter) probesDue(online map[string]OwnerDemand, now time.Time) map[string]bool {
 	var oldest map[ident.Zone]string
 	newest := map[ident.Zone]time.Time{}
 	for address, owned := range online {
 		state := t.workers[address]
-		if owned.Doubted.IsZero() || state == nil {
+		if owned.UnresponsiveSince.IsZero() || state == nil {
 			continue
 		}
 		if oldest == nil {
@@ -355,13 +355,13 @@
 	if working == 0 {
 		return now.Sub(c.calledAt) >= idle
 	}
-	return now.Sub(c.calledAt) >= RefreshEvery
+	return now.Sub(c.calledAt) >= RefreshInterval
 }
 
 // hasUnsentPace reports whether a count has a pace that the worker has not acknowledged. Each pace is sent once,
 // so that its age makes no report due.
 func (c *workerState) hasUnsentPace(count Count) bool {
-	return count.Pace.Known() && count.Heard.After(c.ackedPaces[count.Runner])
+	return count.Pace.Known() && count.PaceReceivedAt.After(c.ackedPaces[count.Runner])
 }
 
 // nextReport builds the next report from the counts and records it as sent.
@@ -377,7 +377,7 @@
 			c.reported[count.Runner] = sent
 		}
 		if c.hasUnsentPace(count) {
-			sent.Pace, sent.Heard, sent.PaceAgeMs = count.Pace, count.Heard, max(now.Sub(count.Heard).Milliseconds(), 0)
+			sent.Pace, sent.PaceReceivedAt, sent.PaceAgeMs = count.Pace, count.PaceReceivedAt, max(now.Sub(count.PaceReceivedAt).Milliseconds(), 0)
 		} else if receivedAt, answered := c.ackedPaces[count.Runner]; answered {
 			ackedPaces[count.Runner] = receivedAt
 		}
@@ -400,7 +400,7 @@
 	}
 	for _, count := range report.Counts {
 		if count.Pace.Known() {
-			c.ackedPaces[count.Runner] = count.Heard
+			c.ackedPaces[count.Runner] = count.PaceReceivedAt
 		}
 	}
 }
@@ -409,11 +409,11 @@
 func (c *workerState) inFlight() bool { return c.callDone != nil }
 
 // send makes one call. If something changed in the meantime, it schedules the next one.
-func (t *Teller) send(ctx context.Context, address string, state *workerState, report *Report) {
+func (t *Reporter) send(ctx context.Context, address string, state *workerState, report *Report) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := t.Now()
-	answer, err := t.Tell(ctx, address, report)
+	answer, err := t.Send(ctx, address, report)
 	if err == nil {
 		// The answer counts from the time of the report: it may have been buffered while this process was frozen.
 		t.Work.Take(address, answer, sent)
--- a/internal/demand/teller_test.go
+++ b/internal/demand/teller_test.go
@@ -12,13 +12,13 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-func farFleet(idle, used int) map[string]Owned {
-	online := map[string]Owned{"near": {}}
+func farFleet(idle, used int) map[string]OwnerDemand {
+	online := map[string]OwnerDemand{"near": {}}
 	for index := range idle {
-		online[fmt.Sprint("idle-", index)] = Owned{Far: true}
+		online[fmt.Sprint("idle-", index)] = OwnerDemand{Far: true}
 	}
 	for index := range used {
-		online[fmt.Sprint("used-", index)] = Owned{Far: true, Counts: []Count{{Runner: "r", Online: 1}}}
+		online[fmt.Sprint("used-", index)] = OwnerDemand{Far: true, Counts: []Count{{Runner: "r", Online: 1}}}
 	}
 	return online
 }
@@ -26,13 +26,13 @@
 // TestCallsToIdleWorkersOfOtherZonesAreBounded draws fleets. However many workers there are, a node without work
 // makes no more calls a second than its bound; with few workers it polls them as often as those of its own zone.
 func TestCallsToIdleWorkersOfOtherZonesAreBounded(t *testing.T) {
-	assert.Equal(t, idleFarInterval(farFleet(0, 3)), IdleRefreshEvery)
-	assert.Equal(t, idleFarInterval(farFleet(2, 40)), IdleRefreshEvery)
+	assert.Equal(t, idleFarInterval(farFleet(0, 3)), IdleRefreshInterval)
+	assert.Equal(t, idleFarInterval(farFleet(2, 40)), IdleRefreshInterval)
 	assert.Equal(t, idleFarInterval(farFleet(38, 0)), 9500*time.Millisecond)
 	rapid.Check(t, func(t *rapid.T) {
 		idle := rapid.IntRange(1, 400).Draw(t, "idle")
 		every := idleFarInterval(farFleet(idle, rapid.IntRange(0, 20).Draw(t, "used")))
-		assert.Assert(t, every >= IdleRefreshEvery)
+		assert.Assert(t, every >= IdleRefreshInterval)
 		assert.Assert(t, float64(idle)/every.Seconds() <= farCallsPerSecond)
 	})
 }
@@ -60,8 +60,8 @@
 func TestAnswerReadAfterAFreezeCountsFromItsReport(t *testing.T) {
 	now := time.Unix(100, 0)
 	work := &answerTimes{}
-	teller := NewTeller(ident.Node("front"), work, func() time.Time { return now })
-	teller.Tell = func(context.Context, string, *Report) (*Answer, error) {
+	teller := NewReporter(ident.Node("front"), work, func() time.Time { return now })
+	teller.Send = func(context.Context, string, *Report) (*Answer, error) {
 		now = now.Add(2 * Lifetime)
 		return &Answer{}, nil
 	}
@@ -73,7 +73,7 @@
 // need it, and omitted later to save bytes.
 func TestAgeIsReportedOnlyAfterStart(t *testing.T) {
 	began := time.Unix(100, 0)
-	teller := NewTeller(ident.Node("front"), &answerTimes{}, func() time.Time { return began })
+	teller := NewReporter(ident.Node("front"), &answerTimes{}, func() time.Time { return began })
 	assert.Equal(t, teller.age(began), int64(1))
 	assert.Equal(t, teller.age(began.Add(13*time.Second)), int64(13_000))
 	assert.Equal(t, teller.age(began.Add(16*time.Second)), int64(0))
@@ -87,7 +87,7 @@
 	counts := []Count{{Runner: "r", Online: 3, Old: 1}}
 	assert.Equal(t, state.nextReport(counts, now).Counts[0].Old, 1)
 	counts[0].Old = 2
-	assert.Assert(t, !state.reportDue(counts, IdleRefreshEvery, now), "a change of the number of old requests made a report due")
+	assert.Assert(t, !state.reportDue(counts, IdleRefreshInterval, now), "a change of the number of old requests made a report due")
 	second := state.nextReport(counts, now.Add(time.Second))
 	assert.Equal(t, second.Counts[0].Old, 2)
 	state.acknowledge(second, now.Add(time.Second))
--- a/internal/demand/uses.go
+++ b/internal/demand/uses.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// UsesEvery is the time between two reports of tenants' uses while slots are scarce. A worker receives several of
+// UsesInterval is the time between two reports of tenants' uses while slots are scarce. A worker receives several of
 // them within Lifetime, and a node spends less than half of its control traffic on them.
-const UsesEvery = 400 * time.Millisecond
+const UsesInterval = 400 * time.Millisecond
 
 // usesDue reports whether the tenants' uses have to be reported to the worker now.
 func (c *workerState) usesDue(uses []Use, now time.Time) bool {
-	return len(uses) > 0 && now.Sub(c.usesSentAt) >= UsesEvery && !now.Before(c.notBefore)
+	return len(uses) > 0 && now.Sub(c.usesSentAt) >= UsesInterval && !now.Before(c.notBefore)
 }
 
 // nextUses returns the uses for the next report: all of them, or none within UsesEvery of the previous ones.
--- a/internal/demand/uses_test.go
+++ b/internal/demand/uses_test.go
@@ -16,13 +16,13 @@
 	counts := []Count{{Runner: "r", Online: 1}}
 	reported := 0
 	for range 17 {
-		if state.reportDue(counts, IdleRefreshEvery, now) || state.usesDue(uses, now) {
+		if state.reportDue(counts, IdleRefreshInterval, now) || state.usesDue(uses, now) {
 			report := state.nextReport(counts, now)
 			if report.Uses = state.nextUses(uses, now); report.Uses != nil {
 				reported++
 			}
 		}
-		now = now.Add(RefreshEvery)
+		now = now.Add(RefreshInterval)
 	}
 	assert.Equal(t, reported, 3)
 	assert.Assert(t, !state.usesDue(nil, now.Add(time.Hour)))
--- a/internal/demand/waiting.go
+++ b/internal/demand/waiting.go
@@ -18,7 +18,7 @@
 	if !slices.EqualFunc(waiting, c.waiting, Waiting.sameCounts) {
 		return now.Sub(c.calledAt) >= waitingReportInterval
 	}
-	return len(waiting) > 0 && now.Sub(c.calledAt) >= RefreshEvery
+	return len(waiting) > 0 && now.Sub(c.calledAt) >= RefreshInterval
 }
 
 // waitingChanged reports whether the waiting requests changed since the last report, so that the worker has to be
--- a/internal/demand/waiting_test.go
+++ b/internal/demand/waiting_test.go
@@ -25,7 +25,7 @@
 		"the first one waits":    {current: waitingRequests(1), since: 20 * time.Millisecond, due: true},
 		"right after a report":   {current: waitingRequests(1), since: 19 * time.Millisecond},
 		"as many wait":           {reported: waitingRequests(1), current: waitingRequests(1), since: 49 * time.Millisecond},
-		"as many wait for long":  {reported: waitingRequests(1), current: waitingRequests(1), since: RefreshEvery, due: true},
+		"as many wait for long":  {reported: waitingRequests(1), current: waitingRequests(1), since: RefreshInterval, due: true},
 		"less time is left":      {reported: waitingRequests(1), current: []Waiting{{Service: "s", OnTime: 1, LeftMs: 100}}, since: 49 * time.Millisecond},
 		"one became late":        {reported: waitingRequests(1), current: []Waiting{{Service: "s", Late: 1}}, since: 20 * time.Millisecond, due: true},
 		"nothing waits any more": {reported: waitingRequests(1), since: 20 * time.Millisecond, due: true},
@@ -59,7 +59,7 @@
 		began := time.Now()
 		teller.Changed(true)
 		eventually(t, func() bool { last, _ := lastWaiting(); return len(last) == len(waiting) })
-		assert.Assert(t, time.Since(began) < IdleRefreshEvery/2, "reported after %v", time.Since(began))
+		assert.Assert(t, time.Since(began) < IdleRefreshInterval/2, "reported after %v", time.Since(began))
 	}
 }
 
--- a/internal/demand/zones_test.go
+++ b/internal/demand/zones_test.go
@@ -14,8 +14,8 @@
 // called at the same moment when the node started. The larger zone is called at least once a second, and the total
 // rate stays within farCallsPerSecond.
 func TestIdleWorkersOfZonesArePolledInTurn(t *testing.T) {
-	online := map[string]Owned{}
-	teller := &Teller{workers: map[string]*workerState{}}
+	online := map[string]OwnerDemand{}
+	teller := &Reporter{workers: map[string]*workerState{}}
 	began := time.Unix(100, 0)
 	for index := range 6 {
 		zone := ident.Zone("big")
@@ -23,13 +23,13 @@
 			zone = "small"
 		}
 		address := fmt.Sprint("w", index)
-		online[address] = Owned{Far: true, Zone: zone}
+		online[address] = OwnerDemand{Far: true, Zone: zone}
 		teller.workers[address] = &workerState{calledAt: began}
 	}
 	lastCalls := map[ident.Zone]time.Time{}
 	calls := 0
 	const lasts = 10 * time.Second
-	for at := began; at.Before(began.Add(lasts)); at = at.Add(RefreshEvery) {
+	for at := began; at.Before(began.Add(lasts)); at = at.Add(RefreshInterval) {
 		next := teller.nextFar(online, idleFarInterval(online), at)
 		if next == "" {
 			continue
@@ -51,20 +51,20 @@
 // zones, the probe rate is capped.
 func TestUnresponsiveZoneIsPolledAtOnceAndThenInTurn(t *testing.T) {
 	now := time.Unix(100, 0)
-	online := map[string]Owned{}
-	teller := &Teller{workers: map[string]*workerState{}}
+	online := map[string]OwnerDemand{}
+	teller := &Reporter{workers: map[string]*workerState{}}
 	for index := range 3 {
 		address := fmt.Sprint("w", index)
-		online[address] = Owned{Far: true, Zone: "z", Doubted: now}
+		online[address] = OwnerDemand{Far: true, Zone: "z", UnresponsiveSince: now}
 		teller.workers[address] = &workerState{calledAt: now.Add(-time.Duration(index+1) * time.Second)}
 		assert.Assert(t, teller.workers[address].unpolledSince(now), "%s is not due for a call", address)
 		teller.workers[address].calledAt = now.Add(time.Duration(index) * time.Millisecond)
 		assert.Assert(t, !teller.workers[address].unpolledSince(now))
 	}
-	many := map[string]Owned{}
+	many := map[string]OwnerDemand{}
 	for index := range 10 {
 		address := fmt.Sprint("m", index)
-		many[address] = Owned{Far: true, Zone: ident.Zone(address), Doubted: now}
+		many[address] = OwnerDemand{Far: true, Zone: ident.Zone(address), UnresponsiveSince: now}
 		teller.workers[address] = &workerState{calledAt: now}
 	}
 	assert.Assert(t, !teller.probesDue(many, now.Add(time.Second))["m0"], "ten zones are probed more than eight times a second")
--- a/internal/endwatch/persist.go
+++ b/internal/endwatch/persist.go
@@ -21,16 +21,16 @@
 // second.
 const writeInterval = 200 * time.Millisecond
 
-// Keep loads the records from a file and rewrites it after changes. The records thus survive a simultaneous restart of
+// Persist loads the records from a file and rewrites it after changes. The records thus survive a simultaneous restart of
 // all nodes; without them each request that ends its runners would end three more. Ages in the file do not advance while
 // no process runs: the wall clock may step, and retaining a record for longer costs little. Records that cannot be read
 // are obtained again from other nodes.
-func (w *Watch) Keep(path string) {
+func (w *Watch) Persist(path string) {
 	records, err := readRecords(path)
 	if err != nil {
 		event.EndsNotKept.Log(w.Logger).Err(err).Send()
 	}
-	w.Learn(records, false)
+	w.ApplyRecords(records, false)
 	w.Tomb.Go(func() error {
 		for {
 			select {
--- a/internal/endwatch/watch.go
+++ b/internal/endwatch/watch.go
@@ -67,12 +67,12 @@
 // Idle reports whether there are no records of any request, so that no fingerprint is needed.
 func (w *Watch) Idle() bool { return w == nil || w.Book.Empty() }
 
-// Well records that a runner completed a request.
-func (w *Watch) Well(fingerprint poison.Print) { w.Book.Well(fingerprint) }
+// RecordCompleted records that a runner completed a request.
+func (w *Watch) RecordCompleted(fingerprint poison.Print) { w.Book.Well(fingerprint) }
 
-// Broken records that a runner's answer to a request broke off or did not come. Unless the runner is known to be leaving,
+// RecordBroken records that a runner's answer to a request broke off or did not come. Unless the runner is known to be leaving,
 // it is probed.
-func (w *Watch) Broken(runner work.Runner, fingerprint poison.Print) {
+func (w *Watch) RecordBroken(runner work.Runner, fingerprint poison.Print) {
 	if w == nil || w.Runners.Leaving(runner.ID) {
 		return
 	}
@@ -152,8 +152,8 @@
 	w.logRefused(w.Book.Ended(current.runner.ID, fingerprints, current.startedAt, now))
 }
 
-// Learn applies records from another node. If passOn is set, this node passes them on to others.
-func (w *Watch) Learn(records []poison.Record, passOn bool) {
+// ApplyRecords applies records from another node. If passOn is set, this node passes them on to others.
+func (w *Watch) ApplyRecords(records []poison.Record, passOn bool) {
 	if w != nil {
 		w.logRefused(w.Book.Learn(records, w.Now(), passOn))
 	}
--- a/internal/endwatch/watch_test.go
+++ b/internal/endwatch/watch_test.go
@@ -82,9 +82,9 @@
 		t.Run(name, func(t *testing.T) {
 			simulated.Test(t, func(t *testing.T) {
 				watch, probes := newWatch(t, c.answers...)
-				watch.Broken(broken, "one")
-				watch.Broken(broken, "other")
-				watch.Broken(broken, "one")
+				watch.RecordBroken(broken, "one")
+				watch.RecordBroken(broken, "other")
+				watch.RecordBroken(broken, "one")
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
 				for _, fingerprint := range []poison.Print{"one", "other"} {
@@ -106,7 +106,7 @@
 			simulated.Test(t, func(t *testing.T) {
 				watch, probes := newWatch(t, errGone)
 				watch.Runners.Replace(listed, time.Now(), false)
-				watch.Broken(broken, "one")
+				watch.RecordBroken(broken, "one")
 				time.Sleep(time.Second)
 				assert.Equal(t, probes.probes.Load(), int32(0))
 				assert.Assert(t, watch.Idle())
@@ -120,7 +120,7 @@
 func TestRunnerThatTheListDropsHasEnded(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		watch, _ := newWatch(t, connpool.ErrNoAnswer)
-		watch.Broken(broken, "one")
+		watch.RecordBroken(broken, "one")
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, watch.Idle())
 		watch.Runners.Replace(nil, time.Now(), true)
@@ -135,9 +135,9 @@
 func TestAnswerThatBreaksOffLaterCounts(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		watch, probes := newWatch(t, errGone)
-		watch.Broken(broken, "one")
+		watch.RecordBroken(broken, "one")
 		time.Sleep(time.Second)
-		watch.Broken(broken, "late")
+		watch.RecordBroken(broken, "late")
 		ends, _ := watch.Book.Ends("late")
 		assert.Equal(t, ends, 1)
 		assert.Equal(t, probes.probes.Load(), int32(1))
@@ -153,13 +153,13 @@
 			assert.NilError(t, os.WriteFile(path, []byte(before), 0o600))
 		}
 		watch, _ := newWatch(t, errGone)
-		watch.Keep(path)
+		watch.Persist(path)
 		for _, runner := range []ident.Incarnation{"a", "b", "c"} {
 			watch.Book.Ended(runner, []poison.Print{"bad"}, time.Now(), time.Now())
 		}
 		written := func() bool {
 			later, _ := newWatch(t, errGone)
-			later.Keep(path)
+			later.Persist(path)
 			return later.Refused("bad")
 		}
 		for deadline := time.Now().Add(10 * time.Second); !written(); time.Sleep(20 * time.Millisecond) {
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -86,8 +86,8 @@
 	overAt time.Time
 }
 
-// Take records the uses that a node reported. Reports older than the newest one are ignored.
-func (a *Account) Take(report *demand.Report, now time.Time) {
+// Record records the uses that a node reported. Reports older than the newest one are ignored.
+func (a *Account) Record(report *demand.Report, now time.Time) {
 	if len(report.Uses) == 0 {
 		return
 	}
@@ -155,7 +155,7 @@
 		if now.Sub(entry.dividedAt) >= entry.divideAfter(report.Node) {
 			entry.divide(name, fleet(name), now)
 		}
-		bounds = append(bounds, demand.Bound{Service: name, Places: entry.dividedSlots()})
+		bounds = append(bounds, demand.Bound{Service: name, Slots: entry.dividedSlots()})
 		bounds = append(bounds, entry.parts[report.Node]...)
 	}
 	slices.SortFunc(bounds, func(first, second demand.Bound) int {
@@ -319,7 +319,7 @@
 		}
 		before += has
 		upTo := int(math.Ceil(each*float64(before) - roundingSlack))
-		s.parts[node] = append(s.parts[node], demand.Bound{Service: name, Tenant: tenant, Places: upTo - allocated})
+		s.parts[node] = append(s.parts[node], demand.Bound{Service: name, Tenant: tenant, Slots: upTo - allocated})
 		allocated = upTo
 	}
 }
@@ -333,14 +333,14 @@
 	// Nodes is the number of reporting nodes; Taken and Waiting are the slots in use and the waiting requests that
 	// they reported.
 	Nodes, Taken, Waiting int
-	// Places is the number of slots that are divided.
-	Places int
+	// Slots is the number of slots that are divided.
+	Slots int
 	// Over lists the tenants that want more than their share.
-	Over []Over
+	Over []TenantOverShare
 }
 
-// Over is a tenant that wants more than its share.
-type Over struct {
+// TenantOverShare is a tenant that wants more than its share.
+type TenantOverShare struct {
 	Tenant       ident.Tenant
 	Wants, Share int
 }
@@ -355,7 +355,7 @@
 		if now.After(entry.scarceUntil) || len(entry.over) == 0 {
 			continue
 		}
-		summary := Summary{Service: name, Nodes: len(entry.nodes), Places: int(entry.slots)}
+		summary := Summary{Service: name, Nodes: len(entry.nodes), Slots: int(entry.slots)}
 		for _, node := range entry.nodes {
 			for _, use := range node.uses {
 				summary.Taken += use.Taken
@@ -364,9 +364,9 @@
 		}
 		for _, tenant := range slices.Sorted(maps.Keys(entry.over)) {
 			over := entry.over[tenant]
-			summary.Over = append(summary.Over, Over{Tenant: tenant, Wants: over.wants, Share: int(math.Ceil(over.share))})
+			summary.Over = append(summary.Over, TenantOverShare{Tenant: tenant, Wants: over.wants, Share: int(math.Ceil(over.share))})
 		}
-		slices.SortStableFunc(summary.Over, func(first, second Over) int { return cmp.Compare(second.Wants, first.Wants) })
+		slices.SortStableFunc(summary.Over, func(first, second TenantOverShare) int { return cmp.Compare(second.Wants, first.Wants) })
 		summaries = append(summaries, summary)
 	}
 	return summaries
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -61,10 +61,10 @@
 func (r *reporter) send(slots int, now time.Time, uses ...demand.Use) map[ident.Tenant]int {
 	r.sequence++
 	report := &demand.Report{Node: r.node, Incarnation: 1, Sequence: r.sequence, Uses: uses}
-	r.account.Take(report, now)
+	r.account.Record(report, now)
 	bounds := map[ident.Tenant]int{}
 	for _, bound := range r.account.Bounds(report, fleetOf(slots), now) {
-		bounds[bound.Tenant] = bound.Places
+		bounds[bound.Tenant] = bound.Slots
 	}
 	return bounds
 }
@@ -167,7 +167,7 @@
 func TestNewestReportOfEachNodeCounts(t *testing.T) {
 	account := &fairshare.Account{}
 	take := func(incarnation, sequence int64, taken int) {
-		account.Take(&demand.Report{Node: "a", Incarnation: incarnation, Sequence: sequence, Uses: []demand.Use{use("hot", taken, 5)}}, start)
+		account.Record(&demand.Report{Node: "a", Incarnation: incarnation, Sequence: sequence, Uses: []demand.Use{use("hot", taken, 5)}}, start)
 	}
 	take(2, 2, 10)
 	take(2, 1, 70)
@@ -235,15 +235,15 @@
 // reported by name. A tenant that wants no more slots than its share if all tenants wanted more is not bounded.
 func TestTenantBelowItsPartOfAllIsNeverBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		local := &fairshare.Local{}
-		local.Waited(start)
+		local := &fairshare.LocalUsage{}
+		local.RecordWait(start)
 		total := 0
 		counts := map[ident.Tenant]int{}
 		for index := range rapid.IntRange(2, tenants).Draw(t, "tenants") {
 			counts[tenantName(index)] = rapid.IntRange(0, 30).Draw(t, "taken")
 			total += counts[tenantName(index)]
 			for range counts[tenantName(index)] {
-				local.Took(tenantName(index))
+				local.Acquire(tenantName(index))
 			}
 		}
 		node := reporter{account: &fairshare.Account{}, node: "a"}
@@ -263,16 +263,16 @@
 // the sums are complete.
 func TestUsesNameTheLargestAndAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		local, waiting, taken := &fairshare.Local{}, map[ident.Tenant]int{}, 0
+		local, waiting, taken := &fairshare.LocalUsage{}, map[ident.Tenant]int{}, 0
 		for index := range rapid.IntRange(0, 50).Draw(t, "tenants") {
 			for range rapid.IntRange(0, 5).Draw(t, "taken") {
-				local.Took(tenantName(index))
+				local.Acquire(tenantName(index))
 				taken++
 			}
 			waiting[tenantName(index)] = rapid.IntRange(0, 3).Draw(t, "waiting")
 		}
 		assert.Equal(t, len(local.Uses("s", waiting, nil, start)), 0, "uses are reported while slots are not scarce")
-		local.Waited(start)
+		local.RecordWait(start)
 		uses := local.Uses("s", waiting, nil, start)
 		least, others := math.MaxInt, 0
 		for _, reported := range uses {
@@ -296,19 +296,19 @@
 // any answers of the account holder.
 func TestWithoutTenantsNothingIsReportedAndNothingYields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		local := &fairshare.Local{}
+		local := &fairshare.LocalUsage{}
 		now := start
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				local.Took("")
+				local.Acquire("")
 			case 1:
-				local.Gave("")
+				local.Release("")
 			case 2:
-				local.Waited(now)
+				local.RecordWait(now)
 			case 3:
-				local.Learn([]demand.Bound{{Service: "s", Places: 3}, {Service: "s", Tenant: "a"}}, now)
+				local.ApplyBounds([]demand.Bound{{Service: "s", Slots: 3}, {Service: "s", Tenant: "a"}}, now)
 			}
 			assert.Equal(t, len(local.Uses("s", map[ident.Tenant]int{"": 4}, nil, now)), 0)
 			assert.Assert(t, !local.Yields("", rapid.Bool().Draw(t, "less urgent"), now))
@@ -318,40 +318,40 @@
 
 // TestRequestsBeyondTheBoundYield has a tenant with a bound of two slots, and a less urgent kind of request.
 func TestRequestsBeyondTheBoundYield(t *testing.T) {
-	local := &fairshare.Local{}
-	local.Learn([]demand.Bound{{Service: "s", Places: 10}, {Service: "s", Tenant: "hot", Places: 2}}, start)
-	local.Took("hot")
+	local := &fairshare.LocalUsage{}
+	local.ApplyBounds([]demand.Bound{{Service: "s", Slots: 10}, {Service: "s", Tenant: "hot", Slots: 2}}, start)
+	local.Acquire("hot")
 	assert.Assert(t, !local.Yields("hot", false, start))
-	local.Took("hot")
+	local.Acquire("hot")
 	assert.Assert(t, local.Yields("hot", false, start) && !local.Yields("other", false, start))
 	assert.Assert(t, local.Yields("other", true, start), "a less urgent request does not yield while a tenant is bounded")
-	local.Gave("hot")
+	local.Release("hot")
 	assert.Assert(t, !local.Yields("hot", false, start))
-	local.Took("hot")
+	local.Acquire("hot")
 	assert.Assert(t, !local.Yields("hot", false, start.Add(demand.Lifetime)), "an expired bound counts")
 	assert.Assert(t, !local.Yields("other", true, start.Add(demand.Lifetime)))
 	// An answer that was overtaken changes nothing.
-	local.Learn([]demand.Bound{{Service: "s", Tenant: "hot", Places: 9}}, start.Add(-time.Millisecond))
+	local.ApplyBounds([]demand.Bound{{Service: "s", Tenant: "hot", Slots: 9}}, start.Add(-time.Millisecond))
 	assert.Assert(t, local.Yields("hot", false, start))
 }
 
 // TestTurnsAreInProportionToWeights has three tenants, one with half the weight and one that has received
 // something before.
 func TestTurnsAreInProportionToWeights(t *testing.T) {
-	turns := fairshare.NewTurns(func(tenant ident.Tenant) float64 {
+	turns := fairshare.NewWeightedScheduler(func(tenant ident.Tenant) float64 {
 		if tenant == "half" {
 			return 0.5
 		}
 		return 1
 	})
-	turns.Had("had", 40)
+	turns.Charge("had", 40)
 	var elements []ident.Tenant
 	for range 30 {
 		elements = append(elements, "half", "had", "whole")
 	}
 	self := func(element ident.Tenant) ident.Tenant { return element }
 	counts := map[ident.Tenant]int{}
-	for _, element := range fairshare.InTurn(turns, elements, self, func(ident.Tenant) int { return 10 })[:20] {
+	for _, element := range fairshare.Interleave(turns, elements, self, func(ident.Tenant) int { return 10 })[:20] {
 		counts[element]++
 	}
 	// For its weight, each tenant has received as much as the others, within one turn.
@@ -369,15 +369,15 @@
 	account := &fairshare.Account{}
 	total, answers := 0, 0
 	for index := range nodes {
-		local, waiting := &fairshare.Local{}, map[ident.Tenant]int{}
-		local.Waited(start)
+		local, waiting := &fairshare.LocalUsage{}, map[ident.Tenant]int{}
+		local.RecordWait(start)
 		for range 10 {
 			tenant := ident.Tenant(fmt.Sprintf("tenant-%04d", int(2200*random.Float64()*random.Float64())))
-			local.Took(tenant)
+			local.Acquire(tenant)
 			waiting[tenant] += random.IntN(2)
 		}
 		report := &demand.Report{Node: ident.Node(fmt.Sprint("n", index)), Incarnation: 1, Sequence: 1, Uses: local.Uses("service-07", waiting, nil, start)}
-		account.Take(report, start)
+		account.Record(report, start)
 		reported, err := json.Marshal(report.Uses)
 		assert.NilError(t, err)
 		total += len(reported)
@@ -391,7 +391,7 @@
 	each, answer := total/nodes, answers/nodes
 	// A node has work at a fifth of the workers, so the account holder answers as often as the node reports uses,
 	// plus twice a second.
-	reportsPerSecond := float64(time.Second) / float64(demand.UsesEvery)
+	reportsPerSecond := float64(time.Second) / float64(demand.UsesInterval)
 	perSecond := int(float64(each)*reportsPerSecond + float64(answer)*(reportsPerSecond+2))
 	t.Logf("%d bytes reported, %d answered, %d a second", each, answer, perSecond)
 	assert.Assert(t, perSecond <= most, "%d bytes a second", perSecond)
--- a/internal/fairshare/load_test.go
+++ b/internal/fairshare/load_test.go
@@ -71,8 +71,8 @@
 type node struct {
 	site     *site
 	name     ident.Node
-	line     waitline.Line
-	local    fairshare.Local
+	line     waitline.Queue
+	local    fairshare.LocalUsage
 	waiting  map[ident.Tenant]int
 	own      int
 	others   int
@@ -112,8 +112,8 @@
 		return false
 	}
 	n.own++
-	n.line.Taken()
-	n.local.Took(waiter.Tenant)
+	n.line.SlotTaken()
+	n.local.Acquire(waiter.Tenant)
 	n.site.queue = append(n.site.queue, &call{node: n, waiter: waiter, began: n.site.now})
 	return true
 }
@@ -125,7 +125,7 @@
 	if !n.line.MustWait(waiter) && n.admit(waiter) {
 		return
 	}
-	n.local.Waited(now)
+	n.local.RecordWait(now)
 	if !n.line.Join(waiter, now) {
 		return
 	}
@@ -138,12 +138,12 @@
 		return
 	}
 	for waiter := n.line.Next(); waiter != nil; waiter = n.line.Next() {
-		n.local.Waited(n.site.now)
+		n.local.RecordWait(n.site.now)
 		if !n.admit(waiter) {
-			n.line.Again(waiter)
+			n.line.PutBack(waiter)
 			return
 		}
-		n.line.Served(waiter, n.site.now)
+		n.line.RecordWait(waiter, n.site.now)
 		n.waiting[waiter.Tenant]--
 		if n.local.Yields(waiter.Tenant, false, n.site.now) {
 			if extra--; extra <= 0 {
@@ -180,8 +180,8 @@
 			continue
 		}
 		one.node.own--
-		one.node.line.Freed(runTime, s.now)
-		one.node.local.Gave(one.waiter.Tenant)
+		one.node.line.SlotFreed(runTime, s.now)
+		one.node.local.Release(one.waiter.Tenant)
 		freed = append(freed, one.node)
 	}
 	s.running = remaining
@@ -197,7 +197,7 @@
 			one.send()
 		}
 		if (since+one.phase)%retryInterval == 0 {
-			one.retry(one.line.Extra())
+			one.retry(one.line.ExtraYielding())
 		}
 	}
 	s.start()
@@ -232,14 +232,14 @@
 	}
 	n.sequence++
 	report := &demand.Report{Node: n.name, Incarnation: 1, Sequence: n.sequence}
-	if n.site.now.Sub(n.usesAt) >= demand.UsesEvery {
+	if n.site.now.Sub(n.usesAt) >= demand.UsesInterval {
 		report.Uses = n.local.Uses("s", n.waiting, n.queuedAtRunners(), n.site.now)
 		if len(report.Uses) > 0 {
 			n.usesAt = n.site.now
 		}
 	}
-	account.Take(report, n.site.now)
-	n.local.Learn(account.Bounds(report, n.site.fleet, n.site.now), n.site.now)
+	account.Record(report, n.site.now)
+	n.local.ApplyBounds(account.Bounds(report, n.site.fleet, n.site.now), n.site.now)
 }
 
 // queuedAtRunners counts the requests of the node that have waited at runners for longer than the first event of an
@@ -249,7 +249,7 @@
 	for _, one := range n.site.queue {
 		if one.node == n && n.site.now.Sub(one.began) > objective/4 {
 			counts[one.waiter.Tenant]++
-			n.local.Waited(n.site.now)
+			n.local.RecordWait(n.site.now)
 		}
 	}
 	return counts
--- a/internal/fairshare/local.go
+++ b/internal/fairshare/local.go
@@ -15,9 +15,9 @@
 	maxReportedTenants = 6
 )
 
-// Local is a node's use of the slots of one service, by tenant, and the bounds that the account holder set. The
+// LocalUsage is a node's use of the slots of one service, by tenant, and the bounds that the account holder set. The
 // zero Local is empty.
-type Local struct {
+type LocalUsage struct {
 	// taken is the number of slots in use.
 	taken map[ident.Tenant]int
 	// bounds holds the bounds by tenant, each with its expiry.
@@ -32,8 +32,8 @@
 	until time.Time
 }
 
-// Took records that a request of a tenant got a slot.
-func (l *Local) Took(tenant ident.Tenant) {
+// Acquire records that a request of a tenant got a slot.
+func (l *LocalUsage) Acquire(tenant ident.Tenant) {
 	if tenant == "" {
 		return
 	}
@@ -43,8 +43,8 @@
 	l.taken[tenant]++
 }
 
-// Gave records that a request of a tenant released its slot.
-func (l *Local) Gave(tenant ident.Tenant) {
+// Release records that a request of a tenant released its slot.
+func (l *LocalUsage) Release(tenant ident.Tenant) {
 	if l.taken[tenant] <= 1 {
 		delete(l.taken, tenant)
 		return
@@ -52,13 +52,13 @@
 	l.taken[tenant]--
 }
 
-// Waited records that a request had to wait.
-func (l *Local) Waited(now time.Time) { l.lastWait = now }
+// RecordWait records that a request had to wait.
+func (l *LocalUsage) RecordWait(now time.Time) { l.lastWait = now }
 
 // Yields reports whether a request may only use slots that no other request wants: its tenant uses as many slots
 // at this node as its bound, or some tenant is bounded and the request is of a less urgent kind than others of the
 // service.
-func (l *Local) Yields(tenant ident.Tenant, lessUrgent bool, now time.Time) bool {
+func (l *LocalUsage) Yields(tenant ident.Tenant, lessUrgent bool, now time.Time) bool {
 	if tenant == "" {
 		return false
 	}
@@ -70,14 +70,14 @@
 }
 
 // Bounded reports whether a tenant has a bound here.
-func (l *Local) Bounded(tenant ident.Tenant, now time.Time) bool {
+func (l *LocalUsage) Bounded(tenant ident.Tenant, now time.Time) bool {
 	bound, bounded := l.bounds[tenant]
 	return bounded && now.Before(bound.until)
 }
 
-// Learn applies the account holder's bounds for the service, as of the given time. Tenants that are not listed
+// ApplyBounds applies the account holder's bounds for the service, as of the given time. Tenants that are not listed
 // keep their bound until it expires.
-func (l *Local) Learn(received []demand.Bound, asOf time.Time) {
+func (l *LocalUsage) ApplyBounds(received []demand.Bound, asOf time.Time) {
 	until := asOf.Add(demand.Lifetime)
 	for _, update := range received {
 		if update.Tenant != "" {
@@ -85,14 +85,14 @@
 				l.bounds = map[ident.Tenant]bound{}
 			}
 			if until.After(l.bounds[update.Tenant].until) {
-				l.bounds[update.Tenant] = bound{slots: max(update.Places, 0), until: until}
+				l.bounds[update.Tenant] = bound{slots: max(update.Slots, 0), until: until}
 			}
 			continue
 		}
 		if until.After(l.scarceUntil) {
 			l.scarceUntil = until
 		}
-		if update.Places > 0 && until.After(l.boundedUntil) {
+		if update.Slots > 0 && until.After(l.boundedUntil) {
 			l.boundedUntil = until
 		}
 	}
@@ -105,14 +105,14 @@
 
 // Scarce reports whether uses have to be reported to the account holder: requests had to wait here within
 // scarcityPeriod, or the account holder reported that they wait elsewhere.
-func (l *Local) Scarce(now time.Time) bool {
+func (l *LocalUsage) Scarce(now time.Time) bool {
 	return now.Sub(l.lastWait) <= scarcityPeriod || now.Before(l.scarceUntil)
 }
 
 // Uses returns the uses to report to the account holder. waiting counts the requests without a slot by tenant,
 // queued those that have a slot but wait in a runner's queue; the latter are reported as waiting. Uses returns
 // nothing while slots are not scarce, or if no tenant has requests.
-func (l *Local) Uses(service string, waiting, queued map[ident.Tenant]int, now time.Time) []demand.Use {
+func (l *LocalUsage) Uses(service string, waiting, queued map[ident.Tenant]int, now time.Time) []demand.Use {
 	if !l.Scarce(now) {
 		return nil
 	}
--- a/internal/fairshare/turns.go
+++ b/internal/fairshare/turns.go
@@ -6,31 +6,31 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Turns schedules tenants so that what they receive stays in proportion to their weights: the next one is the
+// WeightedScheduler schedules tenants so that what they receive stays in proportion to their weights: the next one is the
 // tenant that has received the least for its weight. Amounts recorded before the first turn count too.
-type Turns struct {
+type WeightedScheduler struct {
 	weight   func(ident.Tenant) float64
 	consumed map[ident.Tenant]float64
 }
 
-// NewTurns returns a Turns in which no tenant has received anything.
-func NewTurns(weight func(ident.Tenant) float64) *Turns {
-	return &Turns{weight: weight, consumed: map[ident.Tenant]float64{}}
+// NewWeightedScheduler returns a Turns in which no tenant has received anything.
+func NewWeightedScheduler(weight func(ident.Tenant) float64) *WeightedScheduler {
+	return &WeightedScheduler{weight: weight, consumed: map[ident.Tenant]float64{}}
 }
 
-// Had adds to the amount that a tenant has received.
-func (t *Turns) Had(tenant ident.Tenant, amount int) {
+// Charge adds to the amount that a tenant has received.
+func (t *WeightedScheduler) Charge(tenant ident.Tenant, amount int) {
 	t.consumed[tenant] += float64(max(amount, 1)) / t.weight(tenant)
 }
 
 // Compare orders two tenants by their next turn.
-func (t *Turns) Compare(first, second ident.Tenant) int {
+func (t *WeightedScheduler) Compare(first, second ident.Tenant) int {
 	return cmp.Or(cmp.Compare(t.consumed[first], t.consumed[second]), cmp.Compare(first, second))
 }
 
-// InTurn returns elements in the order of their tenants' turns; those of one tenant keep the given order. amount
+// Interleave returns elements in the order of their tenants' turns; those of one tenant keep the given order. amount
 // returns the cost of an element. If there is only one tenant, InTurn returns the given order and records nothing.
-func InTurn[T any](turns *Turns, elements []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
+func Interleave[T any](turns *WeightedScheduler, elements []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
 	byTenant := map[ident.Tenant][]T{}
 	var tenants []ident.Tenant
 	for _, element := range elements {
@@ -54,7 +54,7 @@
 		name := tenants[next]
 		element := byTenant[name][0]
 		ordered = append(ordered, element)
-		turns.Had(name, amount(element))
+		turns.Charge(name, amount(element))
 		if byTenant[name] = byTenant[name][1:]; len(byTenant[name]) == 0 {
 			tenants = append(tenants[:next], tenants[next+1:]...)
 		}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -264,10 +264,10 @@
 		event.RunnersChanged.Log(f.Logger).Int("added", len(change.Added)).Int("removed", len(change.Removed)).Int("listed", listed).
 			Dur("used_missing_ms", change.LongestMissing).Send()
 	}
-	if kept := len(change.Kept); kept != f.kept && kept > 0 {
-		event.RunnersKept.Log(f.Logger).Int("kept", len(change.Kept)).Int("listed", listed).Dur("unread_ms", unread).Send()
+	if kept := len(change.Retained); kept != f.kept && kept > 0 {
+		event.RunnersKept.Log(f.Logger).Int("kept", len(change.Retained)).Int("listed", listed).Dur("unread_ms", unread).Send()
 	}
-	f.kept = len(change.Kept)
+	f.kept = len(change.Retained)
 }
 
 // markRegistryLost records that the list could not be read, and logs it the first time.
--- a/internal/follower/simulation_test.go
+++ b/internal/follower/simulation_test.go
@@ -365,11 +365,11 @@
 	if _, known := table.Runner(runnerOf(i)); p.idle && i != 0 {
 		return known
 	}
-	flight, err := table.StartAt(runnerOf(i), runnertable.Wish{Service: "s"}, now)
+	flight, err := table.StartAt(runnerOf(i), runnertable.PickRequest{Service: "s"}, now)
 	if err != nil {
 		return false
 	}
-	flight.Began(now)
+	flight.EventReceived(now)
 	flight.End()
 	return true
 }
--- a/internal/handoff/deliver.go
+++ b/internal/handoff/deliver.go
@@ -38,13 +38,13 @@
 	// Lifetime is how long after its acceptance a job may still be delivered. The store forgets a job later than that,
 	// and must not accept a job again that it has forgotten.
 	Lifetime time.Duration
-	// Taken reports whether a job is known to be in the store without calling it; nil means that no job is known to be.
-	Taken  func(job ident.Job) bool
-	Logger zerolog.Logger
-	Now    func() time.Time
-	// Held accounts for the memory of the entry being delivered; nil accounts for nothing. It does not refuse an entry: a
+	// KnownAccepted reports whether a job is known to be in the store without calling it; nil means that no job is known to be.
+	KnownAccepted func(job ident.Job) bool
+	Logger        zerolog.Logger
+	Now           func() time.Time
+	// MemoryBudget accounts for the memory of the entry being delivered; nil accounts for nothing. It does not refuse an entry: a
 	// job that was accepted must reach the store.
-	Held *heldbytes.OfNode
+	MemoryBudget *heldbytes.OfNode
 
 	mutex sync.Mutex
 	// rounds counts for each entry the rounds since it was added or since the last failed call, whichever was later: an
@@ -120,7 +120,7 @@
 // deliver delivers one job. An entry that can no longer be delivered is removed, so that it does not block others.
 func (d *Deliverer) deliver(ctx context.Context, summary Summary) error {
 	job := summary.Job
-	if d.Taken != nil && d.Taken(job) {
+	if d.KnownAccepted != nil && d.KnownAccepted(job) {
 		d.drop(summary, "the store is known to have it")
 		return nil
 	}
@@ -134,7 +134,7 @@
 		d.drop(summary, "the store has it")
 		return nil
 	}
-	counted := d.Held.Open(heldbytes.Submission, heldbytes.Whose{Tenant: summary.Tenant})
+	counted := d.MemoryBudget.Open(heldbytes.Submission, heldbytes.Whose{Tenant: summary.Tenant})
 	counted.Set(summary.bytes)
 	defer counted.Release()
 	entry, err := d.Log.Load(job)
--- a/internal/handoff/entry.go
+++ b/internal/handoff/entry.go
@@ -25,8 +25,8 @@
 	ErrDisk = failure.Kind("handoff: disk failed")
 	// ErrDamaged means that a file is not a complete entry. It was never acknowledged.
 	ErrDamaged = failure.Kind("handoff: damaged entry")
-	// ErrNobodyAnswers means that none of the workers that were asked to store a job answered within the time limit.
-	ErrNobodyAnswers = failure.Kind("handoff: no worker answers")
+	// ErrNoAnswer means that none of the workers that were asked to store a job answered within the time limit.
+	ErrNoAnswer = failure.Kind("handoff: no worker answers")
 )
 
 // Entry is an accepted job that has yet to be delivered to the store.
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, taken, int64(0))
 	budget.Open(heldbytes.Job, heldbytes.Whose{}).Set(all)
 	store := &countedStore{Store: d.records, budget: budget}
-	d.Store, d.Held = store, budget
+	d.Store, d.MemoryBudget = store, budget
 
 	submission := &jobrecord.Submission{ID: "large", Route: "r", Host: "h", Zone: "z"}
 	for _, item := range []ident.Request{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"} {
--- a/internal/handoff/log_test.go
+++ b/internal/handoff/log_test.go
@@ -157,7 +157,7 @@
 	taken := map[ident.Job]bool{}
 	for turn, calls := range []int{2, 0, 0, 0} {
 		worker := newDelivery(t, data)
-		worker.Taken = func(job ident.Job) bool { return taken[job] }
+		worker.KnownAccepted = func(job ident.Job) bool { return taken[job] }
 		assert.NilError(t, worker.Log.Put(entry("a", turn)))
 		for range turn + 1 {
 			assert.Assert(t, worker.Log.Has("a"))
@@ -168,7 +168,7 @@
 		taken["a"] = true
 	}
 	unaware := newDelivery(t, data)
-	unaware.Taken = func(ident.Job) bool { return false }
+	unaware.KnownAccepted = func(ident.Job) bool { return false }
 	assert.NilError(t, unaware.Log.Put(entry("a", 0)))
 	unaware.Round(ctx)
 	assert.Assert(t, !unaware.Log.Has("a"))
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -21,7 +21,7 @@
 // soon, workers are asked to store the job on their disks as well, and the first of the two to succeed decides. Both may
 // succeed: the store accepts a job only once.
 type acceptance struct {
-	desk       *Desk
+	desk       *Intake
 	route      *work.Route
 	submission *jobrecord.Submission
 	// attemptID distinguishes this acceptance from others of the same job. reservation is the queue capacity reserved for
@@ -72,16 +72,16 @@
 
 // reserve asks for queue capacity for the job until the answer is known. It returns false if there is none.
 func (a *acceptance) reserve(ctx context.Context) bool {
-	if a.admitted() || a.desk.Holders == nil {
+	if a.admitted() || a.desk.Workers == nil {
 		return true
 	}
 	a.requestReservation(ctx)
 	count := a.reservation.Count
 	switch a.reservation.Verdict {
-	case queueroom.Unheard:
+	case queueroom.NoAnswer:
 		a.recordFailure(failure.New(failure.CodeShardUnavailable, "no worker tells what waits on the route").WithRetryAfter(retryAfter))
 		return false
-	case queueroom.Unsure:
+	case queueroom.Uncertain:
 		event.JobUnaccounted.Log(a.desk.Logger).Str("job", string(a.submission.ID)).Int("answers", count.Answers).Int("sure", count.Sure).Send()
 	case queueroom.Full:
 		return a.refuse(ctx)
@@ -101,8 +101,8 @@
 func (a *acceptance) requestReservation(ctx context.Context) {
 	end := a.desk.now().Add(reserveRetryPeriod)
 	for {
-		a.reservation = a.desk.Holders.Reserve(ctx, a.route, a.submission, a.attemptID)
-		if a.reservation.Verdict != queueroom.Unheard || !a.desk.now().Before(end) || !pause(ctx, reserveRetryInterval) {
+		a.reservation = a.desk.Workers.Reserve(ctx, a.route, a.submission, a.attemptID)
+		if a.reservation.Verdict != queueroom.NoAnswer || !a.desk.now().Before(end) || !pause(ctx, reserveRetryInterval) {
 			return
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	a.recordFailure(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait",
 		count.Waiting, tokens, bound).
-		WithRetryAfter(queueroom.ReturnAfter(count, tokens, bound, rand.Float64())))
+		WithRetryAfter(queueroom.RetryAfter(count, tokens, bound, rand.Float64())))
 	return false
 }
 
@@ -153,7 +153,7 @@
 
 // accountUnsure reports whether the route has an account that too few account holders are sure of.
 func (a *acceptance) accountUnsure() bool {
-	return a.reservation != nil && a.reservation.Verdict == queueroom.Unsure
+	return a.reservation != nil && a.reservation.Verdict == queueroom.Uncertain
 }
 
 // storeLimit is the number of tokens that may be queued by the store's count.
@@ -202,7 +202,7 @@
 	})
 	hedge := time.NewTimer(a.desk.hedgeDelay(a.submission))
 	defer hedge.Stop()
-	for inFlight, workersAsked := 1, a.desk.Holders == nil; inFlight > 0; {
+	for inFlight, workersAsked := 1, a.desk.Workers == nil; inFlight > 0; {
 		select {
 		case <-hedge.C:
 		case result := <-results:
@@ -212,7 +212,7 @@
 				return true
 			}
 			a.recordFailure(result.err)
-			a.noAnswer = a.noAnswer || result.handedOff && errors.Is(result.err, handoff.ErrNobodyAnswers)
+			a.noAnswer = a.noAnswer || result.handedOff && errors.Is(result.err, handoff.ErrNoAnswer)
 			if errors.Is(result.err, jobrecord.ErrRaced) {
 				// The store answers: the next try counts again.
 				a.noAnswer = false
@@ -228,7 +228,7 @@
 			a.submission.Hold()
 			new(tomb.Tomb).Go(func() error {
 				defer a.submission.LetGo()
-				results <- attemptResult{handedOff: true, err: a.desk.Holders.Keep(ctx, a.holderLimit(), a.submission)}
+				results <- attemptResult{handedOff: true, err: a.desk.Workers.StoreHandoff(ctx, a.holderLimit(), a.submission)}
 				return nil
 			})
 		}
@@ -259,7 +259,7 @@
 
 // hedgeDelay is how long to wait for the store before workers are asked. It is longer for a job that takes long to send,
 // because copies of it would use the same link.
-func (d *Desk) hedgeDelay(submission *jobrecord.Submission) time.Duration {
+func (d *Intake) hedgeDelay(submission *jobrecord.Submission) time.Duration {
 	if d.suspectsStore() {
 		return 0
 	}
--- a/internal/jobentry/acceptance_test.go
+++ b/internal/jobentry/acceptance_test.go
@@ -61,7 +61,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.attempts = append(h.attempts, attempt)
-	reservation := queueroom.Reservation{Verdict: queueroom.Unkept}
+	reservation := queueroom.Reservation{Verdict: queueroom.Unsupported}
 	if h.reservation != nil {
 		reservation = *h.reservation
 	}
@@ -100,13 +100,13 @@
 }
 
 // newDesk returns a desk with a store and workers.
-func newDesk(holders *fakeHolders) (*jobentry.Desk, *kvtest.Paged) {
+func newDesk(holders *fakeHolders) (*jobentry.Intake, *kvtest.Paged) {
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: time.Now}
-	return &jobentry.Desk{Records: records, Holders: holders, Logger: zerolog.Nop()}, store
+	return &jobentry.Intake{Records: records, Workers: holders, Logger: zerolog.Nop()}, store
 }
 
-func submit(desk *jobentry.Desk, job string, tokens int) error {
+func submit(desk *jobentry.Intake, job string, tokens int) error {
 	submission := &jobrecord.Submission{ID: ident.Job(job), Route: "r", Host: "h", Zone: "z", Items: []work.Item{
 		{ID: ident.Request(job + "-0"), Path: "/p/x", Tokens: tokens, Body: []byte("b")},
 	}}
@@ -171,7 +171,7 @@
 // own count, less what the holders know of and a reserve, and workers accept it on their disks by their own count, for
 // which they are given the limit. If no account holder answers, nothing is accepted.
 func TestUnsureAccountFallsBackToOtherCounts(t *testing.T) {
-	holders := &fakeHolders{reservation: &queueroom.Reservation{Verdict: queueroom.Unsure, Count: queueroom.Count{Answers: 1, Unlisted: 30}}}
+	holders := &fakeHolders{reservation: &queueroom.Reservation{Verdict: queueroom.Uncertain, Count: queueroom.Count{Answers: 1, Unlisted: 30}}}
 	desk, store := newDesk(holders)
 	assert.NilError(t, submit(desk, "a", 50))
 	assert.Equal(t, mustRefuse(t, submit(desk, "b", 10)).Code, failure.CodeJobQuota)
@@ -180,7 +180,7 @@
 	assert.NilError(t, submit(desk, "c", 1))
 	assert.Equal(t, holders.keepBound, bound)
 	store.SetFaults(kvtest.PagedFaults{})
-	holders.reservation.Verdict = queueroom.Unheard
+	holders.reservation.Verdict = queueroom.NoAnswer
 	refused := mustRefuse(t, submit(desk, "d", 1))
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
 	assert.Assert(t, refused.RetryAfter > 0)
@@ -237,7 +237,7 @@
 // TestUnreachableNodeRefusesAtOnce has neither the store nor a worker answer: the caller is refused after one try, in
 // which the job may have been accepted, and can go to another node.
 func TestUnreachableNodeRefusesAtOnce(t *testing.T) {
-	silent := fmt.Errorf("%w: 3 asked", handoff.ErrNobodyAnswers)
+	silent := fmt.Errorf("%w: 3 asked", handoff.ErrNoAnswer)
 	holders := &fakeHolders{keepErr: failure.New(failure.CodeOutcomeUnknown, "none").WithOutcome(outcome.Unknown).WithCause(silent)}
 	desk, store := newDesk(holders)
 	store.SetFaults(kvtest.PagedFaults{Down: true})
@@ -326,7 +326,7 @@
 // write: each job fits alone, but not both.
 func TestQueueLimitHoldsForConcurrentJobs(t *testing.T) {
 	first, store := newDesk(&fakeHolders{})
-	second := &jobentry.Desk{Records: first.Records, Holders: &fakeHolders{}, Logger: zerolog.Nop()}
+	second := &jobentry.Intake{Records: first.Records, Workers: &fakeHolders{}, Logger: zerolog.Nop()}
 	racing := &racingStore{Paged: store, before: func() { assert.NilError(t, submit(second, "b", bound*6/10)) }}
 	records := *first.Records
 	records.Store = racing
@@ -345,9 +345,9 @@
 func TestNodeThatIsCutOffRefusesAtOnce(t *testing.T) {
 	holders := &fakeHolders{}
 	desk, _ := newDesk(holders)
-	desk.Heard = &reach.Watch{}
+	desk.Reachability = &reach.Watch{}
 	for range 3 {
-		desk.Heard.Failed(time.Now().Add(-2 * time.Second))
+		desk.Reachability.Failed(time.Now().Add(-2 * time.Second))
 	}
 	refused := mustRefuse(t, submit(desk, "a", 10))
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
@@ -358,7 +358,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, !exists, "a job that was refused as not run was written")
 
-	desk.Heard.Answered()
+	desk.Reachability.Answered()
 	assert.NilError(t, submit(desk, "a", 10))
 }
 
@@ -370,9 +370,9 @@
 	assert.NilError(t, submit(desk, "a", 10))
 	_, err := desk.Results(context.Background(), "", "a", 0, 0)
 	assert.NilError(t, err)
-	desk.Heard = &reach.Watch{}
+	desk.Reachability = &reach.Watch{}
 	for range 3 {
-		desk.Heard.Failed(time.Now().Add(-2 * time.Second))
+		desk.Reachability.Failed(time.Now().Add(-2 * time.Second))
 	}
 	_, unread := desk.Results(context.Background(), "", "a", 0, 0)
 	_, noBody := desk.Body(context.Background(), "", "a", "a-0")
@@ -381,13 +381,13 @@
 		assert.Equal(t, refused.Code, failure.CodeShardUnavailable)
 		assert.Assert(t, refused.RetryAfter > 0 && refused.RetryAfter <= 100*time.Millisecond)
 	}
-	desk.Heard.Answered()
+	desk.Reachability.Answered()
 	_, err = desk.Results(context.Background(), "", "a", 0, 0)
 	assert.NilError(t, err)
 }
 
 // submitOf submits a job of a tenant.
-func submitOf(desk *jobentry.Desk, tenant ident.Tenant, job string, tokens int) error {
+func submitOf(desk *jobentry.Intake, tenant ident.Tenant, job string, tokens int) error {
 	submission := &jobrecord.Submission{ID: ident.Job(job), Route: "r", Host: "h", Zone: "z", Tenant: tenant, Items: []work.Item{
 		{ID: ident.Request(job + "-0"), Path: "/p/x", Tokens: tokens, Body: []byte("b")},
 	}}
@@ -444,7 +444,7 @@
 
 func (h *blockingHolders) Keep(context.Context, int, *jobrecord.Submission) error {
 	<-h.unblock
-	return handoff.ErrNobodyAnswers
+	return handoff.ErrNoAnswer
 }
 
 // TestItemsAreHeldUntilTheLastCallWithThemEnds has the store accept a job while workers are still being asked to store
@@ -456,7 +456,7 @@
 	assert.NilError(t, submit(desk, "a", 10))
 	store.SetFaults(kvtest.PagedFaults{})
 	blocking := &blockingHolders{fakeHolders: holders, unblock: make(chan struct{})}
-	desk.Holders = blocking
+	desk.Workers = blocking
 	released := make(chan struct{})
 	// The store is suspected, so that the workers are asked at once.
 	submission := &jobrecord.Submission{
--- a/internal/jobentry/assign.go
+++ b/internal/jobentry/assign.go
@@ -22,9 +22,9 @@
 
 // put writes a job, guarded by an admission unless it is nil. If a worker could start the job at once, the job is claimed
 // for that worker in the same write: no worker has to find it, and no two call the store for it.
-func (d *Desk) put(ctx context.Context, submission *jobrecord.Submission, admission *jobrecord.Admission) error {
-	if d.Holders != nil {
-		if assignee, found := d.Holders.Assignee(len(submission.Items)); found {
+func (d *Intake) put(ctx context.Context, submission *jobrecord.Submission, admission *jobrecord.Admission) error {
+	if d.Workers != nil {
+		if assignee, found := d.Workers.Assignee(len(submission.Items)); found {
 			assigned, err := d.Records.AcceptFor(ctx, submission, admission, assignee)
 			if assigned != nil {
 				d.assign(assignee, *assigned)
@@ -43,12 +43,12 @@
 
 // assign sends the job to the worker in the background. If the worker does not run it, the claim is released for the
 // others.
-func (d *Desk) assign(assignee jobrecord.Assignee, assigned jobrecord.Assigned) {
+func (d *Intake) assign(assignee jobrecord.Assignee, assigned jobrecord.Assigned) {
 	// The call has its own tomb: it outlives the request.
 	new(tomb.Tomb).Go(func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), assignTimeout)
 		defer cancel()
-		if d.Holders.Assign(ctx, assignee, assigned) {
+		if d.Workers.Assign(ctx, assignee, assigned) {
 			return nil
 		}
 		event.JobNotAssigned.Log(d.Logger).Str("job", string(assigned.Open.ID)).Str("worker", string(assignee.Node)).Send()
@@ -58,7 +58,7 @@
 }
 
 // release releases a claim.
-func (d *Desk) release(claim jobrecord.Claim) {
+func (d *Intake) release(claim jobrecord.Claim) {
 	for range releaseTries {
 		ctx, cancel := context.WithTimeout(context.Background(), assignTimeout)
 		err := d.Records.Release(ctx, claim)
--- a/internal/jobentry/desk.go
+++ b/internal/jobentry/desk.go
@@ -54,17 +54,17 @@
 	resultOverhead = 128
 )
 
-// Holders are the workers as a front sees them: those that run a job and answer from memory, those that account for
+// Workers are the workers as a front sees them: those that run a job and answer from memory, those that account for
 // queued tokens, and those that store a job on disk until the store accepts it.
-type Holders interface {
+type Workers interface {
 	// Results returns results from a position on. sure is false if no worker answered for certain.
 	Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool)
 	// Reserve asks for queue capacity for a job beside everything that waits on the route. attempt identifies the attempt
 	// to accept the job; an attempt may ask again.
 	Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation
-	// Keep asks workers to store a job on disk until the store accepts it. bound is the number of tokens that may be
+	// StoreHandoff asks workers to store a job on disk until the store accepts it. bound is the number of tokens that may be
 	// queued by their own count; zero turns that check off. The error is a *failure.Error.
-	Keep(ctx context.Context, bound int, submission *jobrecord.Submission) error
+	StoreHandoff(ctx context.Context, bound int, submission *jobrecord.Submission) error
 	// Pending reports whether a worker stores a job that the store may not have yet; sure is false if a worker that may
 	// have it did not answer.
 	Pending(ctx context.Context, job ident.Job) (pending, sure bool)
@@ -76,17 +76,17 @@
 	Body(ctx context.Context, job ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool)
 }
 
-// Desk accepts, reads and ends jobs. It is safe for concurrent use.
-type Desk struct {
+// Intake accepts, reads and ends jobs. It is safe for concurrent use.
+type Intake struct {
 	Records *jobrecord.Records
-	// Holders answers reads from the memory of the worker that runs the job, if it is sure, and stores jobs on disk while
+	// Workers answers reads from the memory of the worker that runs the job, if it is sure, and stores jobs on disk while
 	// the store does not answer; nil uses the records alone.
-	Holders Holders
+	Workers Workers
 	// LinkBytes is the bandwidth of the node's link in bytes per second; zero means unknown.
 	LinkBytes float64
-	// Heard records whether other processes answer this node; nil disables the check.
-	Heard  *reach.Watch
-	Logger zerolog.Logger
+	// Reachability records whether other processes answer this node; nil disables the check.
+	Reachability *reach.Watch
+	Logger       zerolog.Logger
 
 	// Now is the monotonic clock; nil uses the machine's.
 	Now func() time.Time
@@ -99,7 +99,7 @@
 
 // Accept makes a job durable. A nil error means that it is, now or since an earlier submission. The error is a
 // *failure.Error; its outcome is NotRun only if the job was not written and never will be.
-func (d *Desk) Accept(ctx context.Context, route *work.Route, submission *jobrecord.Submission) error {
+func (d *Intake) Accept(ctx context.Context, route *work.Route, submission *jobrecord.Submission) error {
 	attempt := &acceptance{
 		desk: d, route: route, submission: submission, attemptID: strconv.FormatUint(rand.Uint64(), 36), jobOutcome: outcome.NotRun,
 	}
@@ -123,31 +123,31 @@
 const ErrUnreachable = failure.Kind("job entry: nobody answers this node")
 
 // unreachable reports whether this node can neither accept nor read jobs.
-func (d *Desk) unreachable() bool { return d.Heard.Deaf(d.now()) }
+func (d *Intake) unreachable() bool { return d.Reachability.Deaf(d.now()) }
 
 // refuseUnreachable refuses a job without sending it anywhere: another node can accept it now, while this one would hold
 // it until the caller gave up.
-func (d *Desk) refuseUnreachable(submission *jobrecord.Submission) *failure.Error {
+func (d *Intake) refuseUnreachable(submission *jobrecord.Submission) *failure.Error {
 	refused := failure.New(failure.CodeShardUnavailable, "this node reaches nobody who could take the job").
 		WithRetryAfter(unreachableRetryAfter).WithCause(ErrUnreachable)
 	event.JobRefused.Log(d.Logger).Str("job", string(submission.ID)).Str("not_run", refused.Outcome.String()).Err(ErrUnreachable).Send()
 	return refused
 }
 
-func (d *Desk) now() time.Time {
+func (d *Intake) now() time.Time {
 	if d.Now == nil {
 		return clock.Now()
 	}
 	return d.Now()
 }
 
-func (d *Desk) suspectsStore() bool {
+func (d *Intake) suspectsStore() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.now().Before(d.suspectedUntil)
 }
 
-func (d *Desk) suspectStore() {
+func (d *Intake) suspectStore() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.suspectedUntil = d.now().Add(suspectPeriod)
@@ -170,7 +170,7 @@
 }
 
 // accept makes one try at the store. It returns the number of tokens already queued.
-func (d *Desk) accept(ctx context.Context, attempt *acceptance) (int, error) {
+func (d *Intake) accept(ctx context.Context, attempt *acceptance) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	waiting, err := d.write(ctx, attempt)
@@ -189,7 +189,7 @@
 // write writes a job. If its capacity is reserved, it is written as is. Otherwise the queued tokens are counted in the
 // store, and if the queue may become full, the write is guarded by an admission: it fails if another job was accepted
 // since the count.
-func (d *Desk) write(ctx context.Context, attempt *acceptance) (int, error) {
+func (d *Intake) write(ctx context.Context, attempt *acceptance) (int, error) {
 	submission := attempt.submission
 	if attempt.admitted() {
 		return attempt.reservedWaitingTokens(), d.put(ctx, submission, nil)
@@ -213,7 +213,7 @@
 }
 
 // exists reports whether the store is known to have a job.
-func (d *Desk) exists(ctx context.Context, job ident.Job) bool {
+func (d *Intake) exists(ctx context.Context, job ident.Job) bool {
 	if d.suspectsStore() {
 		return false
 	}
@@ -232,7 +232,7 @@
 
 // checkQuota counts the route's queued tokens in the store and refuses a job that does not fit. A job that was accepted
 // before is not refused.
-func (d *Desk) checkQuota(ctx context.Context, bound int, submission *jobrecord.Submission) (int, error) {
+func (d *Intake) checkQuota(ctx context.Context, bound int, submission *jobrecord.Submission) (int, error) {
 	tokens := submission.Tokens()
 	waiting, err := d.Records.WaitingTokens(ctx, submission.Queue(), bound-tokens)
 	if err != nil {
--- a/internal/jobentry/read.go
+++ b/internal/jobentry/read.go
@@ -26,13 +26,13 @@
 
 // Results reads results of a tenant's job from a position on. If there are none, it waits for the next one, for wait at
 // most. The error is a *failure.Error.
-func (d *Desk) Results(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
+func (d *Intake) Results(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
 	wait = min(wait, maxWait)
 	if d.unreachable() {
 		return Listing{}, d.readFailure(job, ErrUnreachable)
 	}
-	if d.Holders != nil {
-		if held, sure := d.Holders.Results(ctx, job, from, wait); sure {
+	if d.Workers != nil {
+		if held, sure := d.Workers.Results(ctx, job, from, wait); sure {
 			if err := d.checkTenant(ctx, tenant, held.Tenant, job); err != nil {
 				return Listing{}, d.readFailure(job, err)
 			}
@@ -44,7 +44,7 @@
 
 // checkTenant returns nil if a tenant may read a job, given the tenant that the worker holding the job reported. A worker
 // that reported no tenant may be of an older build: then the records decide.
-func (d *Desk) checkTenant(ctx context.Context, tenant, holder ident.Tenant, job ident.Job) error {
+func (d *Intake) checkTenant(ctx context.Context, tenant, holder ident.Tenant, job ident.Job) error {
 	if holder == tenant {
 		return nil
 	}
@@ -56,7 +56,7 @@
 }
 
 // headerFor returns the header of a tenant's job. For other tenants the job does not exist.
-func (d *Desk) headerFor(ctx context.Context, tenant ident.Tenant, job ident.Job) (*jobrecord.Header, error) {
+func (d *Intake) headerFor(ctx context.Context, tenant ident.Tenant, job ident.Job) (*jobrecord.Header, error) {
 	header, err := d.header(ctx, job)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 }
 
 // recordedResults reads results from the records.
-func (d *Desk) recordedResults(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
+func (d *Intake) recordedResults(ctx context.Context, tenant ident.Tenant, job ident.Job, from int, wait time.Duration) (Listing, error) {
 	read, err := d.list(ctx, tenant, job, from)
 	if err != nil {
 		return Listing{}, d.readFailure(job, err)
@@ -83,7 +83,7 @@
 
 // list reads results of a tenant's job. If the results do not contain the job's total and tenant, they are read from its
 // header.
-func (d *Desk) list(ctx context.Context, tenant ident.Tenant, job ident.Job, from int) (jobrecord.Listing, error) {
+func (d *Intake) list(ctx context.Context, tenant ident.Tenant, job ident.Job, from int) (jobrecord.Listing, error) {
 	cachedHeader := d.cachedHeader(job)
 	if cachedHeader != nil && from >= len(cachedHeader.Items) && cachedHeader.BelongsTo(tenant) {
 		return jobrecord.Listing{Total: len(cachedHeader.Items)}, nil
@@ -108,7 +108,7 @@
 	return read, nil
 }
 
-func (d *Desk) next(ctx context.Context, job ident.Job, from int, after int64, wait time.Duration) ([]work.Result, error) {
+func (d *Intake) next(ctx context.Context, job ident.Job, from int, after int64, wait time.Duration) ([]work.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout/4)
 	defer cancel()
 	return d.Records.NextResults(ctx, job, from, after, wait)
@@ -127,12 +127,12 @@
 }
 
 // Body reads the body of an item of a tenant's job that is not listed yet. The error is a *failure.Error.
-func (d *Desk) Body(ctx context.Context, tenant ident.Tenant, job ident.Job, item ident.Request) ([]byte, error) {
+func (d *Intake) Body(ctx context.Context, tenant ident.Tenant, job ident.Job, item ident.Request) ([]byte, error) {
 	if d.unreachable() {
 		return nil, d.readFailure(job, ErrUnreachable)
 	}
-	if d.Holders != nil {
-		if body, holder, found := d.Holders.Body(ctx, job, item); found {
+	if d.Workers != nil {
+		if body, holder, found := d.Workers.Body(ctx, job, item); found {
 			if err := d.checkTenant(ctx, tenant, holder, job); err != nil {
 				return nil, d.readFailure(job, err)
 			}
@@ -153,7 +153,7 @@
 }
 
 // End ends a tenant's job. The error is a *failure.Error.
-func (d *Desk) End(ctx context.Context, tenant ident.Tenant, job ident.Job) error {
+func (d *Intake) End(ctx context.Context, tenant ident.Tenant, job ident.Job) error {
 	if d.unreachable() {
 		return d.readFailure(job, ErrUnreachable)
 	}
@@ -173,28 +173,28 @@
 	return d.readFailure(job, last)
 }
 
-func (d *Desk) end(ctx context.Context, header *jobrecord.Header) error {
+func (d *Intake) end(ctx context.Context, header *jobrecord.Header) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return d.Records.End(ctx, header)
 }
 
 // cachedHeader returns a job's header if it was read before, or nil.
-func (d *Desk) cachedHeader(job ident.Job) *jobrecord.Header {
+func (d *Intake) cachedHeader(job ident.Job) *jobrecord.Header {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.headers[job]
 }
 
 // header returns a job's header, from the cache if it was read before.
-func (d *Desk) header(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
+func (d *Intake) header(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
 	if cachedHeader := d.cachedHeader(job); cachedHeader != nil {
 		return cachedHeader, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	header, err := d.Records.Header(ctx, job)
-	if errors.Is(err, jobrecord.ErrNoSuchJob) && d.Holders != nil {
+	if errors.Is(err, jobrecord.ErrNoSuchJob) && d.Workers != nil {
 		header, err = d.headerAfterHandoff(ctx, job)
 	}
 	if err != nil {
@@ -209,7 +209,7 @@
 
 // headerAfterHandoff reads the header of a job that the store did not have. An entry is removed from a worker's disk only
 // once the store has the job: if no worker has an entry, a second read finds a job that was handed over in the meantime.
-func (d *Desk) headerAfterHandoff(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
+func (d *Intake) headerAfterHandoff(ctx context.Context, job ident.Job) (*jobrecord.Header, error) {
 	if d.mayBePending(ctx, job) {
 		return nil, fmt.Errorf("%w: %s", ErrPending, job)
 	}
@@ -217,15 +217,15 @@
 }
 
 // mayBePending reports whether a worker stores the job, or may store it because it did not answer.
-func (d *Desk) mayBePending(ctx context.Context, job ident.Job) bool {
-	if d.Holders == nil {
+func (d *Intake) mayBePending(ctx context.Context, job ident.Job) bool {
+	if d.Workers == nil {
 		return false
 	}
-	pending, sure := d.Holders.Pending(ctx, job)
+	pending, sure := d.Workers.Pending(ctx, job)
 	return pending || !sure
 }
 
-func (d *Desk) cacheHeader(header *jobrecord.Header) {
+func (d *Intake) cacheHeader(header *jobrecord.Header) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.headers == nil {
@@ -242,7 +242,7 @@
 
 // readFailure returns the caller's error for a failed read. Not-found is reported only if the records deny the job or the
 // item.
-func (d *Desk) readFailure(job ident.Job, err error) *failure.Error {
+func (d *Intake) readFailure(job ident.Job, err error) *failure.Error {
 	switch {
 	case errors.Is(err, jobrecord.ErrNoSuchJob):
 		return failure.New(failure.CodeNotFound, "no such batch job").WithCause(err)
--- a/internal/jobentry/read_test.go
+++ b/internal/jobentry/read_test.go
@@ -42,7 +42,7 @@
 }
 
 // mustList reads results and checks them.
-func mustList(t *testing.T, desk *jobentry.Desk, tenant ident.Tenant, id ident.Job, from, finished int) {
+func mustList(t *testing.T, desk *jobentry.Intake, tenant ident.Tenant, id ident.Job, from, finished int) {
 	t.Helper()
 	listing, err := desk.Results(context.Background(), tenant, id, from, 0)
 	assert.NilError(t, err)
--- a/internal/jobpeer/assign.go
+++ b/internal/jobpeer/assign.go
@@ -12,14 +12,14 @@
 
 const (
 	// batchReportTTL is how long a worker's batch report stays valid: two report intervals.
-	batchReportTTL = 2 * demand.IdleRefreshEvery
+	batchReportTTL = 2 * demand.IdleRefreshInterval
 	// maxAssignedWait is the longest estimated wait of a worker's queued items at which it is still assigned a new job on
 	// acceptance. If the estimate is longer, the job stays unassigned and the first idle worker of any zone claims it.
 	maxAssignedWait = time.Second
 )
 
 // recordBatch records a worker's report about its batch work as of the given time.
-func (h *Holders) recordBatch(address string, batch demand.Batch, asOf time.Time) {
+func (h *WorkerClient) recordBatch(address string, batch demand.Batch, asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.batches == nil {
@@ -33,7 +33,7 @@
 // Assignee returns the worker of this zone that is expected to start a job of the given number of items first. It returns
 // false if no worker is expected to start within maxAssignedWait. The items count as waiting at the returned worker from
 // now on.
-func (h *Holders) Assignee(items int) (jobrecord.Assignee, bool) {
+func (h *WorkerClient) Assignee(items int) (jobrecord.Assignee, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
@@ -63,7 +63,7 @@
 
 // Assign notifies a worker of a job that was accepted with a claim for that worker. It reports whether the worker runs the
 // job.
-func (h *Holders) Assign(ctx context.Context, assignee jobrecord.Assignee, assigned jobrecord.Assigned) bool {
+func (h *WorkerClient) Assign(ctx context.Context, assignee jobrecord.Assignee, assigned jobrecord.Assigned) bool {
 	request := &AssignRequest{
 		Job: assigned.Open.ID, Route: assigned.Open.Route, Zone: assigned.Open.Zone, Tokens: assigned.Open.Tokens,
 		Tenant: assigned.Open.Tenant, Bytes: assigned.Open.Bytes, Opened: assigned.Open.Revision,
--- a/internal/jobpeer/assign_test.go
+++ b/internal/jobpeer/assign_test.go
@@ -15,16 +15,16 @@
 // assigned, and returns no worker if none is expected to start the job soon or is known to be alive.
 func TestJobIsAssignedToTheWorkerThatStartsItFirst(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	h := &Holders{Zone: "a", Now: func() time.Time { return now }}
+	h := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
 	_, found := h.Assignee(10)
 	assert.Assert(t, !found, "no worker is known")
-	h.Learn([]jobrecord.Worker{
+	h.UpdateWorkers([]jobrecord.Worker{
 		{Node: "w-1", Zone: "a", Address: "1"}, {Node: "w-2", Zone: "a", Address: "2"}, {Node: "far", Zone: "b", Address: "3"},
 	}, h.Now())
 	_, found = h.Assignee(10)
 	assert.Assert(t, !found, "no worker has reported its batch work")
 	report := func(address string, node ident.Node, lease int64, waiting int) {
-		h.recordBatch(address, demand.Batch{Node: node, Lease: lease, Waiting: waiting, Places: 20, RunMs: 2000}, h.Now())
+		h.recordBatch(address, demand.Batch{Node: node, Lease: lease, Waiting: waiting, Slots: 20, RunMs: 2000}, h.Now())
 	}
 	report("1", "w-1", 11, 0)
 	report("2", "w-2", 22, 2)
--- a/internal/jobpeer/compatibility_test.go
+++ b/internal/jobpeer/compatibility_test.go
@@ -71,7 +71,7 @@
 func TestRankingIsStableAcrossBuilds(t *testing.T) {
 	workers := fixedWorkers()
 	holders := newHolders(t, nil)
-	holders.Learn(workers, time.Now())
+	holders.UpdateWorkers(workers, time.Now())
 	for tenant, wanted := range map[ident.Tenant]string{"a": "w7", "b": "w1", "c": "w2"} {
 		owner, kept := holders.QuotaOwner(tenant)
 		assert.Assert(t, kept)
@@ -87,10 +87,10 @@
 	for _, worker := range workers {
 		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
-	roster.Note(registered, time.Now())
+	roster.Update(registered, time.Now())
 	for route, wanted := range map[string]string{"r": "w4 w6 w7", "s": "w3 w2 w5"} {
 		var names []string
-		for _, holder := range roster.Keepers(route, 1, time.Now()) {
+		for _, holder := range roster.AccountHolders(route, 1, time.Now()) {
 			names = append(names, string(holder.Node))
 		}
 		assert.Equal(t, strings.Join(names, " "), wanted, "route %s", route)
--- a/internal/jobpeer/demand.go
+++ b/internal/jobpeer/demand.go
@@ -20,7 +20,7 @@
 
 // OnlineWork groups a node's online work by the workers that own the runners. It implements demand.Work.
 type OnlineWork struct {
-	Holders *Holders
+	Holders *WorkerClient
 	Runners *runnertable.Table
 	// Ends receives the workers' records of poison requests; nil ignores them.
 	Ends *endwatch.Watch
@@ -38,12 +38,12 @@
 }
 
 // Online implements demand.Work.
-func (o *OnlineWork) Online() map[string]demand.Owned {
+func (o *OnlineWork) Online() map[string]demand.OwnerDemand {
 	o.logZones()
 	workers := o.zoneWorkers.workers(o.Holders.Zone, o.Holders.knownWorkers(), o.Now())
-	owned := make(map[string]demand.Owned, len(workers))
+	owned := make(map[string]demand.OwnerDemand, len(workers))
 	for _, worker := range workers {
-		owned[worker.Address] = demand.Owned{Far: worker.Zone != o.Holders.Zone, Zone: worker.Zone, Doubted: o.Runners.ZoneDoubted(worker.Zone)}
+		owned[worker.Address] = demand.OwnerDemand{Far: worker.Zone != o.Holders.Zone, Zone: worker.Zone, UnresponsiveSince: o.Runners.ZoneSuspectedSince(worker.Zone)}
 	}
 	for runner, count := range o.Runners.Online(o.Now()) {
 		if owner, found := jobrecord.Owner(runner, workers); found {
@@ -57,24 +57,24 @@
 	return owned
 }
 
-// Tell sends a report for the demand.Teller and records whether the worker's zone answers.
-func (o *OnlineWork) Tell(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
+// Report sends a report for the demand.Teller and records whether the worker's zone answers.
+func (o *OnlineWork) Report(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
 	asked := o.Now()
-	answer, err := o.Holders.TellDemand(ctx, address, report)
+	answer, err := o.Holders.ReportDemand(ctx, address, report)
 	zone, known := o.Holders.zoneOf(address)
 	switch {
 	case !known, errors.Is(err, errSkipped):
 	case err == nil:
-		o.Runners.HeardZone(zone, asked)
+		o.Runners.ZoneAnswered(zone, asked)
 		o.zoneWorkers.answered(address, asked)
 	default:
-		o.Runners.MissedZone(zone, address, asked, o.Now())
+		o.Runners.ZoneTimedOut(zone, address, asked, o.Now())
 	}
 	return answer, err
 }
 
 // zoneOf returns the zone of the worker at the given address. It returns false for an unknown address.
-func (h *Holders) zoneOf(address string) (ident.Zone, bool) {
+func (h *WorkerClient) zoneOf(address string) (ident.Zone, bool) {
 	for _, worker := range h.knownWorkers() {
 		if worker.Address == address {
 			return worker.Zone, true
@@ -85,15 +85,15 @@
 
 // Take implements demand.Work.
 func (o *OnlineWork) Take(address string, answer *demand.Answer, asOf time.Time) {
-	o.Runners.TakeShares(answer.Shares, asOf)
+	o.Runners.UpdateShares(answer.Shares, asOf)
 	o.orphans.record(address, answer.Shares, o.Logger)
 	if o.Waiters != nil && slices.ContainsFunc(answer.Shares, func(share demand.Share) bool { return share.Granted > 0 }) {
-		o.Waiters.Granted()
+		o.Waiters.SlotsGranted()
 	}
 	o.Holders.recordBatch(address, answer.Batch, asOf)
-	o.Ends.Learn(answer.Ends.Records, false)
+	o.Ends.ApplyRecords(answer.Ends.Records, false)
 	if o.Tenants != nil && len(answer.Bounds) > 0 {
-		o.Tenants.Learn(answer.Bounds, asOf)
+		o.Tenants.ApplyBounds(answer.Bounds, asOf)
 	}
 }
 
@@ -105,7 +105,7 @@
 	now := o.Now()
 	for _, change := range o.Runners.ZoneChanges(now) {
 		transition := event.ZoneBack
-		if change.Cut {
+		if change.Unreachable {
 			transition = event.ZoneOutOfReach
 		}
 		transition.Log(o.Logger).Str("zone", string(change.Zone)).Send()
@@ -119,8 +119,8 @@
 	}
 }
 
-// TellDemand reports online work to a worker. A worker that does not answer is skipped for skipDuration.
-func (h *Holders) TellDemand(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
+// ReportDemand reports online work to a worker. A worker that does not answer is skipped for skipDuration.
+func (h *WorkerClient) ReportDemand(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
 	answer := &demand.Answer{}
 	if h.skips(address) {
 		return nil, fmt.Errorf("%w: %s", errSkipped, address)
@@ -134,14 +134,14 @@
 // errSkipped means that a worker was not called because it recently did not answer.
 const errSkipped = failure.Kind("job peer: worker skipped after a failed call")
 
-func (h *Holders) skips(address string) bool {
+func (h *WorkerClient) skips(address string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.Now().Before(h.skippedUntil[address])
 }
 
 // knownWorkers returns the most recently read list of workers.
-func (h *Holders) knownWorkers() []jobrecord.Worker {
+func (h *WorkerClient) knownWorkers() []jobrecord.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return slices.Clone(h.workers.Value())
--- a/internal/jobpeer/feed.go
+++ b/internal/jobpeer/feed.go
@@ -16,7 +16,7 @@
 // WorkerFeed polls a worker, preferably of this zone, for the state it read from the registry, and updates the list of workers
 // from the answer. It implements follower.Source.
 type WorkerFeed struct {
-	Holders *Holders
+	Holders *WorkerClient
 	// Index selects the worker to poll, so that nodes spread over the workers.
 	Index uint64
 	// failed counts consecutive failed calls, so that each retry goes to the next worker or seed. passedOver counts the workers that
@@ -62,13 +62,13 @@
 		return nil, err
 	}
 	w.failed = 0
-	w.Holders.Heard.Answered()
+	w.Holders.Reach.Answered()
 	// The polled worker follows the other workers itself. Its list is no older than this time, even if the answer was read
 	// late.
 	answeredAt := sent.Add(time.Duration(snapshot.HeldMs) * time.Millisecond)
 	read := answeredAt.Add(-time.Duration(snapshot.RunnersAgeMs) * time.Millisecond)
 	if workers := w.snapshotWorkers(snapshot); len(workers) > 0 && w.Holders.Now().Sub(read) < maxWorkerListAge {
-		w.Holders.Learn(workersOf(workers), answeredAt)
+		w.Holders.UpdateWorkers(workersOf(workers), answeredAt)
 	}
 	return snapshot, nil
 }
--- a/internal/jobpeer/formats_test.go
+++ b/internal/jobpeer/formats_test.go
@@ -31,8 +31,8 @@
 // name.
 func forms() map[string]any {
 	return map[string]any{
-		"results":          &jobpeer.Query{},
-		"results-reply":    &jobpeer.Reply{},
+		"results":          &jobpeer.ResultsQuery{},
+		"results-reply":    &jobpeer.ResultsReply{},
 		"body":             &jobpeer.BodyQuery{},
 		"body-reply":       &jobpeer.BodyReply{},
 		"keep":             &jobpeer.KeepRequest{},
@@ -54,7 +54,7 @@
 		"live-reply":       &jobpeer.LiveReply{},
 		"ends":             &jobpeer.EndsRequest{},
 		"ends-reply":       &jobpeer.EndsReply{},
-		"quota":            &quota.Spending{},
+		"quota":            &quota.NodeReport{},
 		"quota-reply":      &quota.Answer{},
 		"room":             &jobpeer.RoomRequest{},
 		"room-reply":       &jobpeer.RoomReply{},
--- a/internal/jobpeer/holders.go
+++ b/internal/jobpeer/holders.go
@@ -37,9 +37,9 @@
 	maxCachedJobs = 512
 )
 
-// Holders calls workers on behalf of a node: it reads jobs from the memory of the workers that hold them, has workers store
+// WorkerClient calls workers on behalf of a node: it reads jobs from the memory of the workers that hold them, has workers store
 // and run jobs, and reports demand and quota use. It is safe for concurrent use.
-type Holders struct {
+type WorkerClient struct {
 	Records *jobrecord.Records
 	// Zone is this node's zone; its workers are called first.
 	Zone    ident.Zone
@@ -50,8 +50,8 @@
 	// list is read from the records: otherwise every starting process would read it.
 	Seeds    []string
 	SeedsFor time.Duration
-	// Heard records whether workers answer; nil records nothing.
-	Heard *reach.Watch
+	// Reach records whether workers answer; nil records nothing.
+	Reach *reach.Watch
 	Now   func() time.Time
 
 	mutex sync.Mutex
@@ -80,15 +80,15 @@
 }
 
 // Results reads the results of a job from its holder. sure is false if no holder gave a definite answer.
-func (h *Holders) Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool) {
-	query := &Query{Job: job, From: from, WaitMs: wait.Milliseconds()}
+func (h *WorkerClient) Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool) {
+	query := &ResultsQuery{Job: job, From: from, WaitMs: wait.Milliseconds()}
 	candidates := h.candidates(ctx, job)
 	if len(candidates) == 0 {
 		// No worker was called, so nothing new is known: the period without a holder must not restart.
 		return work.Held{}, false
 	}
 	for _, address := range candidates {
-		reply := &Reply{}
+		reply := &ResultsReply{}
 		if h.ask(ctx, address, methodResults, query, reply, wait) && reply.Sure {
 			h.cacheLocation(job, jobLocation{address: address})
 			return work.Held{Tenant: reply.Tenant, Total: reply.Total, Results: reply.Results}, true
@@ -99,7 +99,7 @@
 }
 
 // Body reads the body of an item, and the tenant of its job, from the worker that holds the job.
-func (h *Holders) Body(ctx context.Context, job ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool) {
+func (h *WorkerClient) Body(ctx context.Context, job ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool) {
 	for _, address := range h.candidates(ctx, job) {
 		reply := &BodyReply{}
 		if h.ask(ctx, address, methodBody, &BodyQuery{Job: job, Item: item}, reply, 0) && reply.Found {
@@ -111,7 +111,7 @@
 
 // Nearest returns a connection to a worker of this node's zone, or of another zone if no worker of this one can be called.
 // index selects among the candidates, so that nodes spread over them.
-func (h *Holders) Nearest(ctx context.Context, index uint64) (string, drpc.Conn, error) {
+func (h *WorkerClient) Nearest(ctx context.Context, index uint64) (string, drpc.Conn, error) {
 	h.readWorkers(ctx)
 	address, found := h.nearest(index)
 	if !found {
@@ -124,7 +124,7 @@
 // ErrNoWorker means that no known worker answers.
 const ErrNoWorker = failure.Kind("job peer: no known worker answers")
 
-func (h *Holders) nearest(index uint64) (string, bool) {
+func (h *WorkerClient) nearest(index uint64) (string, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var near, far []string
@@ -150,7 +150,7 @@
 }
 
 // ask makes one call. A worker that does not answer is skipped for skipDuration.
-func (h *Holders) ask(ctx context.Context, address, method string, query, reply any, wait time.Duration) bool {
+func (h *WorkerClient) ask(ctx context.Context, address, method string, query, reply any, wait time.Duration) bool {
 	call, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
 	connection, err := h.Connect(address)
@@ -158,18 +158,18 @@
 		err = connection.Invoke(call, method, jsoncall.Encoding{}, query, reply)
 	}
 	if err == nil {
-		h.Heard.Answered()
+		h.Reach.Answered()
 		return true
 	}
 	if ctx.Err() == nil {
-		h.Heard.Failed(h.Now())
+		h.Reach.Failed(h.Now())
 		h.skip(address)
 	}
 	return false
 }
 
 // candidates returns the addresses to call: the holder that answered last, or else all workers, with those of this zone first.
-func (h *Holders) candidates(ctx context.Context, job ident.Job) []string {
+func (h *WorkerClient) candidates(ctx context.Context, job ident.Job) []string {
 	h.readWorkers(ctx)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -191,7 +191,7 @@
 }
 
 // readWorkers reads the list of workers if the current one is too old.
-func (h *Holders) readWorkers(ctx context.Context) {
+func (h *WorkerClient) readWorkers(ctx context.Context) {
 	h.mutex.Lock()
 	now := h.Now()
 	ttl := workerListTTL
@@ -216,17 +216,17 @@
 	if err != nil {
 		return
 	}
-	h.Learn(workers, began)
+	h.UpdateWorkers(workers, began)
 }
 
 // usesSeeds reports whether this node has just started and knows no worker but the seeds. The caller holds the mutex.
-func (h *Holders) usesSeeds(now time.Time) bool {
+func (h *WorkerClient) usesSeeds(now time.Time) bool {
 	return len(h.Seeds) > 0 && len(h.workers.Value()) == 0 && now.Sub(h.began) < h.SeedsFor
 }
 
-// Learn replaces the list of workers with one that this or another node read, as of the given time. It ignores a list that is
+// UpdateWorkers replaces the list of workers with one that this or another node read, as of the given time. It ignores a list that is
 // older than the current one.
-func (h *Holders) Learn(workers []jobrecord.Worker, asOf time.Time) {
+func (h *WorkerClient) UpdateWorkers(workers []jobrecord.Worker, asOf time.Time) {
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
 	slices.SortStableFunc(workers, h.nearFirst)
 	h.mutex.Lock()
@@ -240,10 +240,10 @@
 	for _, worker := range workers {
 		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
-	h.roster.Note(registered, h.Now())
+	h.roster.Update(registered, h.Now())
 }
 
-func (h *Holders) nearFirst(first, second jobrecord.Worker) int {
+func (h *WorkerClient) nearFirst(first, second jobrecord.Worker) int {
 	switch {
 	case first.Zone == second.Zone:
 		return 0
@@ -255,7 +255,7 @@
 	return 0
 }
 
-func (h *Holders) cacheLocation(job ident.Job, location jobLocation) {
+func (h *WorkerClient) cacheLocation(job ident.Job, location jobLocation) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.jobs == nil {
@@ -272,7 +272,7 @@
 
 // skip skips a worker for skipDuration and schedules an early read of the list of workers. Seeds are not skipped while this node
 // starts: they may be starting at the same time.
-func (h *Holders) skip(address string) {
+func (h *WorkerClient) skip(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
--- a/internal/jobpeer/intake_test.go
+++ b/internal/jobpeer/intake_test.go
@@ -77,7 +77,7 @@
 
 // intakeFront is a node that accepts client requests.
 type intakeFront struct {
-	desk  *jobentry.Desk
+	desk  *jobentry.Intake
 	store *intakeStore
 }
 
@@ -323,8 +323,8 @@
 func (s *intake) newFront(zone ident.Zone) *intakeFront {
 	store := s.newStore()
 	records := s.newRecords(store)
-	holders := &jobpeer.Holders{Records: records, Zone: zone, Connect: s.connect(nil), Copies: 2, Now: time.Now}
-	return &intakeFront{store: store, desk: &jobentry.Desk{Records: records, Holders: holders, Logger: zerolog.Nop(), Now: time.Now}}
+	holders := &jobpeer.WorkerClient{Records: records, Zone: zone, Connect: s.connect(nil), Copies: 2, Now: time.Now}
+	return &intakeFront{store: store, desk: &jobentry.Intake{Records: records, Workers: holders, Logger: zerolog.Nop(), Now: time.Now}}
 }
 
 // connect returns a node's connections to workers.
@@ -347,12 +347,12 @@
 	worker := &jobworker.Worker{
 		Node: w.node, Zone: w.zone, Address: string(w.node), Store: w.store, Records: w.site.newRecords(w.store), Runners: runnertable.New(w.zone),
 		Routes: w.site.routes, Options: jobworker.DefaultOptions, Handoff: kept, Readers: peers, Accounts: peers,
-		Tolerance: 1, StartsAgain: restarted, Logger: zerolog.Nop(), Now: time.Now,
+		Tolerance: 1, Restarted: restarted, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	process := new(tomb.Tomb)
 	worker.Start(process)
 	deliverer := &handoff.Deliverer{
-		Log: kept, Store: worker.Records, Lifetime: 2 * time.Minute, Taken: worker.Accepted, Logger: zerolog.Nop(), Now: time.Now,
+		Log: kept, Store: worker.Records, Lifetime: 2 * time.Minute, KnownAccepted: worker.Accepted, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	deliverer.Start(process)
 	w.mutex.Lock()
--- a/internal/jobpeer/keep.go
+++ b/internal/jobpeer/keep.go
@@ -20,11 +20,11 @@
 // keepTimeout is the time allowed for a worker to write a job to its disk, in addition to callSlack.
 const keepTimeout = 600 * time.Millisecond
 
-// Keep has workers write a job to their disks until the store accepts it. bound is the maximum of tokens queued on the route
+// StoreHandoff has workers write a job to their disks until the store accepts it. bound is the maximum of tokens queued on the route
 // by the workers' own count; zero disables that check because the job's capacity is already reserved. Keep returns nil if
 // enough workers wrote the job for it to be durable. Any other result is a *failure.Error, whose outcome is NotRun only if no
 // worker can have the job.
-func (h *Holders) Keep(ctx context.Context, bound int, submission *jobrecord.Submission) error {
+func (h *WorkerClient) StoreHandoff(ctx context.Context, bound int, submission *jobrecord.Submission) error {
 	h.readWorkers(ctx)
 	keepOperation := &keepOperation{
 		holders: h, candidates: h.keepCandidates(), needed: h.Copies,
@@ -35,7 +35,7 @@
 
 // keepOperation is the state of writing one job to the disks of workers.
 type keepOperation struct {
-	holders    *Holders
+	holders    *WorkerClient
 	candidates []string
 	// needed is the number of workers that must have the job.
 	needed     int
@@ -127,7 +127,7 @@
 func (k *keepOperation) failure() error {
 	if k.unanswered() {
 		return failure.New(failure.CodeOutcomeUnknown, "none of %d workers answered", k.asked).WithOutcome(outcome.Unknown).
-			WithCause(fmt.Errorf("%w: %d asked", handoff.ErrNobodyAnswers, k.asked))
+			WithCause(fmt.Errorf("%w: %d asked", handoff.ErrNoAnswer, k.asked))
 	}
 	if k.stored > 0 || k.jobOutcome != outcome.NotRun {
 		return failure.New(failure.CodeOutcomeUnknown, "%d of %d workers have the job", k.stored, k.needed).
@@ -143,7 +143,7 @@
 
 // keepCandidates returns the addresses of the workers that are not skipped, in the order in which they are asked: one of each zone in
 // turn, starting with this node's zone, so that the copies of a job are in different zones if possible.
-func (h *Holders) keepCandidates() []string {
+func (h *WorkerClient) keepCandidates() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var zones []ident.Zone
@@ -170,7 +170,7 @@
 // Pending reports whether a worker has a job on its disk that the store may not have yet. sure is false if a worker that may
 // have the job was not asked or did not answer. Pending asks the registered workers and those that were registered recently:
 // in an outage registrations expire with their leases, but the disks remain.
-func (h *Holders) Pending(ctx context.Context, job ident.Job) (pending, sure bool) {
+func (h *WorkerClient) Pending(ctx context.Context, job ident.Job) (pending, sure bool) {
 	registered, err := h.Records.Workers(ctx)
 	workers := h.possibleHolders(registered)
 	sure = err == nil && len(workers) > 0
@@ -193,7 +193,7 @@
 const registrationMemory = time.Minute
 
 // possibleHolders returns the addresses of the registered workers and of those registered recently.
-func (h *Holders) possibleHolders(registered []jobrecord.Worker) []string {
+func (h *WorkerClient) possibleHolders(registered []jobrecord.Worker) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.recordRegistered(registered)
@@ -202,7 +202,7 @@
 
 // recordRegistered records that workers are registered, and removes those last seen more than registrationMemory ago. The caller
 // holds the mutex.
-func (h *Holders) recordRegistered(workers []jobrecord.Worker) {
+func (h *WorkerClient) recordRegistered(workers []jobrecord.Worker) {
 	now := h.Now()
 	if h.lastRegistered == nil {
 		h.lastRegistered = map[string]time.Time{}
@@ -219,7 +219,7 @@
 
 // Keep implements Server.
 func (s *WorkerServer) Keep(_ context.Context, request *KeepRequest) (*KeepReply, error) {
-	err := s.Worker.Keep(request.Entry, request.MaximumQueuedTokens, request.Copies)
+	err := s.Worker.StoreHandoff(request.Entry, request.MaximumQueuedTokens, request.Copies)
 	if err == nil {
 		return &KeepReply{Kept: true}, nil
 	}
@@ -231,5 +231,5 @@
 
 // Pending implements Server.
 func (s *WorkerServer) Pending(_ context.Context, query *PendingQuery) (*PendingReply, error) {
-	return &PendingReply{Pending: s.Worker.Keeps(query.Job), Doubt: s.Worker.DoubtsWorkers()}, nil
+	return &PendingReply{Pending: s.Worker.HasHandoff(query.Job), Doubt: s.Worker.MayMissWorkers()}, nil
 }
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -68,7 +68,7 @@
 )
 
 // newHolders registers a worker in the given zone for each peer. Two of them must store a job.
-func newHolders(t *testing.T, zones []ident.Zone, peers ...*peer) *jobpeer.Holders {
+func newHolders(t *testing.T, zones []ident.Zone, peers ...*peer) *jobpeer.WorkerClient {
 	t.Helper()
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Now: time.Now}
@@ -82,15 +82,15 @@
 		_, err = records.Register(context.Background(), jobrecord.Worker{Node: ident.Node(name), Zone: zones[index], Address: name}, lease)
 		assert.NilError(t, err)
 	}
-	return &jobpeer.Holders{
+	return &jobpeer.WorkerClient{
 		Records: records, Zone: "z", Copies: 2, Now: time.Now,
 		Connect: func(address string) (drpc.Conn, error) { return byAddress[address], nil },
 	}
 }
 
-func keep(holders *jobpeer.Holders) error {
+func keep(holders *jobpeer.WorkerClient) error {
 	submission := &jobrecord.Submission{ID: "j", Route: "r", Items: []work.Item{{ID: "j-0", Path: "/p", Tokens: 1}}}
-	return holders.Keep(context.Background(), 0, submission)
+	return holders.StoreHandoff(context.Background(), 0, submission)
 }
 
 var oneZone = []ident.Zone{"z", "z", "z", "z"}
@@ -144,7 +144,7 @@
 		asked += len(p.asked)
 	}
 	assert.Equal(t, asked, wanted)
-	assert.Equal(t, errors.Is(err, handoff.ErrNobodyAnswers), delay == time.Second)
+	assert.Equal(t, errors.Is(err, handoff.ErrNoAnswer), delay == time.Second)
 	assert.Equal(t, failure.As(err).Outcome, outcome.Unknown)
 }
 
@@ -194,7 +194,7 @@
 	remaining, err := holders.Records.Workers(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, len(remaining), len(other)-1)
-	holders.Learn(remaining, holders.Now())
+	holders.UpdateWorkers(remaining, holders.Now())
 	pending, _ := holders.Pending(ctx, "j")
 	assert.Assert(t, pending)
 }
@@ -253,9 +253,9 @@
 func TestOlderWorkerListIsIgnored(t *testing.T) {
 	holders := newHolders(t, oneZone, &peer{keep: keptReply}, &peer{keep: keptReply})
 	assert.NilError(t, keep(holders))
-	holders.Learn(nil, holders.Now().Add(-time.Minute))
+	holders.UpdateWorkers(nil, holders.Now().Add(-time.Minute))
 	assert.NilError(t, keep(holders))
-	holders.Learn(nil, holders.Now())
+	holders.UpdateWorkers(nil, holders.Now())
 	assert.Assert(t, keep(holders) != nil)
 }
 
@@ -265,7 +265,7 @@
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	store := kvtest.NewPaged(kvtest.NewData(func() time.Time { return now }))
 	var asked []string
-	holders := &jobpeer.Holders{
+	holders := &jobpeer.WorkerClient{
 		Records: &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Now: func() time.Time { return now }}, Zone: "z",
 		Connect: func(address string) (drpc.Conn, error) {
 			asked = append(asked, address)
@@ -284,7 +284,7 @@
 	_, err := source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, store.Calls(), 1, "seeds that do not answer are only called until SeedsFor has passed")
-	holders.Learn([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
+	holders.UpdateWorkers([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
 	_, err = source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, asked[len(asked)-1], "w")
@@ -295,13 +295,13 @@
 func TestCallsToWorkersUpdateReachability(t *testing.T) {
 	peers := []*peer{{unresponsive: true}, {unresponsive: true}, {unresponsive: true}, {unresponsive: true, keep: keptReply}}
 	holders := newHolders(t, oneZone, peers...)
-	holders.Copies, holders.Heard = 3, &reach.Watch{}
+	holders.Copies, holders.Reach = 3, &reach.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
 	assert.Assert(t, keep(holders) != nil)
-	assert.Assert(t, holders.Heard.Deaf(later()))
+	assert.Assert(t, holders.Reach.Deaf(later()))
 
 	peers[3].unresponsive = false
 	holders.Now = func() time.Time { return time.Now().Add(5 * time.Second) }
 	assert.Assert(t, keep(holders) != nil, "one of three copies is too few")
-	assert.Assert(t, !holders.Heard.Deaf(time.Now().Add(6*time.Second)))
+	assert.Assert(t, !holders.Reach.Deaf(time.Now().Add(6*time.Second)))
 }
--- a/internal/jobpeer/leader.go
+++ b/internal/jobpeer/leader.go
@@ -19,10 +19,10 @@
 	// Reader returns the address of the worker that reads for this one. It returns false if that is this node or no reader
 	// answers.
 	Reader func(skipped func(address string) bool) (address string, other bool)
-	// InLine reports whether this worker is one of those that may read for others.
-	InLine  func() bool
-	Connect func(address string) (drpc.Conn, error)
-	Now     func() time.Time
+	// Eligible reports whether this worker is one of those that may read for others.
+	Eligible func() bool
+	Connect  func(address string) (drpc.Conn, error)
+	Now      func() time.Time
 
 	skippedAddresses skippedAddresses
 	// stale holds the workers that answer with stale state: the store may refuse only them.
@@ -84,7 +84,7 @@
 // is stale, and only one or two workers should poll the store for its return.
 func (l *LeaderFeed) reader() (string, bool) {
 	address, other := l.Reader(func(address string) bool { return l.skips(address) || l.stale.skips(address, l.Now()) })
-	if other || l.InLine() {
+	if other || l.Eligible() {
 		return address, other
 	}
 	return l.Reader(l.skips)
--- a/internal/jobpeer/leader_test.go
+++ b/internal/jobpeer/leader_test.go
@@ -27,9 +27,9 @@
 func TestNewReaderCancelsItsCall(t *testing.T) {
 	var reads atomic.Bool
 	source := &jobpeer.LeaderFeed{
-		Reader:  func(func(string) bool) (string, bool) { return "a", !reads.Load() },
-		InLine:  reads.Load,
-		Connect: func(string) (drpc.Conn, error) { return heldConn{}, nil }, Now: time.Now,
+		Reader:   func(func(string) bool) (string, bool) { return "a", !reads.Load() },
+		Eligible: reads.Load,
+		Connect:  func(string) (drpc.Conn, error) { return heldConn{}, nil }, Now: time.Now,
 	}
 	ended := make(chan error, 1)
 	go func() {
--- a/internal/jobpeer/message.go
+++ b/internal/jobpeer/message.go
@@ -44,16 +44,16 @@
 	methodRoom     = "/mallowlatch.jobpeer.Jobs/Room"
 )
 
-// Query asks for the results of a job, starting at position From.
-type Query struct {
+// ResultsQuery asks for the results of a job, starting at position From.
+type ResultsQuery struct {
 	Job  ident.Job `json:"job"`
 	From int       `json:"from"`
 	// WaitMs is how long the worker may wait for the next result, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// Reply is the answer to a Query: the state of the job at the worker.
-type Reply struct {
+// ResultsReply is the answer to a Query: the state of the job at the worker.
+type ResultsReply struct {
 	// Sure means that the worker has the latest state; the other fields are meaningless without it.
 	Sure bool `json:"sure"`
 	// Tenant owns the job. It is empty if the job has no tenant or the worker runs a build without tenants.
@@ -175,7 +175,7 @@
 
 // Server handles the calls between nodes.
 type Server interface {
-	Results(ctx context.Context, query *Query) (*Reply, error)
+	Results(ctx context.Context, query *ResultsQuery) (*ResultsReply, error)
 	Body(ctx context.Context, query *BodyQuery) (*BodyReply, error)
 	Keep(ctx context.Context, request *KeepRequest) (*KeepReply, error)
 	Pending(ctx context.Context, query *PendingQuery) (*PendingReply, error)
@@ -187,7 +187,7 @@
 	TakeBack(ctx context.Context, recall *lending.Recall) (*TakeBackReply, error)
 	Live(ctx context.Context, query *LiveQuery) (*LiveReply, error)
 	Ends(ctx context.Context, request *EndsRequest) (*EndsReply, error)
-	Quota(ctx context.Context, spending *quota.Spending) (*quota.Answer, error)
+	Quota(ctx context.Context, spending *quota.NodeReport) (*quota.Answer, error)
 	Room(ctx context.Context, request *RoomRequest) (*RoomReply, error)
 }
 
@@ -233,7 +233,7 @@
 }
 
 func receiveResults(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
-	return server.(Server).Results(ctx, in.(*Query))
+	return server.(Server).Results(ctx, in.(*ResultsQuery))
 }
 
 func receiveBody(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
@@ -281,7 +281,7 @@
 }
 
 func receiveQuota(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
-	return server.(Server).Quota(ctx, in.(*quota.Spending))
+	return server.(Server).Quota(ctx, in.(*quota.NodeReport))
 }
 
 func receiveRoom(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
--- a/internal/jobpeer/newestconfig.go
+++ b/internal/jobpeer/newestconfig.go
@@ -26,15 +26,15 @@
 	newestTimeout = newestInterval + 300*time.Millisecond
 )
 
-// NewestReadings shares the reads of the configuration that a worker makes for other nodes.
-func NewestReadings(read func(ctx context.Context) error, now func() time.Time) *sharedread.Readings {
+// NewSharedReads shares the reads of the configuration that a worker makes for other nodes.
+func NewSharedReads(read func(ctx context.Context) error, now func() time.Time) *sharedread.Readings {
 	return &sharedread.Readings{Read: read, Every: newestInterval, Now: now}
 }
 
-// Newest has one worker read the configuration for all nodes, so that the load on the store does not grow with the number of
+// NewestConfiguration has one worker read the configuration for all nodes, so that the load on the store does not grow with the number of
 // nodes that need a read. It is safe for concurrent use.
-type Newest struct {
-	Holders *Holders
+type NewestConfiguration struct {
+	Holders *WorkerClient
 	Logger  zerolog.Logger
 
 	skippedAddresses skippedAddresses
@@ -42,7 +42,7 @@
 
 // Catalog returns the configuration of a read that starts after this call, or nil if that is not newer than version. On an
 // error the caller must read the configuration itself.
-func (n *Newest) Catalog(ctx context.Context, version int64) (*work.Catalog, error) {
+func (n *NewestConfiguration) Catalog(ctx context.Context, version int64) (*work.Catalog, error) {
 	address, found := n.reader()
 	if !found {
 		return nil, ErrNoWorker
@@ -63,10 +63,10 @@
 
 // reader returns the address of the worker that reads for all nodes: the first by name that is not skipped, among the first
 // jobworker.ReadersInLine.
-func (n *Newest) reader() (string, bool) {
+func (n *NewestConfiguration) reader() (string, bool) {
 	workers := n.Holders.knownWorkers()
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
-	for _, worker := range workers[:min(len(workers), jobworker.ReadersInLine)] {
+	for _, worker := range workers[:min(len(workers), jobworker.MaxReaders)] {
 		if !n.skippedAddresses.skips(worker.Address, n.Holders.Now()) {
 			return worker.Address, true
 		}
--- a/internal/jobpeer/owners.go
+++ b/internal/jobpeer/owners.go
@@ -11,15 +11,17 @@
 
 // Owners requests runner state from the workers that own the runners. It implements online.Owners.
 type Owners struct {
-	Holders *Holders
-	Teller  *demand.Teller
+	Holders  *WorkerClient
+	Reporter *demand.Reporter
 }
 
-// AskNear implements online.Owners.
-func (o *Owners) AskNear(ctx context.Context, older time.Duration) { o.Teller.AskNear(ctx, older) }
+// QueryZone implements online.Owners.
+func (o *Owners) QueryZone(ctx context.Context, older time.Duration) {
+	o.Reporter.PollOwnZone(ctx, older)
+}
 
-// Ask implements online.Owners.
-func (o *Owners) Ask(ctx context.Context, runners []work.Runner, older time.Duration) bool {
+// Query implements online.Owners.
+func (o *Owners) Query(ctx context.Context, runners []work.Runner, older time.Duration) bool {
 	workers := o.Holders.knownWorkers()
 	var addresses []string
 	for _, runner := range runners {
@@ -27,5 +29,5 @@
 			addresses = append(addresses, owner.Address)
 		}
 	}
-	return o.Teller.Ask(ctx, addresses, older)
+	return o.Reporter.Poll(ctx, addresses, older)
 }
--- a/internal/jobpeer/peers.go
+++ b/internal/jobpeer/peers.go
@@ -27,8 +27,8 @@
 	return reply.Gaps, err
 }
 
-// Ask implements jobworker.Mirrors.
-func (p *Peers) Ask(ctx context.Context, address string, job ident.Job) ([]progress.Output, error) {
+// Fetch implements jobworker.Mirrors.
+func (p *Peers) Fetch(ctx context.Context, address string, job ident.Job) ([]progress.Output, error) {
 	reply := &RecallReply{}
 	err := p.call(ctx, address, methodRecall, &RecallQuery{Job: job}, reply)
 	return reply.Outputs, err
@@ -41,8 +41,8 @@
 	return reply, err
 }
 
-// TakeBack implements jobworker.Lenders.
-func (p *Peers) TakeBack(ctx context.Context, address string, recall lending.Recall) error {
+// Recall implements jobworker.Lenders.
+func (p *Peers) Recall(ctx context.Context, address string, recall lending.Recall) error {
 	return p.call(ctx, address, methodTakeBack, &recall, &TakeBackReply{})
 }
 
--- a/internal/jobpeer/poisonrecords.go
+++ b/internal/jobpeer/poisonrecords.go
@@ -35,8 +35,8 @@
 	endsReadPeers    = 3
 )
 
-// TellEnds sends this node's records of poison requests to workers until the tomb dies.
-func (h *Holders) TellEnds(parent *tomb.Tomb, watch *endwatch.Watch) {
+// SendPoisonRecords sends this node's records of poison requests to workers until the tomb dies.
+func (h *WorkerClient) SendPoisonRecords(parent *tomb.Tomb, watch *endwatch.Watch) {
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
 		for turn := 0; ; {
@@ -62,7 +62,7 @@
 }
 
 // sendEnds sends records to up to endsFanOut workers and reports whether at least one accepted them.
-func (h *Holders) sendEnds(ctx context.Context, records []poison.Record, turn int) bool {
+func (h *WorkerClient) sendEnds(ctx context.Context, records []poison.Record, turn int) bool {
 	request := &EndsRequest{Records: records, PassOn: true}
 	accepted := 0
 	for _, address := range h.endsTargets(turn) {
@@ -78,7 +78,7 @@
 
 // endsTargets returns the addresses to send to in order: this zone's workers first, rotated by turn. It returns the seeds if
 // no worker can be called.
-func (h *Holders) endsTargets(turn int) []string {
+func (h *WorkerClient) endsTargets(turn int) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var targets []string
@@ -97,8 +97,8 @@
 	return targets
 }
 
-// WorkerEnds sends a worker's records of poison requests to all other workers and reads the records that it lacks.
-type WorkerEnds struct {
+// PoisonRecordSync sends a worker's records of poison requests to all other workers and reads the records that it lacks.
+type PoisonRecordSync struct {
 	Node  ident.Node
 	Watch *endwatch.Watch
 	// Workers returns the most recently read list of all workers.
@@ -112,7 +112,7 @@
 }
 
 // Start sends and reads records until the tomb dies.
-func (e *WorkerEnds) Start(parent *tomb.Tomb) {
+func (e *PoisonRecordSync) Start(parent *tomb.Tomb) {
 	e.read = map[string]poison.Cursor{}
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
@@ -136,7 +136,7 @@
 }
 
 // sendToAll sends new records to all other workers. A worker that does not answer reads them later in readOthers.
-func (e *WorkerEnds) sendToAll(ctx context.Context) {
+func (e *PoisonRecordSync) sendToAll(ctx context.Context) {
 	records := e.Watch.Book.TakeUntold(e.Peers.Now())
 	if len(records) == 0 {
 		return
@@ -150,7 +150,7 @@
 }
 
 // readOthers reads the records that this worker lacks from the next endsReadPeers other workers.
-func (e *WorkerEnds) readOthers(ctx context.Context) {
+func (e *PoisonRecordSync) readOthers(ctx context.Context) {
 	others := e.others()
 	var calls sync.WaitGroup
 	replies := make([]*EndsReply, min(endsReadPeers, len(others)))
@@ -165,12 +165,12 @@
 	for index, reply := range replies {
 		if reply != nil {
 			e.read[addresses[index]] = reply.News.After(e.read[addresses[index]])
-			e.Watch.Learn(reply.News.Records, false)
+			e.Watch.ApplyRecords(reply.News.Records, false)
 		}
 	}
 }
 
-func (e *WorkerEnds) call(ctx context.Context, address string, request *EndsRequest) (*EndsReply, error) {
+func (e *PoisonRecordSync) call(ctx context.Context, address string, request *EndsRequest) (*EndsReply, error) {
 	call, cancel := context.WithTimeout(ctx, endsCallTimeout)
 	defer cancel()
 	reply := &EndsReply{}
@@ -181,7 +181,7 @@
 }
 
 // others returns the sorted addresses of the other workers.
-func (e *WorkerEnds) others() []string {
+func (e *PoisonRecordSync) others() []string {
 	var others []string
 	for _, worker := range e.Workers() {
 		if worker.Node != e.Node {
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -102,12 +102,12 @@
 
 func (f *endsFleet) startWorker(name string, zone ident.Zone) {
 	table := runnertable.New(zone)
-	worker := &jobworker.Worker{Node: ident.Node(name), Zone: zone, Address: name, Runners: table, Ends: f.newWatch(name, table), Now: time.Now}
+	worker := &jobworker.Worker{Node: ident.Node(name), Zone: zone, Address: name, Runners: table, PoisonWatch: f.newWatch(name, table), Now: time.Now}
 	f.mutex.Lock()
 	f.workers[name] = worker
 	f.mutex.Unlock()
-	ends := &jobpeer.WorkerEnds{
-		Node: worker.Node, Watch: worker.Ends, Workers: func() []jobrecord.Worker { return f.list },
+	ends := &jobpeer.PoisonRecordSync{
+		Node: worker.Node, Watch: worker.PoisonWatch, Workers: func() []jobrecord.Worker { return f.list },
 		Peers: &jobpeer.Peers{Connect: f.connect(name), Now: time.Now},
 	}
 	ends.Start(f.tomb)
@@ -116,12 +116,12 @@
 func (f *endsFleet) startFront(name string, zone ident.Zone) *endsNode {
 	table := runnertable.New(zone)
 	watch := f.newWatch(name, table)
-	holders := &jobpeer.Holders{Zone: zone, Connect: f.connect(name), Now: time.Now}
-	holders.Learn(append([]jobrecord.Worker(nil), f.list...), time.Now())
-	teller := demand.NewTeller(ident.Node(name), &jobpeer.OnlineWork{Holders: holders, Runners: table, Ends: watch, Now: time.Now}, time.Now)
-	teller.Tell = holders.TellDemand
+	holders := &jobpeer.WorkerClient{Zone: zone, Connect: f.connect(name), Now: time.Now}
+	holders.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
+	teller := demand.NewReporter(ident.Node(name), &jobpeer.OnlineWork{Holders: holders, Runners: table, Ends: watch, Now: time.Now}, time.Now)
+	teller.Send = holders.ReportDemand
 	teller.Start(f.tomb)
-	holders.TellEnds(f.tomb, watch)
+	holders.SendPoisonRecords(f.tomb, watch)
 	return f.nodes[len(f.nodes)-1]
 }
 
--- a/internal/jobpeer/queuecapacity.go
+++ b/internal/jobpeer/queuecapacity.go
@@ -15,9 +15,9 @@
 // RoomRequest asks an account holder to reserve queue capacity, releases capacity, or reports the jobs that a worker has on
 // disk and runs.
 type RoomRequest struct {
-	Ask     *queueroom.Question `json:"ask,omitempty"`
-	Release *queueroom.Release  `json:"release,omitempty"`
-	News    *queueroom.News     `json:"news,omitempty"`
+	Ask     *queueroom.CapacityRequest `json:"ask,omitempty"`
+	Release *queueroom.Release         `json:"release,omitempty"`
+	News    *queueroom.Report          `json:"news,omitempty"`
 }
 
 // RoomReply contains the answer to Ask, nil if nothing was asked.
@@ -33,12 +33,12 @@
 
 // Reserve asks the holders of a route's account for capacity for a job and waits for the answers of a majority. attempt
 // identifies the attempt to submit the job; the same attempt may ask again.
-func (h *Holders) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation {
+func (h *WorkerClient) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation {
 	h.awaitWorkers(ctx)
 	asking := &capacityRequest{
-		holders: h, workers: h.accountHolders(route.Name), question: &queueroom.Question{
+		holders: h, workers: h.accountHolders(route.Name), question: &queueroom.CapacityRequest{
 			Route: route.Name, Tenant: submission.Tenant, Attempt: attempt,
-			Held: queueroom.Held{Job: submission.ID, Tokens: submission.Tokens()},
+			ReservedJob: queueroom.ReservedJob{Job: submission.ID, Tokens: submission.Tokens()},
 		},
 	}
 	return asking.run(ctx, route.MaximumQueuedTokens)
@@ -46,7 +46,7 @@
 
 // awaitWorkers reads the list of workers if the current one is too old. If no worker is known, it waits while another request
 // reads the list: without the list there is no one to ask.
-func (h *Holders) awaitWorkers(ctx context.Context) {
+func (h *WorkerClient) awaitWorkers(ctx context.Context) {
 	h.readWorkers(ctx)
 	for end := h.Now().Add(lookupTimeout); len(h.knownWorkers()) == 0 && h.Now().Before(end); {
 		select {
@@ -57,17 +57,17 @@
 	}
 }
 
-func (h *Holders) accountHolders(route string) []queueroom.Worker {
+func (h *WorkerClient) accountHolders(route string) []queueroom.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.roster.Keepers(route, h.Copies-1, h.Now())
+	return h.roster.AccountHolders(route, h.Copies-1, h.Now())
 }
 
 // capacityRequest is the state of one reservation.
 type capacityRequest struct {
-	holders  *Holders
+	holders  *WorkerClient
 	workers  []queueroom.Worker
-	question *queueroom.Question
+	question *queueroom.CapacityRequest
 }
 
 // capacityAnswer is the result of one call.
@@ -96,14 +96,14 @@
 			continue
 		}
 		answers = append(answers, reply.answer)
-		reservation.Count = queueroom.Sum(answers)
+		reservation.Count = queueroom.Combine(answers)
 		reservation.Verdict = queueroom.Decide(reservation.Count, len(r.workers), r.question.Tokens, bound)
-		if reservation.Verdict > queueroom.Unkept {
+		if reservation.Verdict > queueroom.Unsupported {
 			return reservation
 		}
 	}
 	if unsupported {
-		reservation.Verdict = queueroom.Unkept
+		reservation.Verdict = queueroom.Unsupported
 	}
 	return reservation
 }
@@ -128,7 +128,7 @@
 
 // callAccountHolder makes one call to an account holder. A failure does not make other calls skip the worker: account holders are called
 // for every job, and a skipped worker would never be asked again to store jobs on disk.
-func (h *Holders) callAccountHolder(ctx context.Context, address string, request *RoomRequest, reply *RoomReply, within time.Duration) error {
+func (h *WorkerClient) callAccountHolder(ctx context.Context, address string, request *RoomRequest, reply *RoomReply, within time.Duration) error {
 	call, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	connection, err := h.Connect(address)
@@ -137,16 +137,16 @@
 	}
 	switch {
 	case err == nil:
-		h.Heard.Answered()
+		h.Reach.Answered()
 	case isUnknownCall(err):
 	case ctx.Err() == nil:
-		h.Heard.Failed(h.Now())
+		h.Reach.Failed(h.Now())
 	}
 	return err
 }
 
-// TellRoom implements jobworker.Accounts.
-func (p *Peers) TellRoom(ctx context.Context, address string, news *queueroom.News) error {
+// ReportQueueUse implements jobworker.Accounts.
+func (p *Peers) ReportQueueUse(ctx context.Context, address string, news *queueroom.Report) error {
 	return p.call(ctx, address, methodRoom, &RoomRequest{News: news}, &RoomReply{})
 }
 
@@ -154,13 +154,13 @@
 func (s *WorkerServer) Room(_ context.Context, request *RoomRequest) (*RoomReply, error) {
 	reply := &RoomReply{}
 	if request.News != nil {
-		s.Worker.LearnRoom(request.News)
+		s.Worker.RecordAccountReport(request.News)
 	}
 	if request.Release != nil {
-		s.Worker.ReleaseRoom(request.Release)
+		s.Worker.ReleaseQueueCapacity(request.Release)
 	}
 	if request.Ask != nil {
-		reply.Answer = s.Worker.Room(request.Ask)
+		reply.Answer = s.Worker.ReserveQueueCapacity(request.Ask)
 	}
 	return reply, nil
 }
--- a/internal/jobpeer/quota.go
+++ b/internal/jobpeer/quota.go
@@ -22,7 +22,7 @@
 
 // QuotaOwner returns the address of the account holder of a tenant's quota: the first worker by rank that is not skipped. The
 // address is empty if there is none. kept is false if workers are known and none of them supports quotas.
-func (h *Holders) QuotaOwner(tenant ident.Tenant) (address string, kept bool) {
+func (h *WorkerClient) QuotaOwner(tenant ident.Tenant) (address string, kept bool) {
 	if len(h.knownWorkers()) == 0 {
 		h.readWorkers(context.Background())
 	}
@@ -46,8 +46,8 @@
 	return address, unsupportedCount == 0 || unsupportedCount < len(h.workers.Value())
 }
 
-// TellQuota reports the admitted requests of tenants to their account holder.
-func (h *Holders) TellQuota(ctx context.Context, address string, spending *quota.Spending) (*quota.Answer, error) {
+// ReportQuota reports the admitted requests of tenants to their account holder.
+func (h *WorkerClient) ReportQuota(ctx context.Context, address string, spending *quota.NodeReport) (*quota.Answer, error) {
 	connection, err := h.Connect(address)
 	answer := &quota.Answer{}
 	if err == nil {
@@ -55,12 +55,12 @@
 	}
 	switch {
 	case err == nil:
-		h.Heard.Answered()
+		h.Reach.Answered()
 		return answer, nil
 	case isUnknownCall(err):
 		h.markQuotaUnsupported(address)
 	case ctx.Err() == nil || context.Cause(ctx) == context.DeadlineExceeded:
-		h.Heard.Failed(h.Now())
+		h.Reach.Failed(h.Now())
 		h.skip(address)
 	}
 	return nil, fmt.Errorf("%w: %s: %w", ErrNoWorker, address, err)
@@ -69,7 +69,7 @@
 // isUnknownCall reports whether a node answered that it does not have the call because its build is older.
 func isUnknownCall(err error) bool { return strings.Contains(err.Error(), "unknown rpc") }
 
-func (h *Holders) markQuotaUnsupported(address string) {
+func (h *WorkerClient) markQuotaUnsupported(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.quotaUnsupported == nil {
@@ -79,8 +79,8 @@
 }
 
 // Quota implements Server.
-func (s *WorkerServer) Quota(_ context.Context, spending *quota.Spending) (*quota.Answer, error) {
-	return s.Ledger.Settle(spending, s.limitOf, s.Worker.Now()), nil
+func (s *WorkerServer) Quota(_ context.Context, spending *quota.NodeReport) (*quota.Answer, error) {
+	return s.Ledger.ApplyReport(spending, s.limitOf, s.Worker.Now()), nil
 }
 
 // limitOf returns the limit of a tenant in the active configuration.
--- a/internal/jobpeer/ration.go
+++ b/internal/jobpeer/ration.go
@@ -10,13 +10,13 @@
 
 // Waiters reports a node's requests that wait for slots; see online.Forwarder.
 type Waiters interface {
-	Waiting() []demand.Waiting
-	Granted()
+	WaitingReport() []demand.Waiting
+	SlotsGranted()
 }
 
 // addWaiting adds the requests waiting for slots to the work for the workers that ration the slots of their service, by
 // address.
-func (o *OnlineWork) addWaiting(owned map[string]demand.Owned, workers []jobrecord.Worker) {
+func (o *OnlineWork) addWaiting(owned map[string]demand.OwnerDemand, workers []jobrecord.Worker) {
 	if o.Waiters == nil {
 		return
 	}
@@ -24,7 +24,7 @@
 	if len(rationers) == 0 {
 		return
 	}
-	waiting := o.Waiters.Waiting()
+	waiting := o.Waiters.WaitingReport()
 	for address, services := range rationers {
 		entry := owned[address]
 		for _, request := range waiting {
@@ -54,5 +54,5 @@
 
 // hasRunnerInZone reports whether this node's zone has runners of a service.
 func (o *OnlineWork) hasRunnerInZone(service string) bool {
-	return slices.ContainsFunc(o.Runners.Of(service), func(runner work.Runner) bool { return runner.Zone == o.Holders.Zone })
+	return slices.ContainsFunc(o.Runners.ReadyRunners(service), func(runner work.Runner) bool { return runner.Zone == o.Holders.Zone })
 }
--- a/internal/jobpeer/ration_test.go
+++ b/internal/jobpeer/ration_test.go
@@ -40,8 +40,8 @@
 		"only another zone has a runner":         {runners: []work.Runner{far}, rationed: "far", reported: "2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			holders := &Holders{Zone: "a", Now: func() time.Time { return now }}
-			holders.Learn([]jobrecord.Worker{{Node: "1", Address: "1", Zone: "a"}, {Node: "2", Address: "2", Zone: "b"}}, now)
+			holders := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
+			holders.UpdateWorkers([]jobrecord.Worker{{Node: "1", Address: "1", Zone: "a"}, {Node: "2", Address: "2", Zone: "b"}}, now)
 			table, requests := runnertable.New("a"), &waitingRequests{}
 			table.Replace(c.runners, now, true)
 			online := &OnlineWork{Holders: holders, Runners: table, Waiters: requests, Now: holders.Now}
--- a/internal/jobpeer/refused_test.go
+++ b/internal/jobpeer/refused_test.go
@@ -169,12 +169,12 @@
 	}
 	for index, name := range f.workers {
 		f.feeds[name].Workers = func() []fleetfeed.Worker { return listed }
-		source := &jobpeer.LeaderFeed{Reader: f.reader(name), InLine: func() bool { return index < 2 }, Connect: f.connect, Now: time.Now}
+		source := &jobpeer.LeaderFeed{Reader: f.reader(name), Eligible: func() bool { return index < 2 }, Connect: f.connect, Now: time.Now}
 		f.start(name, source, f.feeds[name])
 	}
 	for index := range fronts {
-		holders := &jobpeer.Holders{Zone: "z", Connect: f.connect, Now: time.Now}
-		holders.Learn(append([]jobrecord.Worker(nil), list...), time.Now())
+		holders := &jobpeer.WorkerClient{Zone: "z", Connect: f.connect, Now: time.Now}
+		holders.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
 		f.start(fmt.Sprintf("front-%02d", index), &jobpeer.WorkerFeed{Holders: holders, Index: uint64(index)}, nil)
 	}
 	return f
--- a/internal/jobpeer/server.go
+++ b/internal/jobpeer/server.go
@@ -22,15 +22,15 @@
 }
 
 // Results implements Server.
-func (s *WorkerServer) Results(ctx context.Context, query *Query) (*Reply, error) {
+func (s *WorkerServer) Results(ctx context.Context, query *ResultsQuery) (*ResultsReply, error) {
 	wait := min(time.Duration(query.WaitMs)*time.Millisecond, maxQueryWait)
-	held, sure := s.Worker.Held(ctx, query.Job, max(query.From, 0), wait)
-	return &Reply{Sure: sure, Tenant: held.Tenant, Total: held.Total, Results: held.Results}, nil
+	held, sure := s.Worker.RecordedResults(ctx, query.Job, max(query.From, 0), wait)
+	return &ResultsReply{Sure: sure, Tenant: held.Tenant, Total: held.Total, Results: held.Results}, nil
 }
 
 // Body implements Server.
 func (s *WorkerServer) Body(_ context.Context, query *BodyQuery) (*BodyReply, error) {
-	body, tenant, found := s.Worker.HeldBody(query.Job, query.Item)
+	body, tenant, found := s.Worker.ItemBody(query.Job, query.Item)
 	return &BodyReply{Found: found, Tenant: tenant, Body: body}, nil
 }
 
@@ -62,16 +62,16 @@
 
 // TakeBack implements Server.
 func (s *WorkerServer) TakeBack(_ context.Context, recall *lending.Recall) (*TakeBackReply, error) {
-	s.Worker.TakenBack(*recall)
+	s.Worker.ApplyRecall(*recall)
 	return &TakeBackReply{}, nil
 }
 
 // Ends implements Server.
 func (s *WorkerServer) Ends(_ context.Context, request *EndsRequest) (*EndsReply, error) {
-	s.Worker.Ends.Learn(request.Records, request.PassOn)
+	s.Worker.PoisonWatch.ApplyRecords(request.Records, request.PassOn)
 	reply := &EndsReply{}
-	if request.Read != nil && s.Worker.Ends != nil {
-		reply.News = s.Worker.Ends.Book.Since(*request.Read, s.Worker.Now(), false)
+	if request.Read != nil && s.Worker.PoisonWatch != nil {
+		reply.News = s.Worker.PoisonWatch.Book.Since(*request.Read, s.Worker.Now(), false)
 	}
 	return reply, nil
 }
--- a/internal/jobpeer/slots.go
+++ b/internal/jobpeer/slots.go
@@ -14,13 +14,13 @@
 
 // Tenants reports the slots of scarce services that this node's tenants use and wait for; see online.Forwarder.
 type Tenants interface {
-	Uses() []demand.Use
-	Learn(bounds []demand.Bound, asOf time.Time)
+	UsageReport() []demand.Use
+	ApplyBounds(bounds []demand.Bound, asOf time.Time)
 }
 
 // slotsAccountHolder returns the address of the account holder of a service's slots: the first worker by rank that is not skipped.
 // The address is empty if there is none.
-func (h *Holders) slotsAccountHolder(service string) string {
+func (h *WorkerClient) slotsAccountHolder(service string) string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := h.Now()
@@ -38,11 +38,11 @@
 }
 
 // addUses adds the tenants' use of slots to the work for each account holder, by address.
-func (o *OnlineWork) addUses(owned map[string]demand.Owned) {
+func (o *OnlineWork) addUses(owned map[string]demand.OwnerDemand) {
 	if o.Tenants == nil {
 		return
 	}
-	for _, use := range o.Tenants.Uses() {
+	for _, use := range o.Tenants.UsageReport() {
 		address := o.Holders.slotsAccountHolder(use.Service)
 		if address == "" {
 			continue
--- a/internal/jobpeer/slots_test.go
+++ b/internal/jobpeer/slots_test.go
@@ -46,8 +46,8 @@
 	}
 	var first string
 	for _, listed := range [][]jobrecord.Worker{workers, {workers[2], workers[0], workers[1]}} {
-		h := &Holders{Zone: "a", Now: func() time.Time { return now }}
-		h.Learn(listed, now)
+		h := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
+		h.UpdateWorkers(listed, now)
 		work := &OnlineWork{Holders: h, Runners: runnertable.New("a"), Tenants: tenants, Now: h.Now}
 		holder := reportedTo(work, "s")
 		assert.Assert(t, holder != "" && (first == "" || first == holder))
@@ -65,8 +65,8 @@
 func TestBoundsInAnswersArePassedOn(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	tenants := &tenantUses{}
-	work := &OnlineWork{Holders: &Holders{Now: func() time.Time { return now }}, Runners: runnertable.New("a"), Tenants: tenants}
-	bounds := []demand.Bound{{Service: "s", Tenant: ident.Tenant("hot"), Places: 2}}
+	work := &OnlineWork{Holders: &WorkerClient{Now: func() time.Time { return now }}, Runners: runnertable.New("a"), Tenants: tenants}
+	bounds := []demand.Bound{{Service: "s", Tenant: ident.Tenant("hot"), Slots: 2}}
 	work.Take("1", &demand.Answer{Bounds: bounds}, now)
 	work.Take("2", &demand.Answer{}, now)
 	assert.DeepEqual(t, tenants.learned, bounds)
--- a/internal/jobpeer/zones_test.go
+++ b/internal/jobpeer/zones_test.go
@@ -63,11 +63,11 @@
 			}
 		}
 		table, logged := runnertable.New("z0"), &lines{}
-		holders := &jobpeer.Holders{Zone: "z0", Connect: f.connect("front"), Now: time.Now}
-		holders.Learn(append([]jobrecord.Worker(nil), f.list...), time.Now())
+		holders := &jobpeer.WorkerClient{Zone: "z0", Connect: f.connect("front"), Now: time.Now}
+		holders.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
 		online := &jobpeer.OnlineWork{Holders: holders, Runners: table, Logger: zerolog.New(logged), Now: time.Now}
-		teller := demand.NewTeller("front", online, time.Now)
-		teller.Tell = online.Tell
+		teller := demand.NewReporter("front", online, time.Now)
+		teller.Send = online.Report
 		teller.Start(f.tomb)
 		time.Sleep(5 * time.Second)
 		f.setPartitioned(true, isolated[0])
@@ -76,12 +76,12 @@
 		f.setPartitioned(true, isolated...)
 		time.Sleep(cutKnownWithin)
 		assert.Equal(t, logged.count("zone_out_of_reach"), 1)
-		assert.Assert(t, !table.ZoneDoubted("z2").IsZero() && table.ZoneDoubted("z1").IsZero())
+		assert.Assert(t, !table.ZoneSuspectedSince("z2").IsZero() && table.ZoneSuspectedSince("z1").IsZero())
 		time.Sleep(5 * time.Second)
 		f.setPartitioned(false, isolated...)
 		time.Sleep(backKnownWithin)
 		assert.Equal(t, logged.count("zone_back"), 1)
-		assert.Assert(t, table.ZoneDoubted("z2").IsZero())
+		assert.Assert(t, table.ZoneSuspectedSince("z2").IsZero())
 		close(finished)
 		f.tomb.Kill(nil)
 		assert.NilError(t, f.tomb.Wait())
--- a/internal/jobworker/accounts.go
+++ b/internal/jobworker/accounts.go
@@ -14,8 +14,8 @@
 
 // Accounts calls the workers that hold the accounts of waiting tokens.
 type Accounts interface {
-	// TellRoom sends the worker at an address the jobs that this one stores and runs.
-	TellRoom(ctx context.Context, address string, report *queueroom.News) error
+	// ReportQueueUse sends the worker at an address the jobs that this one stores and runs.
+	ReportQueueUse(ctx context.Context, address string, report *queueroom.Report) error
 }
 
 const (
@@ -45,72 +45,72 @@
 	holderSince map[string]time.Time
 }
 
-// Room reserves capacity in the queue for a job of another node, and returns the tokens that wait beside it, or nil while
+// ReserveQueueCapacity reserves capacity in the queue for a job of another node, and returns the tokens that wait beside it, or nil while
 // this worker knows too little to answer.
-func (w *Worker) Room(question *queueroom.Question) *queueroom.Answer {
+func (w *Worker) ReserveQueueCapacity(question *queueroom.CapacityRequest) *queueroom.Answer {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
-	if w.StartsAgain && now.Sub(w.started) < accountSilentPeriod {
+	if w.Restarted && now.Sub(w.started) < accountSilentPeriod {
 		return nil
 	}
 	w.recordOwnJobs(now)
 	holderSince, isHolder := w.account.holderSince[question.Route]
 	sure := isHolder && w.account.revision > 0 && now.Sub(holderSince) >= accountSettlePeriod
-	return w.account.ledger.Place(question, sure, w.account.revision, now)
+	return w.account.ledger.Reserve(question, sure, w.account.revision, now)
 }
 
 // canCountWaiting reports whether this worker can count the waiting tokens by itself: it follows the open jobs, and has
 // received the reports of what was in progress when it was restarted. The caller must hold the mutex.
 func (w *Worker) canCountWaiting() bool {
-	settled := !w.StartsAgain || w.Now().Sub(w.started) >= accountSettlePeriod
+	settled := !w.Restarted || w.Now().Sub(w.started) >= accountSettlePeriod
 	return w.Accounts == nil || (settled && w.account.revision > 0)
 }
 
-// ReleaseRoom releases the capacity reserved by an attempt.
-func (w *Worker) ReleaseRoom(release *queueroom.Release) {
+// ReleaseQueueCapacity releases the capacity reserved by an attempt.
+func (w *Worker) ReleaseQueueCapacity(release *queueroom.Release) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.account.ledger.Release(release)
 }
 
-// LearnRoom stores a report of what another worker stores and runs.
-func (w *Worker) LearnRoom(update *queueroom.News) {
+// RecordAccountReport stores a report of what another worker stores and runs.
+func (w *Worker) RecordAccountReport(update *queueroom.Report) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.account.ledger.Learn(update, w.Now())
+	w.account.ledger.Apply(update, w.Now())
 }
 
 // recordOwnJobs stores what this worker runs itself. The caller must hold the mutex.
 func (w *Worker) recordOwnJobs(now time.Time) {
-	update := &queueroom.News{}
+	update := &queueroom.Report{}
 	for id, job := range w.jobs {
-		update.Left = append(update.Left, queueroom.Left{Job: id, Tokens: job.unfinishedTokens()})
+		update.Left = append(update.Left, queueroom.UnfinishedJob{Job: id, Tokens: job.unfinishedTokens()})
 	}
-	w.account.ledger.Learn(update, now)
+	w.account.ledger.Apply(update, now)
 }
 
 // handoffJobs returns the jobs on this worker's disk. It may wait for the disk and must not be called under the mutex.
-func (w *Worker) handoffJobs() []queueroom.Kept {
+func (w *Worker) handoffJobs() []queueroom.DiskJob {
 	if w.Handoff == nil {
 		return nil
 	}
-	var stored []queueroom.Kept
+	var stored []queueroom.DiskJob
 	for _, entry := range w.Handoff.Entries() {
 		stored = append(stored, handoffJob(entry.Job, entry.Queue(), entry.Tokens))
 	}
 	return stored
 }
 
-func handoffJob(job ident.Job, queue jobrecord.Queue, tokens int) queueroom.Kept {
-	return queueroom.Kept{Route: queue.Route, Tenant: queue.Tenant, Held: queueroom.Held{Job: job, Tokens: tokens}}
+func handoffJob(job ident.Job, queue jobrecord.Queue, tokens int) queueroom.DiskJob {
+	return queueroom.DiskJob{Route: queue.Route, Tenant: queue.Tenant, ReservedJob: queueroom.ReservedJob{Job: job, Tokens: tokens}}
 }
 
 // queuedTokens returns the tokens that wait in a queue, in the view of this worker alone. The caller must hold the mutex.
 func (w *Worker) queuedTokens(queue jobrecord.Queue) int {
 	now := w.Now()
 	w.recordOwnJobs(now)
-	return w.account.ledger.Waits(queue.Route, queue.Tenant, now)
+	return w.account.ledger.QueuedTokens(queue.Route, queue.Tenant, now)
 }
 
 // updateAccount stores the open jobs and the registered workers. The caller must hold the mutex.
@@ -119,7 +119,7 @@
 	for _, worker := range w.live.Workers {
 		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
-	w.account.roster.Note(registered, now)
+	w.account.roster.Update(registered, now)
 	for _, open := range w.live.Open {
 		w.account.ledger.List(handoffJob(open.ID, jobrecord.Queue{Route: open.Route, Tenant: open.Tenant}, open.Tokens), now)
 	}
@@ -131,12 +131,12 @@
 func (w *Worker) updateHeldRoutes(now time.Time) {
 	sinceByRoute := map[string]time.Time{}
 	for _, route := range w.boundedRoutes() {
-		holders := w.account.roster.Keepers(route.Name, w.Tolerance, now)
+		holders := w.account.roster.AccountHolders(route.Name, w.Tolerance, now)
 		if !slices.ContainsFunc(holders, func(holder queueroom.Worker) bool { return holder.Node == w.Node }) {
 			continue
 		}
 		holderSince, known := w.account.holderSince[route.Name]
-		if !known && (w.StartsAgain || now.Sub(w.started) >= accountSettlePeriod) {
+		if !known && (w.Restarted || now.Sub(w.started) >= accountSettlePeriod) {
 			holderSince = now
 			event.AccountBegun.Log(w.Logger).Str("route", route.Name).Int("keepers", len(holders)).Send()
 		}
@@ -166,10 +166,10 @@
 	unresponsive := map[string]bool{}
 	for w.pause(accountReportEvery) {
 		stored := w.handoffJobs()
-		w.LearnRoom(&queueroom.News{Kept: stored})
+		w.RecordAccountReport(&queueroom.Report{Kept: stored})
 		for address, update := range w.accountUpdates(stored) {
 			ctx, cancel := context.WithTimeout(w.ctx, accountReportTimeout)
-			err := w.Accounts.TellRoom(ctx, address, update)
+			err := w.Accounts.ReportQueueUse(ctx, address, update)
 			cancel()
 			if err != nil && !unresponsive[address] {
 				event.AccountNotTold.Log(w.Logger).Str("address", address).Err(err).Send()
@@ -181,25 +181,25 @@
 }
 
 // accountUpdates returns the reports to send, by the address of the account holder.
-func (w *Worker) accountUpdates(stored []queueroom.Kept) map[string]*queueroom.News {
+func (w *Worker) accountUpdates(stored []queueroom.DiskJob) map[string]*queueroom.Report {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
 	if len(stored) == 0 && len(w.jobs) == 0 {
 		return nil
 	}
-	updates := map[string]*queueroom.News{}
+	updates := map[string]*queueroom.Report{}
 	for _, route := range w.boundedRoutes() {
 		update := w.accountUpdate(route, stored)
 		if len(update.Kept) == 0 && len(update.Left) == 0 {
 			continue
 		}
-		for _, holder := range w.account.roster.Keepers(route.Name, w.Tolerance, now) {
+		for _, holder := range w.account.roster.AccountHolders(route.Name, w.Tolerance, now) {
 			if holder.Node == w.Node {
 				continue
 			}
 			if updates[holder.Address] == nil {
-				updates[holder.Address] = &queueroom.News{}
+				updates[holder.Address] = &queueroom.Report{}
 			}
 			all := updates[holder.Address]
 			all.Kept, all.Left = append(all.Kept, update.Kept...), append(all.Left, update.Left...)
@@ -210,19 +210,19 @@
 
 // accountUpdate returns the report for a route: the jobs on this worker's disk, and, if much is waiting, the remaining
 // tokens of those that run here. The caller must hold the mutex.
-func (w *Worker) accountUpdate(route *work.Route, stored []queueroom.Kept) queueroom.News {
-	var update queueroom.News
+func (w *Worker) accountUpdate(route *work.Route, stored []queueroom.DiskJob) queueroom.Report {
+	var update queueroom.Report
 	for _, job := range stored {
 		if job.Route == route.Name {
 			update.Kept = append(update.Kept, job)
 		}
 	}
-	if float64(w.account.ledger.Waits(route.Name, "", w.Now())) < leftReportFraction*float64(route.MaximumQueuedTokens) {
+	if float64(w.account.ledger.QueuedTokens(route.Name, "", w.Now())) < leftReportFraction*float64(route.MaximumQueuedTokens) {
 		return update
 	}
 	for id, job := range w.jobs {
 		if left := job.unfinishedTokens(); job.header.Route == route.Name && left < job.header.Tokens {
-			update.Left = append(update.Left, queueroom.Left{Job: id, Tokens: left})
+			update.Left = append(update.Left, queueroom.UnfinishedJob{Job: id, Tokens: left})
 		}
 	}
 	return update
--- a/internal/jobworker/assign.go
+++ b/internal/jobworker/assign.go
@@ -26,8 +26,8 @@
 	if w.draining || w.memory.full(now) || !now.Before(w.leaseUntil.Add(-leaseMargin)) {
 		return report
 	}
-	report.Waiting, report.Places = w.found.waiting, w.found.slots
-	if report.Places > 0 {
+	report.Waiting, report.Slots = w.found.waiting, w.found.slots
+	if report.Slots > 0 {
 		report.Lease = int64(w.lease)
 	}
 	return report
--- a/internal/jobworker/assign_test.go
+++ b/internal/jobworker/assign_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		batch := worker.Demand(&demand.Report{Node: "front", Sequence: time.Now().UnixNano()}).Batch
-		if batch.Lease != 0 && batch.Places > 0 {
+		if batch.Lease != 0 && batch.Slots > 0 {
 			return kv.LeaseID(batch.Lease)
 		}
 	}
--- a/internal/jobworker/borrow.go
+++ b/internal/jobworker/borrow.go
@@ -88,7 +88,7 @@
 	var calls []borrowCall
 	for node, worker := range w.workers {
 		state := w.lender(node)
-		due := len(held[node]) > 0 && now.Sub(state.calledAt) >= lending.RenewEvery
+		due := len(held[node]) > 0 && now.Sub(state.calledAt) >= lending.RenewInterval
 		if node == w.Node || state.calling || (!due && len(wants[node]) == 0) {
 			continue
 		}
@@ -126,7 +126,7 @@
 	for _, runner := range w.Runners.All() {
 		running := w.Runners.Own(runner.ID, runnertable.Batch)
 		if owner := w.ownerOf(runner); running > 0 && owner != w.Node {
-			held[owner] = append(held[owner], lending.Count{Runner: runner.ID, Places: running})
+			held[owner] = append(held[owner], lending.Count{Runner: runner.ID, Slots: running})
 		}
 	}
 	return held
@@ -172,7 +172,7 @@
 		if part <= 0 {
 			return
 		}
-		wants[owner] = append(wants[owner], lending.Want{Service: service, Places: part})
+		wants[owner] = append(wants[owner], lending.Want{Service: service, Slots: part})
 		slots -= part
 	}
 }
@@ -227,7 +227,7 @@
 // slots. The caller must hold the mutex.
 func (w *Worker) usableSlots(service string, now time.Time) int {
 	slots := w.serviceSlots(service, now)
-	for _, runner := range w.Runners.Of(service) {
+	for _, runner := range w.Runners.ReadyRunners(service) {
 		if !w.owns(runner) {
 			slots += w.borrowedSlots(runner.ID, now)
 		}
@@ -238,7 +238,7 @@
 // freeSlots returns how many items of a service could start now in own and borrowed slots. The caller must hold the mutex.
 func (w *Worker) freeSlots(service string, now time.Time) int {
 	free := w.spareSlots(w.owned(service), now)
-	for _, runner := range w.Runners.Of(service) {
+	for _, runner := range w.Runners.ReadyRunners(service) {
 		if !w.owns(runner) && w.Runners.FailureRate(runner.ID, now) <= maxFailureRate {
 			free += w.freeBorrowedSlots(runner.ID, now)
 		}
@@ -327,7 +327,7 @@
 		state.notBefore, state.refusedAt = now.Add(unresponsiveBackoff), now
 		return
 	}
-	if len(call.request.Wants) > 0 && totalSlots(reply.Places) <= totalSlots(call.request.Held) {
+	if len(call.request.Wants) > 0 && totalSlots(reply.Slots) <= totalSlots(call.request.Held) {
 		state.notBefore, state.refusedAt = now.Add(refusalBackoff), now
 	}
 	w.applyLoan(call, reply)
@@ -336,7 +336,7 @@
 func totalSlots(counts []lending.Count) int {
 	sum := 0
 	for _, count := range counts {
-		sum += count.Places
+		sum += count.Slots
 	}
 	return sum
 }
@@ -346,7 +346,7 @@
 	if w.borrowed == nil {
 		w.borrowed = map[ident.Incarnation]*borrowed{}
 	}
-	for _, count := range reply.Places {
+	for _, count := range reply.Slots {
 		loan := w.borrowed[count.Runner]
 		if loan == nil {
 			loan = &borrowed{}
@@ -356,8 +356,8 @@
 		if loan.recalledAt.After(call.sent) {
 			continue
 		}
-		loan.slots = count.Places
-		w.preempt(count.Runner, w.Runners.Own(count.Runner, runnertable.Batch)-count.Places)
+		loan.slots = count.Slots
+		w.preempt(count.Runner, w.Runners.Own(count.Runner, runnertable.Batch)-count.Slots)
 	}
 	for id, loan := range w.borrowed {
 		if !call.sent.Before(loan.expires) {
@@ -366,8 +366,8 @@
 	}
 }
 
-// TakenBack returns slots that another worker lent and now recalls. The runs that are last in order there are preempted.
-func (w *Worker) TakenBack(recall lending.Recall) {
+// ApplyRecall returns slots that another worker lent and now recalls. The runs that are last in order there are preempted.
+func (w *Worker) ApplyRecall(recall lending.Recall) {
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -376,6 +376,6 @@
 		return
 	}
 	loan.recalledAt = now
-	loan.slots = max(loan.slots-recall.Places, 0)
+	loan.slots = max(loan.slots-recall.Slots, 0)
 	w.preempt(recall.Runner, w.Runners.Own(recall.Runner, runnertable.Batch)-loan.slots)
 }
--- a/internal/jobworker/borrow_test.go
+++ b/internal/jobworker/borrow_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	worker.TakenBack(recall)
+	worker.ApplyRecall(recall)
 	return nil
 }
 
--- a/internal/jobworker/demand.go
+++ b/internal/jobworker/demand.go
@@ -13,9 +13,9 @@
 // this node knows of the work at the runners it owns.
 func (w *Worker) Demand(report *demand.Report) *demand.Answer {
 	now := w.Now()
-	answered := w.demand.Heard(report.Node)
-	changed := w.demand.Take(report, now)
-	w.Runners.HearCounts(report.Counts, now)
+	answered := w.demand.LastReport(report.Node)
+	changed := w.demand.Record(report, now)
+	w.Runners.UpdatePaces(report.Counts, now)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.orphanRuns.observeAge(report, now)
@@ -36,8 +36,8 @@
 	answer.Shares = append(answer.Shares, w.unownedShares(report, now)...)
 	answer.Batch = w.batchReport(now)
 	answer.Bounds = w.tenantBounds(report, now)
-	if w.Ends != nil {
-		answer.Ends = w.Ends.Book.Since(report.EndsRead, now, true)
+	if w.PoisonWatch != nil {
+		answer.Ends = w.PoisonWatch.Book.Since(report.EndsRead, now, true)
 	}
 	return answer
 }
@@ -75,7 +75,7 @@
 
 // excessAt returns how many items at a runner do not fit beside its online work. The caller must hold the mutex.
 func (w *Worker) excessAt(runner work.Runner, now time.Time) int {
-	return batchroom.Excess(runner.Slots, w.batchRunsAt(runner.ID, now), w.demand.Online(runner.ID, "", now))
+	return batchroom.ExcessItems(runner.Slots, w.batchRunsAt(runner.ID, now), w.demand.Online(runner.ID, "", now))
 }
 
 // preemptDelay returns how long online work at a runner may wait for a slot, or zero if no route defines it.
@@ -181,13 +181,13 @@
 			continue
 		}
 		share := demand.Share{
-			Runner:  runner.ID,
-			Others:  w.demand.Online(runner.ID, node, now),
-			Batch:   w.batchRunsAt(runner.ID, now),
-			Silent:  w.unresponsive(runner.ID),
-			Orphans: w.orphanRuns.runsAt(runner.ID, now),
+			Runner:       runner.ID,
+			Others:       w.demand.Online(runner.ID, node, now),
+			Batch:        w.batchRunsAt(runner.ID, now),
+			Unresponsive: w.unresponsive(runner.ID),
+			Orphans:      w.orphanRuns.runsAt(runner.ID, now),
 		}
-		w.Runners.PaceNews(&share, answered, now)
+		w.Runners.AddPaceUpdate(&share, answered, now)
 		w.addTokens(&share, node, now)
 		answer.Shares = append(answer.Shares, share)
 	}
--- a/internal/jobworker/demand_test.go
+++ b/internal/jobworker/demand_test.go
@@ -47,7 +47,7 @@
 	w.jobs["job"] = job
 	ended := make([]bool, 4)
 	for index := range ended {
-		_, err := runners.StartAt("r", runnertable.Wish{Service: "s", Class: runnertable.Batch}, now)
+		_, err := runners.StartAt("r", runnertable.PickRequest{Service: "s", Class: runnertable.Batch}, now)
 		assert.NilError(t, err)
 		job.items = append(job.items, &itemRun{job: job, index: index, running: true, runner: "r", cancel: func() { ended[index] = true }})
 	}
