--- a/internal/jobworker/dispatch.go
+++ b/internal/jobworker/dispatch.go
@@ -148,7 +148,7 @@
 func (w *Worker) pickBorrowedRunner(service string, avoid map[ident.Incarnation]bool, now time.Time) (ident.Incarnation, bool) {
 	var best work.Runner
 	bestFree := 0.0
-	for _, runner := range w.Runners.Of(service) {
+	for _, runner := range w.Runners.ReadyRunners(service) {
 		if w.owns(runner) || avoid[runner.ID] || w.Runners.FailureRate(runner.ID, now) > maxFailureRate {
 			continue
 		}
@@ -187,7 +187,7 @@
 // owned returns the runners of a service to which this node assigns batch items. The caller must hold the mutex.
 func (w *Worker) owned(service string) []work.Runner {
 	var owned []work.Runner
-	for _, runner := range w.Runners.Of(service) {
+	for _, runner := range w.Runners.ReadyRunners(service) {
 		if w.owns(runner) {
 			owned = append(owned, runner)
 		}
@@ -224,23 +224,23 @@
 			continue
 		}
 		free += w.free(runner, now)
-		if !w.gaugeOf(runner.ID).gauge.Blind(now) {
+		if !w.gaugeOf(runner.ID).gauge.Stale(now) {
 			// A runner without a known load already keeps all slots but one free.
 			slots += runner.Slots
 		}
 	}
 	if w.demand.Any(now) {
-		free -= batchroom.Kept(slots)
+		free -= batchroom.OwnerReserve(slots)
 	}
 	return max(free, 0)
 }
 
 // free returns how many more items a single runner could take. The caller must hold the mutex.
 func (w *Worker) free(runner work.Runner, now time.Time) int {
-	reported := batchroom.Told{
-		Online: w.demand.Online(runner.ID, "", now), Any: w.demand.Any(now), Orphans: w.orphanRuns.runsAt(runner.ID, now),
+	reported := batchroom.ReportedWork{
+		Online: w.demand.Online(runner.ID, "", now), Reported: w.demand.Any(now), Orphans: w.orphanRuns.runsAt(runner.ID, now),
 	}
-	return w.orphanRuns.limitFree(runner.ID, w.gaugeOf(runner.ID).gauge.Room(runner.Slots, w.batchRunsAt(runner.ID, now), reported, now), now)
+	return w.orphanRuns.limitFree(runner.ID, w.gaugeOf(runner.ID).gauge.FreeSlots(runner.Slots, w.batchRunsAt(runner.ID, now), reported, now), now)
 }
 
 // gaugeOf returns the gauge of a runner, creating it if necessary. The caller must hold the mutex.
@@ -259,14 +259,14 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, service := range w.polledServices(now) {
-		for _, runner := range w.Runners.Of(service) {
+		for _, runner := range w.Runners.ReadyRunners(service) {
 			if w.pollsRunner(runner, now) {
 				w.pollIfDue(runner, w.Options.ReportEvery, now)
 			}
 		}
 	}
 	for _, runner := range w.orphanedRunners(now) {
-		w.pollIfDue(runner, w.orphanRuns.watch.ReadEvery(w.Options.ReportEvery, now), now)
+		w.pollIfDue(runner, w.orphanRuns.watch.ReadInterval(w.Options.ReportEvery, now), now)
 	}
 }
 
@@ -316,15 +316,15 @@
 	if err != nil {
 		return
 	}
-	w.Runners.NoteMemory(runner.ID, load.Memory)
+	w.Runners.SetMemory(runner.ID, load.Memory)
 	now := w.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.orphanRuns.recordReport(runner.ID, load, now)
 	gauge := &w.gaugeOf(runner.ID).gauge
-	_, lent := w.lent.At(runner.ID, now)
+	_, lent := w.lent.LentAt(runner.ID, now)
 	gauge.Observe(load, w.reportedOwnRuns(runner.ID, now)+lent, w.demand.Online(runner.ID, "", now), now)
-	w.reclaimSlots(runner.ID, gauge.Yield(w.batchRunsAt(runner.ID, now)))
+	w.reclaimSlots(runner.ID, gauge.Preemptions(w.batchRunsAt(runner.ID, now)))
 }
 
 // reportedOwnRuns counts this node's items at a runner that the runner's report can include. The caller must hold the
@@ -365,7 +365,7 @@
 
 // start runs an item at a runner and reports whether it was started.
 func (w *Worker) start(item *itemRun, service string, route *work.Route, id ident.Incarnation, now time.Time) bool {
-	wish := runnertable.Wish{Service: service, Class: runnertable.Batch, Tokens: item.item.Tokens, Bytes: len(item.body)}
+	wish := runnertable.PickRequest{Service: service, Class: runnertable.Batch, Tokens: item.item.Tokens, Bytes: len(item.body)}
 	flight, err := w.Runners.StartAt(id, wish, now)
 	if err != nil {
 		return false
--- a/internal/jobworker/fairness.go
+++ b/internal/jobworker/fairness.go
@@ -21,7 +21,7 @@
 // tenantBounds stores what a node reported of tenants and returns the bounds it must keep to. The caller must hold the
 // mutex.
 func (w *Worker) tenantBounds(report *demand.Report, now time.Time) []demand.Bound {
-	w.tenants.Take(report, now)
+	w.tenants.Record(report, now)
 	bounds := w.tenants.Bounds(report, w.fleetFor, now)
 	if len(bounds) > 0 && now.Sub(w.overShareLogged) >= overShareLogEvery {
 		w.overShareLogged = now
@@ -60,7 +60,7 @@
 			}
 		}
 		event.TenantsOverShare.Log(w.Logger).Str("service", summary.Service).Int("nodes", summary.Nodes).Int("taken", summary.Taken).
-			Int("waiting", summary.Waiting).Int("places", summary.Places).Dict("wants_share", named).
+			Int("waiting", summary.Waiting).Int("places", summary.Slots).Dict("wants_share", named).
 			Int("others", max(len(summary.Over)-overShareLogTenants, 0)).Send()
 	}
 }
--- a/internal/jobworker/fairness_test.go
+++ b/internal/jobworker/fairness_test.go
@@ -132,7 +132,7 @@
 	report.Uses = []demand.Use{{Service: "s", Tenant: "hot", Taken: 3, Waiting: 9}, {Service: "s", Tenant: "lesser", Taken: 3, Waiting: 9}}
 	bounds := w.Demand(report).Bounds
 	assert.DeepEqual(t, bounds, []demand.Bound{
-		{Service: "s", Places: 6}, {Service: "s", Tenant: "hot", Places: 4}, {Service: "s", Tenant: "lesser", Places: 2},
+		{Service: "s", Slots: 6}, {Service: "s", Tenant: "hot", Slots: 4}, {Service: "s", Tenant: "lesser", Slots: 2},
 	})
-	assert.DeepEqual(t, w.Demand(demandReport("older", 2, 1)).Bounds, []demand.Bound{{Service: "s", Places: 6}})
+	assert.DeepEqual(t, w.Demand(demandReport("older", 2, 1)).Bounds, []demand.Bound{{Service: "s", Slots: 6}})
 }
--- a/internal/jobworker/follow.go
+++ b/internal/jobworker/follow.go
@@ -23,10 +23,10 @@
 }
 
 const (
-	// ReadersInLine is how many workers are asked for the open jobs before a worker reads the store itself: the first by
+	// MaxReaders is how many workers are asked for the open jobs before a worker reads the store itself: the first by
 	// name, then the next one if the first does not answer. With a single reader, all others would read the store until
 	// the lease of a dead reader expires.
-	ReadersInLine = 2
+	MaxReaders = 2
 	// readerBackoff is how long a worker that did not answer, or answered with outdated data, is skipped.
 	readerBackoff = 1500 * time.Millisecond
 	// readerCallMargin is the time a call to a reader may take beyond its wait.
@@ -83,11 +83,11 @@
 
 // readsForAll reports whether this worker is one of the readers that others ask. The caller must hold the mutex.
 func (w *Worker) readsForAll() bool {
-	return slices.Contains(firstByName(w.workers, ReadersInLine), w.Node)
+	return slices.Contains(firstByName(w.workers, MaxReaders), w.Node)
 }
 
-// ReadsForAll reports whether this worker is one of the readers that others ask.
-func (w *Worker) ReadsForAll() bool {
+// IsReader reports whether this worker is one of the readers that others ask.
+func (w *Worker) IsReader() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.readsForAll()
@@ -144,8 +144,8 @@
 	}
 	w.Records.Apply(w.live, update)
 	w.reconcile()
-	if w.Followed != nil {
-		w.Followed()
+	if w.OnLiveChanged != nil {
+		w.OnLiveChanged()
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 	if len(w.workers) == 0 {
 		return w.nextSeed()
 	}
-	for _, node := range firstByName(w.workers, ReadersInLine) {
+	for _, node := range firstByName(w.workers, MaxReaders) {
 		if node == w.Node {
 			return "", false
 		}
@@ -180,7 +180,7 @@
 
 // nextSeed returns the seeds in the settings in rotation. The caller must hold the mutex.
 func (w *Worker) nextSeed() (string, bool) {
-	if len(w.Seeds) == 0 || slices.Contains(w.Seeds, w.Address) || w.Now().Sub(w.started) > w.SeedsFor {
+	if len(w.Seeds) == 0 || slices.Contains(w.Seeds, w.Address) || w.Now().Sub(w.started) > w.SeedPeriod {
 		return "", false
 	}
 	w.seedCalls++
--- a/internal/jobworker/handoff.go
+++ b/internal/jobworker/handoff.go
@@ -22,12 +22,12 @@
 // is some hundred milliseconds old, and other workers store jobs at the same moment.
 const handoffBoundFraction = 0.85
 
-// Keep writes a job to this node's disk until the store accepts it. bound limits the tokens that may wait on the route
+// StoreHandoff writes a job to this node's disk until the store accepts it. bound limits the tokens that may wait on the route
 // (zero means no bound, or that the job's capacity is reserved), copies is the number of workers that store each job. A
 // nil error means that the job is durable here; any other error is a *failure.Error, with the outcome NotRun if the job is
 // not stored here.
-func (w *Worker) Keep(entry *handoff.Entry, bound, copies int) error {
-	if w.Keeps(entry.Job) {
+func (w *Worker) StoreHandoff(entry *handoff.Entry, bound, copies int) error {
+	if w.HasHandoff(entry.Job) {
 		return nil
 	}
 	waiting, refused := w.checkHandoff(entry, bound, copies)
@@ -47,7 +47,7 @@
 		}
 		return failed.WithRetryAfter(handoffRetryAfter)
 	}
-	w.LearnRoom(&queueroom.News{Kept: []queueroom.Kept{handoffJob(entry.Job, entry.Queue(), entry.Tokens())}})
+	w.RecordAccountReport(&queueroom.Report{Kept: []queueroom.DiskJob{handoffJob(entry.Job, entry.Queue(), entry.Tokens())}})
 	event.JobKept.Log(w.Logger).Str("job", string(entry.Job)).Int("items", len(entry.Items)).Int("turn", entry.Turn).
 		Int("tokens", entry.Tokens()).Int("waiting", waiting).Send()
 	return nil
@@ -106,8 +106,8 @@
 // their jobs over within two more.
 const doubtPeriod = 5 * time.Second
 
-// DoubtsWorkers reports whether workers with stored jobs may be missing from the registered ones.
-func (w *Worker) DoubtsWorkers() bool {
+// MayMissWorkers reports whether workers with stored jobs may be missing from the registered ones.
+func (w *Worker) MayMissWorkers() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
@@ -119,8 +119,8 @@
 
 func (w *Worker) hasPendingHandoffs() bool { return w.Handoff != nil && len(w.Handoff.Entries()) > 0 }
 
-// Keeps reports whether a job is on this node's disk and not known to be in the store.
-func (w *Worker) Keeps(job ident.Job) bool {
+// HasHandoff reports whether a job is on this node's disk and not known to be in the store.
+func (w *Worker) HasHandoff(job ident.Job) bool {
 	return w.Handoff != nil && w.Handoff.Has(job)
 }
 
--- a/internal/jobworker/handoff_test.go
+++ b/internal/jobworker/handoff_test.go
@@ -23,19 +23,19 @@
 		return log
 	}
 	w.Handoff = opened()
-	assert.Assert(t, !w.DoubtsWorkers(), "a new site does not doubt its workers")
+	assert.Assert(t, !w.MayMissWorkers(), "a new site does not doubt its workers")
 	w.Handoff = opened()
-	assert.Assert(t, w.DoubtsWorkers(), "a restarted worker may have missed an outage")
+	assert.Assert(t, w.MayMissWorkers(), "a restarted worker may have missed an outage")
 	now = now.Add(doubtPeriod)
-	assert.Assert(t, !w.DoubtsWorkers())
+	assert.Assert(t, !w.MayMissWorkers())
 	w.recordRenewal(true)
 	now = now.Add(w.Options.OutageAfter + time.Millisecond)
-	assert.Assert(t, w.DoubtsWorkers())
+	assert.Assert(t, w.MayMissWorkers())
 	w.recordRenewal(false)
 	now = now.Add(doubtPeriod - time.Millisecond)
-	assert.Assert(t, w.DoubtsWorkers())
+	assert.Assert(t, w.MayMissWorkers())
 	now = now.Add(time.Millisecond)
-	assert.Assert(t, !w.DoubtsWorkers())
+	assert.Assert(t, !w.MayMissWorkers())
 }
 
 // TestWorkerKnowsWhichJobsTheStoreHas asks for an open job, one that was finished here, and an unknown one.
--- a/internal/jobworker/lend.go
+++ b/internal/jobworker/lend.go
@@ -15,8 +15,8 @@
 type Lenders interface {
 	// Borrow asks the worker at an address for slots at the runners that it owns.
 	Borrow(ctx context.Context, address string, request *lending.Request) (*lending.Reply, error)
-	// TakeBack recalls slots that the worker at an address borrowed.
-	TakeBack(ctx context.Context, address string, recall lending.Recall) error
+	// Recall recalls slots that the worker at an address borrowed.
+	Recall(ctx context.Context, address string, recall lending.Recall) error
 }
 
 // recallTimeout bounds a recall. A borrower that misses it finds out with its next renewal.
@@ -33,7 +33,7 @@
 			w.lendSlots(request.Node, want, now)
 		}
 	}
-	return &lending.Reply{Places: w.lent.To(request.Node)}
+	return &lending.Reply{Slots: w.lent.LentTo(request.Node)}
 }
 
 // lendSlots lends slots one at a time, each at the runner with the most free slots. The caller must hold the mutex.
@@ -46,7 +46,7 @@
 		return
 	}
 	owned := w.owned(want.Service)
-	for range want.Places {
+	for range want.Slots {
 		id, found := w.pickFrom(owned, nil, now)
 		if !found {
 			return
@@ -58,7 +58,7 @@
 // batchRunsAt returns the batch work at a runner known to this node: its own runs and the slots that it lent. The caller
 // must hold the mutex.
 func (w *Worker) batchRunsAt(id ident.Incarnation, now time.Time) int {
-	lent, _ := w.lent.At(id, now)
+	lent, _ := w.lent.LentAt(id, now)
 	return w.Runners.Own(id, runnertable.Batch) + lent
 }
 
@@ -82,22 +82,22 @@
 	if count <= 0 {
 		return
 	}
-	orders, recalled := w.lent.TakeBack(id, count, w.Now())
+	orders, recalled := w.lent.Recall(id, count, w.Now())
 	for _, order := range orders {
 		w.tomb.Go(func() error { w.takeBack(order); return nil })
 	}
 	w.preempt(id, count-recalled)
 }
 
-func (w *Worker) takeBack(order lending.Order) {
+func (w *Worker) takeBack(order lending.AddressedRecall) {
 	if w.Lenders == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, recallTimeout)
 	defer cancel()
-	if err := w.Lenders.TakeBack(ctx, order.Address, order.Recall); err != nil {
+	if err := w.Lenders.Recall(ctx, order.Address, order.Recall); err != nil {
 		event.LendingFailed.Log(w.Logger).Str("doing", "recalling slots").Str("worker", order.Address).
-			Str("runner", string(order.Recall.Runner)).Int("places", order.Recall.Places).Err(err).Send()
+			Str("runner", string(order.Recall.Runner)).Int("places", order.Recall.Slots).Err(err).Send()
 	}
 }
 
--- a/internal/jobworker/lend_test.go
+++ b/internal/jobworker/lend_test.go
@@ -33,7 +33,7 @@
 	if l.recalled == nil {
 		l.recalled = map[string]int{}
 	}
-	l.recalled[address] += recall.Places
+	l.recalled[address] += recall.Slots
 	return nil
 }
 
@@ -58,11 +58,11 @@
 
 func lendRequest(node string, sequence int64, places int, held ...lending.Count) *lending.Request {
 	return &lending.Request{
-		Node: ident.Node(node), Address: node, Sequence: sequence, Held: held, Wants: []lending.Want{{Service: "s", Places: places}},
+		Node: ident.Node(node), Address: node, Sequence: sequence, Held: held, Wants: []lending.Want{{Service: "s", Slots: places}},
 	}
 }
 
-func lentTo(reply *lending.Reply) int { return totalSlots(reply.Places) }
+func lentTo(reply *lending.Reply) int { return totalSlots(reply.Slots) }
 
 func TestWorkerLendsWhatItsOwnItemsLeaveFree(t *testing.T) {
 	w := idleWorker(t)
@@ -75,7 +75,7 @@
 	w.mutex.Lock()
 	w.found.waiting = 1
 	w.mutex.Unlock()
-	held := lending.Count{Runner: "r", Places: 2}
+	held := lending.Count{Runner: "r", Slots: 2}
 	assert.Equal(t, lentTo(w.Lend(lendRequest("first", 2, 4, held))), 2, "nothing more is lent while own items wait, and nothing is recalled")
 }
 
@@ -100,7 +100,7 @@
 func TestDrainingWorkerLendsNothingMore(t *testing.T) {
 	w := idleWorker(t)
 	w.draining = true
-	assert.Equal(t, lentTo(w.Lend(lendRequest("first", 1, 4, lending.Count{Runner: "r", Places: 1}))), 1)
+	assert.Equal(t, lentTo(w.Lend(lendRequest("first", 1, 4, lending.Count{Runner: "r", Slots: 1}))), 1)
 }
 
 // TestLentSlotsAreRecalledBeforeOwnItemsArePreempted has online work arrive at a runner that is full of own and of
@@ -110,7 +110,7 @@
 	w.ctx = w.tomb.Context(context.Background())
 	lenders := &recordingLenders{}
 	w.Lenders = lenders
-	w.lent.Renew(&lending.Request{Node: "w-9", Address: "borrower", Sequence: 1, Held: []lending.Count{{Runner: "r", Places: 2}}}, time.Now())
+	w.lent.Renew(&lending.Request{Node: "w-9", Address: "borrower", Sequence: 1, Held: []lending.Count{{Runner: "r", Slots: 2}}}, time.Now())
 	answer := w.Demand(demandReport("front", 1, 1))
 	assert.DeepEqual(t, answer.Shares, []demand.Share{{Runner: "r", Others: 0, Batch: 6}})
 	waitShortageEnd(t, w)
@@ -135,15 +135,15 @@
 	w, ended := borrower(t)
 	sent := time.Now()
 	w.mutex.Lock()
-	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Places: []lending.Count{{Runner: "r", Places: 5}}})
+	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Slots: []lending.Count{{Runner: "r", Slots: 5}}})
 	assert.Equal(t, w.freeBorrowedSlots("r", sent), 1)
 	w.mutex.Unlock()
-	w.TakenBack(lending.Recall{Runner: "r", Places: 2})
+	w.ApplyRecall(lending.Recall{Runner: "r", Slots: 2})
 	assert.DeepEqual(t, ended, []bool{false, false, false, true})
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	// An answer to a request sent before the recall does not restore the slots.
-	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Places: []lending.Count{{Runner: "r", Places: 5}}})
+	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Slots: []lending.Count{{Runner: "r", Slots: 5}}})
 	assert.Equal(t, w.borrowedSlots("r", sent), 3)
 }
 
@@ -152,7 +152,7 @@
 	sent := time.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Places: []lending.Count{{Runner: "r", Places: 6}}})
+	w.applyLoan(borrowCall{node: "w-2", sent: sent}, &lending.Reply{Slots: []lending.Count{{Runner: "r", Slots: 6}}})
 	assert.Equal(t, w.freeBorrowedSlots("r", sent), 2)
 	runner, _ := w.Runners.Runner("r")
 	assert.Assert(t, !w.pollsRunner(runner, sent), "the owner polls the runner")
@@ -166,10 +166,10 @@
 	w, _ := borrower(t)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	assert.DeepEqual(t, w.borrowedSlotsInUse(), map[ident.Node][]lending.Count{"w-2": {{Runner: "r", Places: 4}}})
+	assert.DeepEqual(t, w.borrowedSlotsInUse(), map[ident.Node][]lending.Count{"w-2": {{Runner: "r", Slots: 4}}})
 	calls := w.dueBorrowCalls(time.Now())
 	assert.Equal(t, len(calls), 1)
-	assert.DeepEqual(t, calls[0].request.Held, []lending.Count{{Runner: "r", Places: 4}})
+	assert.DeepEqual(t, calls[0].request.Held, []lending.Count{{Runner: "r", Slots: 4}})
 	assert.Equal(t, len(w.dueBorrowCalls(time.Now())), 0, "one call at a time")
 }
 
@@ -205,7 +205,7 @@
 		divideSlots("s", total, nodes, wants)
 		sum := 0
 		for _, each := range wants {
-			sum += each[0].Places
+			sum += each[0].Slots
 		}
 		if len(nodes) == 0 {
 			total = 0
@@ -241,7 +241,7 @@
 	for _, call := range calls {
 		for _, want := range call.request.Wants {
 			if call.address == address {
-				sum += want.Places
+				sum += want.Slots
 			}
 		}
 	}
--- a/internal/jobworker/memory.go
+++ b/internal/jobworker/memory.go
@@ -112,8 +112,8 @@
 
 // mirrorStore returns the store of the output of other workers' items.
 func (w *Worker) mirrorStore() *progress.Mirror {
-	if w.Outputs != nil {
-		return &w.Outputs.Mirror
+	if w.MirrorJournal != nil {
+		return &w.MirrorJournal.Mirror
 	}
 	return &w.mirror
 }
--- a/internal/jobworker/memory_test.go
+++ b/internal/jobworker/memory_test.go
@@ -86,7 +86,7 @@
 	for _, job := range m.jobs {
 		before := sum
 		for _, item := range job.Items {
-			if body, _, found := m.worker.HeldBody(job.ID, item.ID); found {
+			if body, _, found := m.worker.ItemBody(job.ID, item.ID); found {
 				sum += len(body)
 			}
 		}
@@ -137,7 +137,7 @@
 		time.Sleep(5 * time.Second)
 		m.submitOf("small", "s", 2, 1000)
 		time.Sleep(5 * time.Second)
-		_, _, found := m.worker.HeldBody("s", "s-0")
+		_, _, found := m.worker.ItemBody("s", "s-0")
 		assert.Assert(t, found, "the job of the small tenant does not run")
 	})
 }
@@ -164,7 +164,7 @@
 		for range 80 {
 			time.Sleep(250 * time.Millisecond)
 			submitSmall()
-			_, _, found := m.worker.HeldBody("large", ident.Request(fmt.Sprint("large-", largeItems-1)))
+			_, _, found := m.worker.ItemBody("large", ident.Request(fmt.Sprint("large-", largeItems-1)))
 			seen = seen || found
 		}
 		assert.Assert(t, seen, "the large job did not get into memory")
@@ -206,7 +206,7 @@
 		log, err := handoff.Open(filepath.Join(t.TempDir(), "handoff"), 1<<30)
 		assert.NilError(t, err)
 		m.worker.Handoff = log
-		refused := failure.As(m.worker.Keep(handoff.NewEntry(m.jobs[5], time.Now(), 0), 0, 1))
+		refused := failure.As(m.worker.StoreHandoff(handoff.NewEntry(m.jobs[5], time.Now(), 0), 0, 1))
 		assert.Equal(t, refused.Code, failure.CodeOverloaded)
 		assert.Equal(t, refused.Outcome, outcome.NotRun)
 		assert.Assert(t, refused.RetryAfter > 0)
@@ -223,7 +223,7 @@
 		m.submitOf("", "early", 3, 1000)
 		m.waitWhole("early", 3)
 		time.Sleep(time.Second)
-		held, sure := m.worker.Held(context.Background(), "early", 0, 0)
+		held, sure := m.worker.RecordedResults(context.Background(), "early", 0, 0)
 		assert.Assert(t, sure)
 		assert.Equal(t, len(held.Results), 3)
 
@@ -232,7 +232,7 @@
 			m.submitOf("", fmt.Sprint("j", job), largeItems, largeItem)
 		}
 		time.Sleep(5 * time.Second)
-		_, sure = m.worker.Held(context.Background(), "early", 0, 0)
+		_, sure = m.worker.RecordedResults(context.Background(), "early", 0, 0)
 		assert.Assert(t, !sure, "results of a finished job take memory that a job needs")
 		m.waitWhole("early", 3)
 	})
--- a/internal/jobworker/mirror.go
+++ b/internal/jobworker/mirror.go
@@ -27,14 +27,14 @@
 type Mirrors interface {
 	// Send sends updates to the worker at an address. It returns the items that must be sent from the beginning.
 	Send(ctx context.Context, address string, updates []progress.Update) (gaps []ident.Request, err error)
-	// Ask returns the output of a job that the worker at an address stores.
-	Ask(ctx context.Context, address string, job ident.Job) ([]progress.Output, error)
+	// Fetch returns the output of a job that the worker at an address stores.
+	Fetch(ctx context.Context, address string, job ident.Job) ([]progress.Output, error)
 }
 
 // Mirror stores output of another worker's items. It returns the items that must be sent from the beginning.
 func (w *Worker) Mirror(updates []progress.Update) []ident.Request {
-	if w.Outputs != nil {
-		gaps, err := w.Outputs.Keep(updates, w.Now())
+	if w.MirrorJournal != nil {
+		gaps, err := w.MirrorJournal.Keep(updates, w.Now())
 		if err != nil {
 			event.MirrorFailed.Log(w.Logger).Int("updates", len(updates)).Err(err).Send()
 		}
@@ -49,8 +49,8 @@
 
 // Mirrored returns the output of a job that is stored here for another worker.
 func (w *Worker) Mirrored(job ident.Job) []progress.Output {
-	if w.Outputs != nil {
-		return w.Outputs.Mirror.Outputs(job)
+	if w.MirrorJournal != nil {
+		return w.MirrorJournal.Mirror.Outputs(job)
 	}
 	return w.mirror.Outputs(job)
 }
@@ -205,7 +205,7 @@
 	answers := make(chan []progress.Output, len(addresses))
 	for _, address := range addresses {
 		w.tomb.Go(func() error {
-			outputs, err := w.Mirrors.Ask(ctx, address, id)
+			outputs, err := w.Mirrors.Fetch(ctx, address, id)
 			if err != nil {
 				event.MirrorFailed.Log(w.Logger).Str("worker", address).Str("job", string(id)).Err(err).Send()
 			}
--- a/internal/jobworker/orphans.go
+++ b/internal/jobworker/orphans.go
@@ -30,7 +30,7 @@
 // observeAge records the age of a node that reports its work. A node that started before the supposed restart of all nodes
 // shows that there was none, because it accounts for its runs.
 func (s *orphanState) observeAge(report *demand.Report, now time.Time) {
-	if !s.watch.Heard(report.Age(), now) {
+	if !s.watch.RecordUptime(report.Age(), now) {
 		*s = orphanState{}
 	}
 }
@@ -49,14 +49,14 @@
 		if count == nil {
 			count = s.addCount(reported.Runner)
 		}
-		count.Learn(min(reported.Old, reported.Online), now)
+		count.AddLateReported(min(reported.Old, reported.Online), now)
 	}
 }
 
 // recordReport records a runner's report.
 func (s *orphanState) recordReport(id ident.Incarnation, load work.Load, now time.Time) {
 	if count := s.counts[id]; count != nil && s.watch.Open(now) {
-		count.Read(load.Running+load.Waiting, now)
+		count.RecordReading(load.Running+load.Waiting, now)
 		s.reports++
 	}
 }
@@ -106,12 +106,12 @@
 		if count == nil {
 			count = orphanRuns.addCount(runner.ID)
 		}
-		count.Know(w.demand.Online(runner.ID, "", now)+w.batchRunsAt(runner.ID, now), now)
+		count.RecordAccounted(w.demand.Online(runner.ID, "", now)+w.batchRunsAt(runner.ID, now), now)
 		runs += count.Runs(now)
 		if count.WasRead() {
 			read++
 		}
-		if count.Gone() {
+		if count.Ended() {
 			orphanRuns.unsettled--
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	var found []work.Runner
 	for _, runner := range w.allOwned(now) {
-		if count := w.orphanRuns.counts[runner.ID]; count != nil && !count.Gone() {
+		if count := w.orphanRuns.counts[runner.ID]; count != nil && !count.Ended() {
 			found = append(found, runner)
 		}
 	}
--- a/internal/jobworker/orphans_test.go
+++ b/internal/jobworker/orphans_test.go
@@ -60,7 +60,7 @@
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	w := &Worker{
 		Node: "w", Zone: "z", Address: "w", Records: &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: time.Now}, Store: store,
-		Runners: runners, Routes: routes, Caller: caller, Options: DefaultOptions, StartsAgain: again, Logger: zerolog.Nop(), Now: time.Now,
+		Runners: runners, Routes: routes, Caller: caller, Options: DefaultOptions, Restarted: again, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	supervisor := new(tomb.Tomb)
 	w.Start(supervisor)
--- a/internal/jobworker/ownership_test.go
+++ b/internal/jobworker/ownership_test.go
@@ -81,7 +81,7 @@
 func TestWorkerThatStartsAsksSeedsForAMoment(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	w := &Worker{
-		Node: "w-9", Address: "own", Readers: noReaders{}, Seeds: []string{"a", "b", "c"}, SeedsFor: time.Second, started: now,
+		Node: "w-9", Address: "own", Readers: noReaders{}, Seeds: []string{"a", "b", "c"}, SeedPeriod: time.Second, started: now,
 		Now: func() time.Time { return now },
 	}
 	addresses := map[string]bool{}
--- a/internal/jobworker/pace_test.go
+++ b/internal/jobworker/pace_test.go
@@ -30,9 +30,9 @@
 	share := paceShare(w, "second", 2)
 	assert.Equal(t, share.Pace, work.Pace(2.5))
 	assert.Equal(t, share.PaceAgeMs, int64(100))
-	item, err := w.Runners.StartAt("r", runnertable.Wish{Service: "s", Class: runnertable.Batch}, now)
+	item, err := w.Runners.StartAt("r", runnertable.PickRequest{Service: "s", Class: runnertable.Batch}, now)
 	assert.NilError(t, err)
-	item.Answered(&work.Load{Slots: 4, Pace: 1}, now)
+	item.HeadReceived(&work.Load{Slots: 4, Pace: 1}, now)
 	item.End()
 	w.Demand(&demand.Report{Node: "first", Sequence: 2, Counts: []demand.Count{{Runner: "r", Pace: 2.5, PaceAgeMs: 100}}})
 	share = paceShare(w, "second", 3)
@@ -52,7 +52,7 @@
 	encoded, err := json.Marshal(answer.Shares)
 	assert.NilError(t, err)
 	assert.Equal(t, string(encoded), `[{"runner":"r","others":0,"batch":4}]`)
-	encoded, err = json.Marshal(demand.Count{Runner: "r", Online: 1, Heard: time.Now()})
+	encoded, err = json.Marshal(demand.Count{Runner: "r", Online: 1, PaceReceivedAt: time.Now()})
 	assert.NilError(t, err)
 	assert.Equal(t, string(encoded), `{"runner":"r","online":1}`)
 }
@@ -78,7 +78,7 @@
 		return id
 	}
 	start := func() {
-		_, err := w.Runners.StartAt("b", runnertable.Wish{Service: "s", Class: runnertable.Batch}, now)
+		_, err := w.Runners.StartAt("b", runnertable.PickRequest{Service: "s", Class: runnertable.Batch}, now)
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, pick(), ident.Incarnation("a"))
--- a/internal/jobworker/poison.go
+++ b/internal/jobworker/poison.go
@@ -18,7 +18,7 @@
 // before its retention is over: it may only have run beside the request that terminates its runners, and an item's result
 // is final.
 func (w *Worker) withholds(item *itemRun, now time.Time) bool {
-	if w.Ends.Idle() {
+	if w.PoisonWatch.Idle() {
 		return false
 	}
 	w.mutex.Lock()
@@ -26,10 +26,10 @@
 	if item.fingerprint == "" {
 		item.fingerprint = w.Key.Of(w.requestOf(item))
 	}
-	if !w.Ends.Refused(item.fingerprint) {
+	if !w.PoisonWatch.Refused(item.fingerprint) {
 		return false
 	}
-	ends, last := w.Ends.Book.Ends(item.fingerprint)
+	ends, last := w.PoisonWatch.Book.Ends(item.fingerprint)
 	if poison.ItemMayRun(ends, now.Sub(last)) {
 		return false
 	}
@@ -41,12 +41,12 @@
 // evidence either way.
 func (w *Worker) recordRunEnd(ctx context.Context, flight *runnertable.Flight, request *work.Request, status int, err error) {
 	switch {
-	case w.Ends == nil:
+	case w.PoisonWatch == nil:
 	case err == nil && status == http.StatusOK:
-		if !w.Ends.Idle() {
-			w.Ends.Well(w.Key.Of(request))
+		if !w.PoisonWatch.Idle() {
+			w.PoisonWatch.RecordCompleted(w.Key.Of(request))
 		}
 	case err != nil && !errors.Is(err, errRefused) && ctx.Err() == nil && failureOf(err) == runnertable.NoAnswer:
-		w.Ends.Broken(flight.Runner, w.Key.Of(request))
+		w.PoisonWatch.RecordBroken(flight.Runner, w.Key.Of(request))
 	}
 }
--- a/internal/jobworker/ration.go
+++ b/internal/jobworker/ration.go
@@ -20,7 +20,7 @@
 		until := now.Add(time.Duration(waiting.LeftMs) * time.Millisecond)
 		waits[waiting.Service] = orphans.Wait{OnTime: waiting.OnTime, Late: waiting.Late, Until: until}
 	}
-	s.ration.Take(report.Node, waits, now)
+	s.ration.RecordReport(report.Node, waits, now)
 }
 
 // rationSlots grants a node that has just reported its waiting requests its part of the slots not taken by orphans. The
@@ -29,25 +29,25 @@
 	if !w.orphanRuns.watch.Open(now) {
 		return
 	}
-	slots := make([]orphans.Place, 0, len(shares))
+	slots := make([]orphans.RunnerSlots, 0, len(shares))
 	for _, share := range shares {
-		if runner, known := w.Runners.Runner(share.Runner); known && !share.Silent {
+		if runner, known := w.Runners.Runner(share.Runner); known && !share.Unresponsive {
 			free := runner.Slots - w.demand.Online(runner.ID, "", now) - share.Orphans
-			slots = append(slots, orphans.Place{Runner: runner.ID, Service: runner.Service, Free: free, Items: share.Batch, Orphans: share.Orphans})
+			slots = append(slots, orphans.RunnerSlots{Runner: runner.ID, Service: runner.Service, Free: free, Items: share.Batch, Orphans: share.Orphans})
 		}
 	}
 	granted := w.orphanRuns.ration.Grant(node, slots, w.demand.Nodes(now), now)
 	for position := range shares {
 		share := &shares[position]
 		given, rationed := granted[share.Runner]
-		share.Rationed, share.Granted, share.GrantedLate = rationed, given.Places, given.Late
+		share.Rationed, share.Granted, share.GrantedLate = rationed, given.Slots, given.Late
 	}
 }
 
 // watchOrphans reads the runners with orphans more often while nodes wait for their slots, until no orphans are looked
 // for.
 func (w *Worker) watchOrphans() error {
-	for w.pause(orphans.PressedReadEvery) {
+	for w.pause(orphans.PressedReadInterval) {
 		now := w.Now()
 		w.mutex.Lock()
 		open, pressed := w.orphanRuns.watch.Open(now), w.orphanRuns.ration.Pressed(now)
--- a/internal/jobworker/rationfleet_test.go
+++ b/internal/jobworker/rationfleet_test.go
@@ -83,7 +83,7 @@
 // restartedTable returns the table of a node that has just restarted, with the one runner.
 func restartedTable() *runnertable.Table {
 	table := runnertable.New("z")
-	table.StartsAgain()
+	table.AssumeFullUntilReported()
 	table.Replace([]work.Runner{{ID: "a", Service: "s", Zone: "z", Slots: 8}}, time.Now(), true)
 	return table
 }
@@ -96,7 +96,7 @@
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Retention: time.Minute, Now: time.Now}
 	owner := &jobworker.Worker{
 		Node: "w", Zone: "z", Address: "w", Records: records, Store: store, Runners: restartedTable(), Routes: routes, Caller: caller,
-		Options: jobworker.DefaultOptions, StartsAgain: true, Logger: zerolog.Nop(), Now: time.Now,
+		Options: jobworker.DefaultOptions, Restarted: true, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	owner.Start(supervisor)
 	return owner
@@ -106,12 +106,12 @@
 // messages are passed as JSON.
 func startFront(supervisor *tomb.Tomb, node ident.Node, owner *jobworker.Worker, caller work.Caller) *online.Forwarder {
 	forwarder := &online.Forwarder{Runners: restartedTable(), Caller: caller, Logger: zerolog.Nop(), Now: time.Now}
-	holders := &jobpeer.Holders{Zone: "z", Now: time.Now}
-	holders.Learn([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
-	reporter := demand.NewTeller(node, &jobpeer.OnlineWork{
+	holders := &jobpeer.WorkerClient{Zone: "z", Now: time.Now}
+	holders.UpdateWorkers([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
+	reporter := demand.NewReporter(node, &jobpeer.OnlineWork{
 		Holders: holders, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
 	}, time.Now)
-	reporter.Tell = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
+	reporter.Send = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
 		received, answer := &demand.Report{}, &demand.Answer{}
 		if err := passed(report, received); err != nil {
 			return nil, err
@@ -119,7 +119,7 @@
 		return answer, passed(owner.Demand(received), answer)
 	}
 	forwarder.Runners.OnOnlineChanged(reporter.Changed)
-	forwarder.Asks = func() { reporter.Changed(true) }
+	forwarder.RequestSlots = func() { reporter.Changed(true) }
 	reporter.Start(supervisor)
 	return forwarder
 }
@@ -147,10 +147,10 @@
 	for index := range 12 {
 		fronts = append(fronts, startFront(supervisor, ident.Node(fmt.Sprint("f", index)), owner, runner))
 	}
-	for began := time.Now(); !fronts[0].Runners.Rations("s", time.Now()); time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); !fronts[0].Runners.IsRationed("s", time.Now()); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 10*time.Second, "slots are not rationed")
 	}
-	time.Sleep(demand.IdleRefreshEvery)
+	time.Sleep(demand.IdleRefreshInterval)
 	route := &work.Route{Split: []work.WeightedService{{Service: "s", Weight: 1}}, MaximumAttempts: 1, Objective: 10 * time.Second}
 	var callers sync.WaitGroup
 	for _, front := range fronts {
--- a/internal/jobworker/results.go
+++ b/internal/jobworker/results.go
@@ -18,11 +18,11 @@
 	maxFinishedBytes = 24 << 20
 )
 
-// Held returns from memory how far a job is recorded: its tenant, its number of items and its results from a position on.
+// RecordedResults returns from memory how far a job is recorded: its tenant, its number of items and its results from a position on.
 // If there are none, it waits for the next result, at most for the given time. It returns false if this node cannot be
 // sure that it knows the newest state: it does not hold the claim, or its lease may have expired, so that another node may
 // have recorded more. Results that were evicted from memory have to be read from the store, too.
-func (w *Worker) Held(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool) {
+func (w *Worker) RecordedResults(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool) {
 	end := w.Now().Add(wait)
 	for {
 		held, changed, sure := w.recordedNow(job, from)
@@ -69,9 +69,9 @@
 	return false
 }
 
-// HeldBody returns from memory the body of an item without a recorded result, and the tenant of its job. It returns false
+// ItemBody returns from memory the body of an item without a recorded result, and the tenant of its job. It returns false
 // if this node does not have the body, which does not mean that the item does not exist.
-func (w *Worker) HeldBody(id ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool) {
+func (w *Worker) ItemBody(id ident.Job, item ident.Request) (body []byte, tenant ident.Tenant, found bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	job := w.jobs[id]
--- a/internal/jobworker/run.go
+++ b/internal/jobworker/run.go
@@ -62,7 +62,7 @@
 	case err == nil && status == http.StatusInternalServerError:
 		item.failures++
 		item.avoid[flight.Runner.ID] = true
-		flight.Failed(runnertable.Erred, now)
+		flight.Failed(runnertable.ErrorResponse, now)
 		item.notBefore = now.Add(pauseAfterFailure)
 		if item.failures >= max(route.MaximumAttempts, 1) {
 			w.giveUp(item, "maximum number of attempts reached")
@@ -130,7 +130,7 @@
 	}
 	defer func() { _ = reply.Body.Close() }()
 	now := w.Now()
-	flight.Answered(reply.Head.Load, now)
+	flight.HeadReceived(reply.Head.Load, now)
 	switch {
 	case reply.Replaced:
 		flight.Failed(runnertable.Replaced, now)
@@ -197,7 +197,7 @@
 			continue
 		}
 		now := w.Now()
-		flight.Began(now)
+		flight.EventReceived(now)
 		if err := w.appendEvent(item, next, now); err != nil {
 			return err
 		}
--- a/internal/jobworker/suspect_test.go
+++ b/internal/jobworker/suspect_test.go
@@ -82,14 +82,14 @@
 	waitUnresponsive(t, w, true)
 	answer := w.Demand(demandReport("other", 1, 0))
 	assert.Equal(t, len(answer.Shares), 1)
-	assert.Assert(t, answer.Shares[0].Silent)
+	assert.Assert(t, answer.Shares[0].Unresponsive)
 	w.mutex.Lock()
 	assert.DeepEqual(t, ended, []bool{true, true, true, true})
 	assert.Equal(t, w.spareSlots(w.owned("s"), time.Now()), 0)
 	w.mutex.Unlock()
 	caller.setUnresponsive(false)
 	waitUnresponsive(t, w, false)
-	assert.Assert(t, !w.Demand(demandReport("other", 2, 0)).Shares[0].Silent)
+	assert.Assert(t, !w.Demand(demandReport("other", 2, 0)).Shares[0].Unresponsive)
 }
 
 // TestOneNodesSuspicionAloneIsIgnored has nodes suspect a runner that answers its owner: their own connections may be at
@@ -98,7 +98,7 @@
 	w, caller, ended := suspectWorker(t)
 	for sequence := range 20 {
 		answer := w.Demand(suspectReport(int64(sequence + 1)))
-		assert.Assert(t, !answer.Shares[0].Silent)
+		assert.Assert(t, !answer.Shares[0].Unresponsive)
 		time.Sleep(2 * time.Millisecond)
 	}
 	assert.Equal(t, caller.callCount(), 1)
--- a/internal/jobworker/turns.go
+++ b/internal/jobworker/turns.go
@@ -34,18 +34,18 @@
 	if tooLate == len(ordered) && countLate(ordered, w.ownedSlots(now), w.duration, now) == 0 {
 		return ordered
 	}
-	turns := fairshare.NewTurns(w.tenantWeight)
+	turns := fairshare.NewWeightedScheduler(w.tenantWeight)
 	for _, job := range w.jobs {
 		for _, item := range job.items {
 			if item.running {
-				turns.Had(job.header.Tenant, item.item.Tokens)
+				turns.Charge(job.header.Tenant, item.item.Tokens)
 			}
 		}
 	}
 	tenant := func(entry urgency) ident.Tenant { return entry.item.job.header.Tenant }
 	tokens := func(entry urgency) int { return entry.item.item.Tokens }
-	inTime := fairshare.InTurn(turns, ordered[:tooLate], tenant, tokens)
-	return append(slices.Clip(inTime), fairshare.InTurn(turns, ordered[tooLate:], tenant, tokens)...)
+	inTime := fairshare.Interleave(turns, ordered[:tooLate], tenant, tokens)
+	return append(slices.Clip(inTime), fairshare.Interleave(turns, ordered[tooLate:], tenant, tokens)...)
 }
 
 func hasSeveralTenants(ordered []urgency) bool {
--- a/internal/jobworker/worker.go
+++ b/internal/jobworker/worker.go
@@ -109,8 +109,8 @@
 	Runners *runnertable.Table
 	Routes  *routetable.Table
 	Caller  work.Caller
-	// Ends tracks which items terminate the runners that run them; nil lets every item run.
-	Ends *endwatch.Watch
+	// PoisonWatch tracks which items terminate the runners that run them; nil lets every item run.
+	PoisonWatch *endwatch.Watch
 	// Key is used to compute the fingerprints of items.
 	Key     poison.Key
 	Options Options
@@ -122,22 +122,22 @@
 	Lenders Lenders
 	// Readers calls the workers that read the open jobs for the others; nil makes each worker read the store itself.
 	Readers Readers
-	// Followed is called after each change of the open jobs and the workers was applied; it may be nil and must not block.
-	Followed func()
+	// OnLiveChanged is called after each change of the open jobs and the workers was applied; it may be nil and must not block.
+	OnLiveChanged func()
 	// Accounts calls the workers that hold the accounts of waiting tokens; nil disables the reports to them.
 	Accounts Accounts
 	// Tolerance is how many workers may be lost at once with their disks.
 	Tolerance int
 	// Seeds are addresses of workers that may be asked before any is known, SeedsFor how long that is tried after the
 	// start.
-	Seeds    []string
-	SeedsFor time.Duration
-	// StartsAgain is set if the deployment had started before this process did.
-	StartsAgain bool
+	Seeds      []string
+	SeedPeriod time.Duration
+	// Restarted is set if the deployment had started before this process did.
+	Restarted bool
 	// Budget bounds the memory that the worker uses for jobs; nil sets no bound.
 	Budget *heldbytes.OfNode
-	// Outputs also stores the output of other workers' items on this node's disk; nil stores it in memory only.
-	Outputs *progress.Journal
+	// MirrorJournal also stores the output of other workers' items on this node's disk; nil stores it in memory only.
+	MirrorJournal *progress.Journal
 	// Registry is notified when a worker is emptied.
 	Registry work.Registry
 	Logger   zerolog.Logger
@@ -253,7 +253,7 @@
 	w.retirements = map[ident.Node]*retirement{}
 	w.duration = initialRunTime
 	w.started = w.Now()
-	if w.StartsAgain {
+	if w.Restarted {
 		w.orphanRuns.watch.Begin(w.started)
 		parent.Go(w.watchOrphans)
 	}
@@ -265,7 +265,7 @@
 	parent.Go(w.borrowLoop)
 	parent.Go(w.retireLoop)
 	// Jobs on the disk are counted before the first request for capacity is answered.
-	w.LearnRoom(&queueroom.News{Kept: w.handoffJobs()})
+	w.RecordAccountReport(&queueroom.Report{Kept: w.handoffJobs()})
 	if w.Accounts != nil {
 		parent.Go(w.accountLoop)
 	}
--- a/internal/jobworker/worker_test.go
+++ b/internal/jobworker/worker_test.go
@@ -355,7 +355,7 @@
 	g.callers["w"], g.stores["w"] = caller, store
 	worker := g.start("w", store, caller, nil, runner)
 	isSure := func() bool {
-		_, sure := worker.Held(context.Background(), "job", 0, 0)
+		_, sure := worker.RecordedResults(context.Background(), "job", 0, 0)
 		return sure
 	}
 	awaitSure := func() {
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -17,19 +17,19 @@
 // lost call does not end a loan.
 const Lifetime = 1500 * time.Millisecond
 
-// RenewEvery is the longest time between two requests to an owner whose slots are in use.
-const RenewEvery = 500 * time.Millisecond
+// RenewInterval is the longest time between two requests to an owner whose slots are in use.
+const RenewInterval = 500 * time.Millisecond
 
 // Count is a number of slots at one runner.
 type Count struct {
 	Runner ident.Incarnation `json:"runner"`
-	Places int               `json:"places"`
+	Slots  int               `json:"places"`
 }
 
 // Want is a number of additional slots that a worker could use at any runner of a service.
 type Want struct {
 	Service string `json:"service"`
-	Places  int    `json:"places"`
+	Slots   int    `json:"places"`
 }
 
 // Request is what a worker sends to an owner. Slots of the owner that it does not list are returned.
@@ -48,17 +48,17 @@
 // Reply is the owner's answer: all slots that the borrower may use from now on. If they are fewer than those it
 // holds, the owner needs the rest back.
 type Reply struct {
-	Places []Count `json:"places"`
+	Slots []Count `json:"places"`
 }
 
 // Recall takes lent slots back at once.
 type Recall struct {
 	Runner ident.Incarnation `json:"runner"`
-	Places int               `json:"places"`
+	Slots  int               `json:"places"`
 }
 
-// Order is a Recall and the address of the borrower to send it to.
-type Order struct {
+// AddressedRecall is a Recall and the address of the borrower to send it to.
+type AddressedRecall struct {
 	Address string
 	Recall  Recall
 }
@@ -104,7 +104,7 @@
 	}
 	renewed := make(map[ident.Incarnation]*loan, len(request.Held))
 	for _, held := range request.Held {
-		slots := max(held.Places, 0)
+		slots := max(held.Slots, 0)
 		if before := entry.loans[held.Runner]; before != nil {
 			slots = min(slots, before.lent)
 		}
@@ -128,8 +128,8 @@
 	entry.loans[runner].lent += slots
 }
 
-// To returns all slots that are lent to a borrower, ordered by runner.
-func (l *Ledger) To(node ident.Node) []Count {
+// LentTo returns all slots that are lent to a borrower, ordered by runner.
+func (l *Ledger) LentTo(node ident.Node) []Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	entry := l.borrowers[node]
@@ -138,15 +138,15 @@
 	}
 	counts := make([]Count, 0, len(entry.loans))
 	for runner, lent := range entry.loans {
-		counts = append(counts, Count{Runner: runner, Places: lent.lent})
+		counts = append(counts, Count{Runner: runner, Slots: lent.lent})
 	}
 	slices.SortFunc(counts, func(first, second Count) int { return cmp.Compare(first.Runner, second.Runner) })
 	return counts
 }
 
-// At returns the number of slots lent at a runner, and how many of them ran an item at their borrowers' last
+// LentAt returns the number of slots lent at a runner, and how many of them ran an item at their borrowers' last
 // requests.
-func (l *Ledger) At(runner ident.Incarnation, now time.Time) (lent, used int) {
+func (l *Ledger) LentAt(runner ident.Incarnation, now time.Time) (lent, used int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, entry := range l.borrowers {
@@ -158,9 +158,9 @@
 	return lent, used
 }
 
-// TakeBack recalls slots at a runner, one by one from the borrower that has the most there. It returns the recalls
+// Recall recalls slots at a runner, one by one from the borrower that has the most there. It returns the recalls
 // to send and the number of recalled slots, which is lower than requested if fewer are lent.
-func (l *Ledger) TakeBack(runner ident.Incarnation, slots int, now time.Time) (orders []Order, recalled int) {
+func (l *Ledger) Recall(runner ident.Incarnation, slots int, now time.Time) (orders []AddressedRecall, recalled int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	byAddress := map[string]int{}
@@ -175,9 +175,9 @@
 		byAddress[largest.address]++
 	}
 	for address, count := range byAddress {
-		orders = append(orders, Order{Address: address, Recall: Recall{Runner: runner, Places: count}})
+		orders = append(orders, AddressedRecall{Address: address, Recall: Recall{Runner: runner, Slots: count}})
 	}
-	slices.SortFunc(orders, func(first, second Order) int { return cmp.Compare(first.Address, second.Address) })
+	slices.SortFunc(orders, func(first, second AddressedRecall) int { return cmp.Compare(first.Address, second.Address) })
 	return orders, recalled
 }
 
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -19,14 +19,14 @@
 	now := time.Unix(100, 0)
 	assert.Assert(t, l.Renew(request("w-1", 1), now))
 	l.Lend("w-1", "r", 3)
-	lent, used := l.At("r", now)
+	lent, used := l.LentAt("r", now)
 	assert.Equal(t, lent, 3)
 	assert.Equal(t, used, 0)
-	assert.Assert(t, l.Renew(request("w-1", 2, Count{Runner: "r", Places: 2}), now))
-	lent, used = l.At("r", now)
+	assert.Assert(t, l.Renew(request("w-1", 2, Count{Runner: "r", Slots: 2}), now))
+	lent, used = l.LentAt("r", now)
 	assert.Equal(t, lent, 2, "a slot that the borrower does not hold was not returned")
 	assert.Equal(t, used, 2)
-	lent, _ = l.At("r", now.Add(Lifetime))
+	lent, _ = l.LentAt("r", now.Add(Lifetime))
 	assert.Equal(t, lent, 0, "a loan without renewal did not expire")
 	assert.Assert(t, !l.Any(now.Add(Lifetime)))
 }
@@ -36,25 +36,25 @@
 	now := time.Unix(100, 0)
 	l.Renew(request("w-1", 1), now)
 	l.Lend("w-1", "r", 3)
-	l.Renew(request("w-1", 2, Count{Runner: "r", Places: 3}), now)
-	orders, taken := l.TakeBack("r", 2, now)
+	l.Renew(request("w-1", 2, Count{Runner: "r", Slots: 3}), now)
+	orders, taken := l.Recall("r", 2, now)
 	assert.Equal(t, taken, 2)
-	assert.DeepEqual(t, orders, []Order{{Address: "w-1:1", Recall: Recall{Runner: "r", Places: 2}}})
-	l.Renew(request("w-1", 3, Count{Runner: "r", Places: 3}), now)
-	assert.DeepEqual(t, l.To("w-1"), []Count{{Runner: "r", Places: 1}})
-	orders, taken = l.TakeBack("r", 5, now)
+	assert.DeepEqual(t, orders, []AddressedRecall{{Address: "w-1:1", Recall: Recall{Runner: "r", Slots: 2}}})
+	l.Renew(request("w-1", 3, Count{Runner: "r", Slots: 3}), now)
+	assert.DeepEqual(t, l.LentTo("w-1"), []Count{{Runner: "r", Slots: 1}})
+	orders, taken = l.Recall("r", 5, now)
 	assert.Equal(t, taken, 1)
 	assert.Equal(t, len(orders), 1)
-	l.Renew(request("w-1", 4, Count{Runner: "r", Places: 1}), now)
-	assert.DeepEqual(t, l.To("w-1"), []Count{{Runner: "r", Places: 0}})
+	l.Renew(request("w-1", 4, Count{Runner: "r", Slots: 1}), now)
+	assert.DeepEqual(t, l.LentTo("w-1"), []Count{{Runner: "r", Slots: 0}})
 }
 
 func TestLateRequestChangesNothing(t *testing.T) {
 	var l Ledger
 	now := time.Unix(100, 0)
-	l.Renew(request("w-1", 5, Count{Runner: "r", Places: 2}), now)
+	l.Renew(request("w-1", 5, Count{Runner: "r", Slots: 2}), now)
 	assert.Assert(t, !l.Renew(request("w-1", 4), now))
-	lent, _ := l.At("r", now)
+	lent, _ := l.LentAt("r", now)
 	assert.Equal(t, lent, 2)
 }
 
@@ -63,8 +63,8 @@
 func TestNewOwnerTakesHeldSlotsOver(t *testing.T) {
 	var l Ledger
 	now := time.Unix(100, 0)
-	l.Renew(request("w-1", 9, Count{Runner: "r", Places: 4}), now)
-	lent, used := l.At("r", now)
+	l.Renew(request("w-1", 9, Count{Runner: "r", Slots: 4}), now)
+	lent, used := l.LentAt("r", now)
 	assert.Equal(t, lent, 4)
 	assert.Equal(t, used, 4)
 }
@@ -85,7 +85,7 @@
 				sequence++
 				held := rapid.IntRange(0, allowed[name]+2).Draw(t, "held")
 				_, known := allowed[name]
-				assert.Assert(t, l.Renew(request(name, sequence, Count{Runner: "r", Places: held}), now))
+				assert.Assert(t, l.Renew(request(name, sequence, Count{Runner: "r", Slots: held}), now))
 				if !known || held < allowed[name] {
 					allowed[name] = held
 				}
@@ -97,23 +97,23 @@
 				}
 			case 2:
 				wanted := rapid.IntRange(0, 6).Draw(t, "back")
-				orders, taken := l.TakeBack("r", wanted, now)
+				orders, taken := l.Recall("r", wanted, now)
 				assert.Assert(t, taken <= wanted)
 				recalled := 0
 				for _, order := range orders {
-					recalled += order.Recall.Places
-					allowed[order.Address[:3]] -= order.Recall.Places
+					recalled += order.Recall.Slots
+					allowed[order.Address[:3]] -= order.Recall.Slots
 				}
 				assert.Equal(t, recalled, taken)
 			}
 			total := 0
 			for name, slots := range allowed {
 				total += slots
-				for _, count := range l.To(ident.Node(name)) {
-					assert.Equal(t, count.Places, slots)
+				for _, count := range l.LentTo(ident.Node(name)) {
+					assert.Equal(t, count.Slots, slots)
 				}
 			}
-			lent, used := l.At("r", now)
+			lent, used := l.LentAt("r", now)
 			assert.Equal(t, lent, total)
 			assert.Assert(t, used <= lent)
 		}
@@ -127,8 +127,8 @@
 	now := time.Unix(100, 0)
 	assert.Assert(t, l.Renew(request("w-1", 1), now))
 	l.Lend("w-1", "r", 2)
-	lent, _ := l.At("r", now.Add(returnedAfter-time.Millisecond))
+	lent, _ := l.LentAt("r", now.Add(returnedAfter-time.Millisecond))
 	assert.Equal(t, lent, 2)
-	lent, _ = l.At("r", now.Add(returnedAfter))
+	lent, _ = l.LentAt("r", now.Add(returnedAfter))
 	assert.Equal(t, lent, 0)
 }
--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -8,8 +8,8 @@
 	"mallowlatch.example/mallowlatch/internal/heldbytes"
 )
 
-// NoRoom returns the error for a request that exceeds the node's free memory. The request has not run.
-func NoRoom(err error) *failure.Error {
+// OutOfMemory returns the error for a request that exceeds the node's free memory. The request has not run.
+func OutOfMemory(err error) *failure.Error {
 	return failure.New(failure.CodeOverloaded, "the node holds as much as it can").WithCause(err).
 		WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
 }
@@ -17,9 +17,9 @@
 // initialBodyBuffer is the size of the first buffer, in bytes, for a body of unknown length.
 const initialBodyBuffer = 8 << 10
 
-// ReadHeld reads a whole body. The given length, zero if unknown, is reserved already; each growth of the buffer is reserved
+// ReadBody reads a whole body. The given length, zero if unknown, is reserved already; each growth of the buffer is reserved
 // before it is allocated. The error wraps heldbytes.ErrOver if a reservation fails.
-func ReadHeld(source io.Reader, held *heldbytes.Held, length int64) ([]byte, error) {
+func ReadBody(source io.Reader, held *heldbytes.Held, length int64) ([]byte, error) {
 	// One extra byte lets the read of EOF succeed without growing the buffer.
 	body := make([]byte, 0, length+1)
 	for {
--- a/internal/online/bufferedstream.go
+++ b/internal/online/bufferedstream.go
@@ -128,7 +128,7 @@
 		return next, fmt.Errorf("%w: event arrived after the time-out", errUnprovenEnd)
 	}
 	s.lastRead = s.slot.now()
-	s.slot.flight.Began(s.lastRead)
+	s.slot.flight.EventReceived(s.lastRead)
 	return next, nil
 }
 
@@ -190,7 +190,7 @@
 	s.slot.unreadFor = s.slot.now().Sub(s.lastRead)
 	// The writer still uses the bytes of the last event.
 	s.reader.Keep()
-	s.reservation = s.exchange.forwarder.Held.Open(heldbytes.Answer, s.exchange.memoryOwner())
+	s.reservation = s.exchange.forwarder.MemoryBudget.Open(heldbytes.Answer, s.exchange.memoryOwner())
 	for {
 		next, err := s.read(false)
 		if err == nil {
@@ -292,7 +292,7 @@
 func (s *bufferedStream) cutCaller() error {
 	forwarder := s.exchange.forwarder
 	event.CallerCut.Log(forwarder.Logger).Str("request", string(s.exchange.request.ID)).Dur("held_up_ms", s.blocked).Send()
-	forwarder.Held.NoteCut()
+	forwarder.MemoryBudget.NoteCut()
 	s.slot.callerCut = true
 	s.slot.abort()
 	s.exchange.writer.Until(s.slot.now().Add(-time.Second))
--- a/internal/online/bufferedstream_test.go
+++ b/internal/online/bufferedstream_test.go
@@ -155,7 +155,7 @@
 		caller: &pacedCaller{events: events, pause: pause},
 		held:   heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(memory)),
 	}
-	site.forwarder = &online.Forwarder{Runners: table, Caller: site.caller, Held: site.held, Logger: zerolog.Nop(), Now: time.Now}
+	site.forwarder = &online.Forwarder{Runners: table, Caller: site.caller, MemoryBudget: site.held, Logger: zerolog.Nop(), Now: time.Now}
 	return site
 }
 
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -103,7 +103,7 @@
 		return e.sendFailed(flight, err, guard)
 	}
 	defer func() { _ = reply.Body.Close() }()
-	flight.Answered(reply.Head.Load, e.forwarder.Now())
+	flight.HeadReceived(reply.Head.Load, e.forwarder.Now())
 	return e.handleReply(flight, reply, guard)
 }
 
@@ -124,14 +124,14 @@
 
 // wish returns the criteria for choosing a runner. If waits is set, the request waits here rather than at a runner without a
 // free slot.
-func (e *exchange) wish(waits bool) runnertable.Wish {
-	wish := runnertable.Wish{
+func (e *exchange) wish(waits bool) runnertable.PickRequest {
+	wish := runnertable.PickRequest{
 		Service: e.service, Class: runnertable.Online, Prefix: e.request.Prefix,
 		PromptTokens: e.request.PromptTokens, Tokens: e.request.PromptTokens + e.request.MaximumTokens, Bytes: len(e.request.Body),
 		Objective: e.route.Objective, Pause: e.route.Pause, Exclude: e.tried,
 	}
 	if waits {
-		wish.Full, wish.Yields, wish.Late = e.full, e.queue.isYielding(e.waiter), e.late()
+		wish.RefusedBy, wish.NoQueueing, wish.Late = e.full, e.queue.isYielding(e.waiter), e.late()
 		wish.Scarce = e.request.Tenant != "" && e.queue.scarce()
 	}
 	return wish
@@ -151,7 +151,7 @@
 func (e *exchange) sendFailed(flight *runnertable.Flight, err error, guard *silenceGuard) error {
 	result, cause := classify(err)
 	if guard.fired() {
-		cause = runnertable.Silent
+		cause = runnertable.FirstByteTimeout
 		e.forwarder.Caller.Forget(flight.Runner)
 	}
 	e.outcome = outcome.Join(e.outcome, result)
@@ -198,7 +198,7 @@
 		return e.retryOrFail(fmt.Errorf("%w: success without the runner's signature or with modified bytes", errUnverified))
 	}
 	if erred(reply) {
-		flight.Failed(runnertable.Erred, e.forwarder.Now())
+		flight.Failed(runnertable.ErrorResponse, e.forwarder.Now())
 	}
 	if e.headSent && !isStream(reply) {
 		guard.stop()
@@ -225,7 +225,7 @@
 		}
 		switch {
 		case guard.fired() && e.lastEvent == before:
-			cause = runnertable.Silent
+			cause = runnertable.FirstByteTimeout
 		case guard.fired():
 			e.paused = append(e.paused, flight.Runner.ID)
 		}
--- a/internal/online/fair.go
+++ b/internal/online/fair.go
@@ -26,9 +26,9 @@
 	queuedThreshold = 75 * time.Millisecond
 )
 
-// Uses returns the report for the account holders of the services: the slots that each tenant uses and waits for, of services
+// UsageReport returns the report for the account holders of the services: the slots that each tenant uses and waits for, of services
 // whose slots are scarce.
-func (f *Forwarder) Uses() []demand.Use {
+func (f *Forwarder) UsageReport() []demand.Use {
 	var uses []demand.Use
 	for _, queue := range f.queues.all() {
 		uses = append(uses, queue.uses()...)
@@ -36,9 +36,9 @@
 	return uses
 }
 
-// Learn applies the bounds that an account holder sent, as of a moment, for tenants that use more than their share. Bounds of
+// ApplyBounds applies the bounds that an account holder sent, as of a moment, for tenants that use more than their share. Bounds of
 // one service must be adjacent.
-func (f *Forwarder) Learn(bounds []demand.Bound, asOf time.Time) {
+func (f *Forwarder) ApplyBounds(bounds []demand.Bound, asOf time.Time) {
 	for first := 0; first < len(bounds); {
 		service := bounds[first].Service
 		end := first
@@ -92,7 +92,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	yields = q.yields(waiter)
-	q.tenantShares.Took(waiter.Tenant)
+	q.tenantShares.Acquire(waiter.Tenant)
 	return yields
 }
 
@@ -100,7 +100,7 @@
 func (q *queue) cancelPick(waiter *waitline.Waiter) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.tenantShares.Gave(waiter.Tenant)
+	q.tenantShares.Release(waiter.Tenant)
 }
 
 // recordSlotTaken records that a request was sent to a runner. The caller holds the mutex.
@@ -116,7 +116,7 @@
 
 // recordSlotReleased records that a request released its slot. The caller holds the mutex.
 func (q *queue) recordSlotReleased(waiter *waitline.Waiter) {
-	q.tenantShares.Gave(waiter.Tenant)
+	q.tenantShares.Release(waiter.Tenant)
 	delete(q.unanswered, waiter)
 }
 
@@ -127,7 +127,7 @@
 	for waiter, sent := range q.unanswered {
 		if now.Sub(sent) > queuedThreshold {
 			queued[waiter.Tenant]++
-			q.tenantShares.Waited(now)
+			q.tenantShares.RecordWait(now)
 		}
 	}
 	return queued
@@ -136,7 +136,7 @@
 func (q *queue) updateBounds(bounds []demand.Bound, asOf time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.tenantShares.Learn(bounds, asOf)
+	q.tenantShares.ApplyBounds(bounds, asOf)
 	q.pending.Yields = q.yields
 }
 
--- a/internal/online/fair_test.go
+++ b/internal/online/fair_test.go
@@ -40,7 +40,7 @@
 
 // setBound applies a bound on the slots of a tenant.
 func setBound(forwarder *online.Forwarder, tenant ident.Tenant, limit int) {
-	forwarder.Learn([]demand.Bound{{Service: "s", Places: slots}, {Service: "s", Tenant: tenant, Places: limit}}, time.Now())
+	forwarder.ApplyBounds([]demand.Bound{{Service: "s", Slots: slots}, {Service: "s", Tenant: tenant, Slots: limit}}, time.Now())
 }
 
 // TestTenantOverItsShareLeavesTheShortQueueToTheOthers has a tenant with a bound of one slot send more requests than a runner
@@ -118,13 +118,13 @@
 	simulated.Test(t, func(t *testing.T) {
 		forwarder := busySite(&busyCaller{takes: 200 * time.Millisecond})
 		ended := serveTenant(t, forwarder, "a", 0, 2)
-		assert.Equal(t, len(forwarder.Uses()), 0)
+		assert.Equal(t, len(forwarder.UsageReport()), 0)
 		time.Sleep(100 * time.Millisecond)
-		assert.DeepEqual(t, forwarder.Uses(), []demand.Use{{Service: "s", Tenant: "a", Waiting: 2}})
+		assert.DeepEqual(t, forwarder.UsageReport(), []demand.Use{{Service: "s", Tenant: "a", Waiting: 2}})
 		<-ended
 		<-ended
 		synctest.Wait()
-		assert.Equal(t, len(forwarder.Uses()), 0, "requests that ended are reported")
+		assert.Equal(t, len(forwarder.UsageReport()), 0, "requests that ended are reported")
 	})
 }
 
@@ -135,7 +135,7 @@
 		forwarder := busySite(caller)
 		setBound(forwarder, "hot", 1)
 		ended := serveTenant(t, forwarder, "", 0, 20)
-		assert.Equal(t, len(forwarder.Uses()), 0)
+		assert.Equal(t, len(forwarder.UsageReport()), 0)
 		setBound(forwarder, "hot", 1)
 		for range 20 {
 			assert.NilError(t, (<-ended).err)
--- a/internal/online/forwarder.go
+++ b/internal/online/forwarder.go
@@ -54,19 +54,19 @@
 type Forwarder struct {
 	Runners *runnertable.Table
 	Caller  work.Caller
-	// Ends identifies requests that end the runners that run them; if nil, no request is refused for that.
-	Ends *endwatch.Watch
-	// Held limits the memory that the node uses on behalf of callers; nil sets no limit.
-	Held *heldbytes.OfNode
+	// PoisonWatch identifies requests that end the runners that run them; if nil, no request is refused for that.
+	PoisonWatch *endwatch.Watch
+	// MemoryBudget limits the memory that the node uses on behalf of callers; nil sets no limit.
+	MemoryBudget *heldbytes.OfNode
 	// Key is the key of request fingerprints.
 	Key    poison.Key
 	Logger zerolog.Logger
 	Now    func() time.Time
 	// Owners are queried before a runner is chosen if runners report their pace; nil disables these queries.
 	Owners Owners
-	// Asks triggers requests for slots to the owners of runners when a request waits for rationed slots; it may be nil. It
+	// RequestSlots triggers requests for slots to the owners of runners when a request waits for rationed slots; it may be nil. It
 	// must not block.
-	Asks func()
+	RequestSlots func()
 
 	queues queues
 }
--- a/internal/online/memory_test.go
+++ b/internal/online/memory_test.go
@@ -52,7 +52,7 @@
 
 // reportTokens applies a report of a runner's owner on how many tokens other nodes use there.
 func (s *memorySite) reportTokens(id ident.Incarnation, tokens int) {
-	s.forwarder.Runners.TakeShares([]demand.Share{{Runner: id, Tokens: tokens, Memory: runnerMemory}}, time.Now())
+	s.forwarder.Runners.UpdateShares([]demand.Share{{Runner: id, Tokens: tokens, TokenCapacity: runnerMemory}}, time.Now())
 }
 
 // Send implements work.Caller.
--- a/internal/online/poison.go
+++ b/internal/online/poison.go
@@ -23,21 +23,21 @@
 
 // isPoison reports whether enough runners have ended under the request for it to be refused.
 func (e *exchange) isPoison() bool {
-	return !e.forwarder.Ends.Idle() && e.forwarder.Ends.Refused(e.fingerprint())
+	return !e.forwarder.PoisonWatch.Idle() && e.forwarder.PoisonWatch.Refused(e.fingerprint())
 }
 
 // recordBroken records that a runner's answer to the request broke off. A caller that left or a passed deadline is no sign of
 // a fault of the runner, and is not recorded.
 func (e *exchange) recordBroken(flight *runnertable.Flight) {
-	if e.forwarder.Ends != nil && e.ctx.Err() == nil {
-		e.forwarder.Ends.Broken(flight.Runner, e.fingerprint())
+	if e.forwarder.PoisonWatch != nil && e.ctx.Err() == nil {
+		e.forwarder.PoisonWatch.RecordBroken(flight.Runner, e.fingerprint())
 	}
 }
 
 // recordCompleted records that a runner completed the request.
 func (e *exchange) recordCompleted() {
-	if !e.forwarder.Ends.Idle() {
-		e.forwarder.Ends.Well(e.fingerprint())
+	if !e.forwarder.PoisonWatch.Idle() {
+		e.forwarder.PoisonWatch.RecordCompleted(e.fingerprint())
 	}
 }
 
--- a/internal/online/poison_test.go
+++ b/internal/online/poison_test.go
@@ -31,7 +31,7 @@
 // newWatchedRequest returns a request under which some runners have ended.
 func newWatchedRequest(forwarder *online.Forwarder, caller work.Caller, ends int) *watchedRequest {
 	forwarder.Key = poison.Key("k")
-	forwarder.Ends = &endwatch.Watch{
+	forwarder.PoisonWatch = &endwatch.Watch{
 		Book: poison.NewBook(1), Runners: forwarder.Runners, Caller: caller, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
 	}
 	w := &watchedRequest{forwarder: forwarder, request: &work.Request{
@@ -45,14 +45,14 @@
 func (w *watchedRequest) end(count int) {
 	for range count {
 		already := w.ends()
-		w.forwarder.Ends.Book.Ended(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Print{w.fingerprint()}, time.Now(), time.Now())
+		w.forwarder.PoisonWatch.Book.Ended(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Print{w.fingerprint()}, time.Now(), time.Now())
 	}
 }
 
 func (w *watchedRequest) fingerprint() poison.Print { return w.forwarder.Key.Of(w.request) }
 
 func (w *watchedRequest) ends() int {
-	ends, _ := w.forwarder.Ends.Book.Ends(w.fingerprint())
+	ends, _ := w.forwarder.PoisonWatch.Book.Ends(w.fingerprint())
 	return ends
 }
 
--- a/internal/online/queue.go
+++ b/internal/online/queue.go
@@ -46,7 +46,7 @@
 	notifyOwners func()
 
 	mutex   sync.Mutex
-	pending waitline.Line
+	pending waitline.Queue
 	// memoryWaiters are the requests that ran already and wait for a runner with free memory.
 	memoryWaiters []chan struct{}
 	// woken contains the channel that is closed to wake each waiting request.
@@ -59,7 +59,7 @@
 	lastLogged time.Time
 	// tenantShares is this node's account of the slots that tenants use, and their bounds; heldBack counts the requests
 	// rejected for these bounds since the last log line.
-	tenantShares fairshare.Local
+	tenantShares fairshare.LocalUsage
 	heldBack     heldBackStats
 	// unanswered contains when requests of tenants were sent to runners whose answers have not begun.
 	unanswered map[*waitline.Waiter]time.Time
@@ -93,13 +93,13 @@
 func (q *queue) slotTaken(waiter *waitline.Waiter, runner ident.Incarnation, vacant, waited bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.pending.Taken()
+	q.pending.SlotTaken()
 	if !vacant {
 		q.slowCallers.removeVacancy(runner)
 	}
 	q.recordSlotTaken(waiter)
 	if waited {
-		q.pending.Served(waiter, q.now())
+		q.pending.RecordWait(waiter, q.now())
 		if q.yields(waiter) {
 			if q.extraYielding--; q.extraYielding <= 0 {
 				return
@@ -114,7 +114,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.now()
-	q.pending.Freed(after, now)
+	q.pending.SlotFreed(after, now)
 	q.recordSlotReleased(waiter)
 	q.wakeNext()
 	q.logStats(now)
@@ -179,10 +179,10 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.now()
-	q.tenantShares.Waited(now)
+	q.tenantShares.RecordWait(now)
 	rationed := q.rationed()
 	if again {
-		q.pending.Again(waiter)
+		q.pending.PutBack(waiter)
 	} else if !q.join(waiter, rationed, now) {
 		return nil
 	}
@@ -222,7 +222,7 @@
 	}
 	q.memoryWaiters = nil
 	if q.pending.Len() > 1 && q.rationed() {
-		q.pending.LateLast(q.now())
+		q.pending.MoveLateLast(q.now())
 	}
 	if next := q.pending.Next(); next != nil {
 		close(q.woken[next])
@@ -251,7 +251,7 @@
 	if q.pending.Len() == 0 {
 		return
 	}
-	q.extraYielding = q.pending.Extra()
+	q.extraYielding = q.pending.ExtraYielding()
 	if q.extraYielding > 0 || !q.pending.NextYields() {
 		q.wakeNext()
 	}
@@ -333,7 +333,7 @@
 		found = &queue{
 			service: service, now: f.Now, logger: f.Logger, woken: map[*waitline.Waiter]chan struct{}{}, lastLogged: f.Now(), mostUrgent: math.MaxInt,
 			freeSlots: func() int { return f.Runners.Free(service, f.Now()) }, slowCallers: newSlowCallers(),
-			rationed: func() bool { return f.Runners.Rations(service, f.Now()) }, notifyOwners: f.Asks,
+			rationed: func() bool { return f.Runners.IsRationed(service, f.Now()) }, notifyOwners: f.RequestSlots,
 		}
 		f.queues.byName[service] = found
 	}
@@ -359,7 +359,7 @@
 	seed := rand.Uint64()
 	wish := e.forwarder.refreshRunners(e.ctx, e.wish(true), seed)
 	for {
-		wish.Yields = e.queue.beginPick(e.waiter)
+		wish.NoQueueing = e.queue.beginPick(e.waiter)
 		flight, vacant, err := e.pickOrVacant(wish, seed)
 		if err == nil {
 			e.queue.slotTaken(e.waiter, flight.Runner.ID, vacant, waited)
@@ -380,12 +380,12 @@
 
 // pickOrVacant chooses a runner. If all are full it chooses the one where a caller was cut off in favour of waiting requests,
 // if there is one, and vacant is true: the request adds no more work than the runner had with that caller.
-func (e *exchange) pickOrVacant(wish runnertable.Wish, seed uint64) (flight *runnertable.Flight, vacant bool, err error) {
+func (e *exchange) pickOrVacant(wish runnertable.PickRequest, seed uint64) (flight *runnertable.Flight, vacant bool, err error) {
 	flight, err = e.forwarder.Runners.Pick(wish, e.forwarder.Now(), newRandom(seed))
 	if !errors.Is(err, runnertable.ErrFull) {
 		return flight, false, err
 	}
-	wish.Vacant, vacant = e.queue.takeVacancy()
+	wish.FreedRunner, vacant = e.queue.takeVacancy()
 	if !vacant {
 		return nil, false, err
 	}
--- a/internal/online/ration.go
+++ b/internal/online/ration.go
@@ -7,9 +7,9 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 )
 
-// Waiting returns the report for the owners of runners whose slots are rationed: the waiting requests of each service, ordered
+// WaitingReport returns the report for the owners of runners whose slots are rationed: the waiting requests of each service, ordered
 // by service.
-func (f *Forwarder) Waiting() []demand.Waiting {
+func (f *Forwarder) WaitingReport() []demand.Waiting {
 	var waiting []demand.Waiting
 	for _, queue := range f.queues.all() {
 		if report := queue.waiting(); report.OnTime+report.Late > 0 {
@@ -20,8 +20,8 @@
 	return waiting
 }
 
-// Granted wakes requests to use the slots that owners have just granted.
-func (f *Forwarder) Granted() {
+// SlotsGranted wakes requests to use the slots that owners have just granted.
+func (f *Forwarder) SlotsGranted() {
 	for _, queue := range f.queues.all() {
 		queue.granted()
 	}
--- a/internal/online/ration_test.go
+++ b/internal/online/ration_test.go
@@ -18,15 +18,15 @@
 // when the owner is asked for slots.
 func rationedSite(caller *busyCaller, asked func(*online.Forwarder)) *online.Forwarder {
 	forwarder := busySite(caller)
-	forwarder.Asks = func() { asked(forwarder) }
+	forwarder.RequestSlots = func() { asked(forwarder) }
 	grant(forwarder, 0)
 	return forwarder
 }
 
 // grant applies an owner's answer to a query sent now.
 func grant(forwarder *online.Forwarder, slots int) {
-	forwarder.Runners.TakeShares([]demand.Share{{Runner: "1", Orphans: 1, Rationed: true, Granted: slots}}, time.Now())
-	forwarder.Granted()
+	forwarder.Runners.UpdateShares([]demand.Share{{Runner: "1", Orphans: 1, Rationed: true, Granted: slots}}, time.Now())
+	forwarder.SlotsGranted()
 }
 
 // TestRequestWaitsForAGrantAndUsesItAtOnce has two requests arrive while no slot is granted. They must be reported as waiting
@@ -45,7 +45,7 @@
 		})
 		synctest.Wait()
 		assert.Assert(t, asked > 0, "the owner is not asked")
-		waiting := forwarder.Waiting()
+		waiting := forwarder.WaitingReport()
 		assert.Equal(t, len(waiting), 1)
 		assert.Equal(t, waiting[0].Service, "s")
 		assert.Equal(t, waiting[0].OnTime, 2)
@@ -60,7 +60,7 @@
 			assert.Equal(t, caller.sent, sent, "a slot was used that was not granted")
 		}
 		done.Wait()
-		assert.Equal(t, len(forwarder.Waiting()), 0)
+		assert.Equal(t, len(forwarder.WaitingReport()), 0)
 	})
 }
 
@@ -68,7 +68,7 @@
 func TestOwnersAreNotAskedForUnrationedSlots(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		forwarder := busySite(&busyCaller{takes: 20 * time.Millisecond})
-		forwarder.Asks = func() { t.Error("asked") }
+		forwarder.RequestSlots = func() { t.Error("asked") }
 		serveAll(t.Context(), forwarder, 3*slots)
 	})
 }
@@ -82,7 +82,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(30*time.Millisecond, cancel)
 		serveAll(ctx, forwarder, 1)
-		assert.Equal(t, len(forwarder.Waiting()), 0)
+		assert.Equal(t, len(forwarder.WaitingReport()), 0)
 		grant(forwarder, 1)
 		synctest.Wait()
 		assert.Equal(t, caller.sent, 0)
@@ -110,7 +110,7 @@
 			}
 		})
 		synctest.Wait()
-		assert.Equal(t, forwarder.Waiting()[0].OnTime, 5)
+		assert.Equal(t, forwarder.WaitingReport()[0].OnTime, 5)
 		time.Sleep(time.Millisecond)
 		grant(forwarder, 5)
 		done.Wait()
--- a/internal/online/refresh.go
+++ b/internal/online/refresh.go
@@ -12,11 +12,11 @@
 // Owners queries the owners of runners for their current state: how slow each runner is, and how much work all nodes have
 // there. The calls end with the context.
 type Owners interface {
-	// AskNear queries the owners in this node's zone whose last report is older than a given age.
-	AskNear(ctx context.Context, maxAge time.Duration)
-	// Ask queries, all at once, those owners of the given runners whose last report is older than a given age. It reports
+	// QueryZone queries the owners in this node's zone whose last report is older than a given age.
+	QueryZone(ctx context.Context, maxAge time.Duration)
+	// Query queries, all at once, those owners of the given runners whose last report is older than a given age. It reports
 	// whether any was queried.
-	Ask(ctx context.Context, runners []work.Runner, maxAge time.Duration) bool
+	Query(ctx context.Context, runners []work.Runner, maxAge time.Duration) bool
 }
 
 const (
@@ -37,20 +37,20 @@
 
 // refreshRunners updates this node's view of how slow and how full the candidate runners are, if runners report their pace. It
 // returns the criteria for the choice itself.
-func (f *Forwarder) refreshRunners(ctx context.Context, wish runnertable.Wish, seed uint64) runnertable.Wish {
-	if f.Owners == nil || !f.Runners.TellsPace(wish.Service, f.Now()) {
+func (f *Forwarder) refreshRunners(ctx context.Context, wish runnertable.PickRequest, seed uint64) runnertable.PickRequest {
+	if f.Owners == nil || !f.Runners.ReportsPace(wish.Service, f.Now()) {
 		return wish
 	}
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	f.Owners.AskNear(ctx, maxZoneAge)
+	f.Owners.QueryZone(ctx, maxZoneAge)
 	for range maxRounds {
-		candidates := f.Runners.Would(wish, maxCandidates, f.Now(), newRandom(seed))
-		if !f.Owners.Ask(ctx, f.runnersToRefresh(candidates), maxCandidateAge) {
+		candidates := f.Runners.Candidates(wish, maxCandidates, f.Now(), newRandom(seed))
+		if !f.Owners.Query(ctx, f.runnersToRefresh(candidates), maxCandidateAge) {
 			break
 		}
 	}
-	wish.Wary = true
+	wish.OwnersPolled = true
 	return wish
 }
 
--- a/internal/online/refresh_test.go
+++ b/internal/online/refresh_test.go
@@ -42,7 +42,7 @@
 		o.asked = append(o.asked, runner.ID)
 		if known {
 			share.Runner = runner.ID
-			o.table.TakeShares([]demand.Share{share}, time.Now())
+			o.table.UpdateShares([]demand.Share{share}, time.Now())
 		}
 	}
 	return queried
@@ -55,9 +55,9 @@
 	owners := &scriptedOwners{table: table, shares: map[ident.Incarnation]demand.Share{}}
 	caller := &recordingCaller{}
 	if reportsPace {
-		flight, err := table.StartAt(runners[0].ID, runnertable.Wish{Service: "s"}, time.Now())
+		flight, err := table.StartAt(runners[0].ID, runnertable.PickRequest{Service: "s"}, time.Now())
 		if err == nil {
-			flight.Answered(&work.Load{Slots: 4, Pace: 1}, time.Now())
+			flight.HeadReceived(&work.Load{Slots: 4, Pace: 1}, time.Now())
 			flight.End()
 		}
 	}
@@ -97,7 +97,7 @@
 // The request must go to the other runner, after both owners were queried.
 func TestOwnerOfTheBestRunnerIsAskedBeforeItIsChosen(t *testing.T) {
 	forwarder, owners, caller := newOwnersSite([]work.Runner{runnerOf("1", "z"), runnerOf("2", "z")}, true)
-	owners.table.TakeShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 4}}, time.Now())
+	owners.table.UpdateShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 4}}, time.Now())
 	owners.shares["1"] = demand.Share{Others: 9, Pace: 3}
 	owners.shares["2"] = demand.Share{Others: 1}
 	serveOne(t, forwarder)
@@ -110,7 +110,7 @@
 // remote owner must be queried.
 func TestOwnersOfOtherZonesAreAskedAtOnce(t *testing.T) {
 	forwarder, owners, caller := newOwnersSite([]work.Runner{runnerOf("own", "z"), runnerOf("far-1", "y"), runnerOf("far-2", "x")}, true)
-	owners.table.TakeShares([]demand.Share{{Runner: "own", Others: 12}}, time.Now())
+	owners.table.UpdateShares([]demand.Share{{Runner: "own", Others: 12}}, time.Now())
 	owners.shares["far-1"] = demand.Share{Others: 9}
 	owners.shares["far-2"] = demand.Share{Others: 1}
 	serveOne(t, forwarder)
@@ -122,8 +122,8 @@
 // there must not make a request leave a zone in which it is the first to wait.
 func TestRequestStaysInZoneWhenRemoteOwnerDoesNotAnswer(t *testing.T) {
 	forwarder, owners, caller := newOwnersSite([]work.Runner{runnerOf("own", "z"), runnerOf("far", "y")}, true)
-	owners.table.TakeShares([]demand.Share{{Runner: "own", Others: 4}}, time.Now())
-	owners.table.TakeShares([]demand.Share{{Runner: "far", Others: 0}}, time.Now().Add(-time.Second))
+	owners.table.UpdateShares([]demand.Share{{Runner: "own", Others: 4}}, time.Now())
+	owners.table.UpdateShares([]demand.Share{{Runner: "far", Others: 0}}, time.Now().Add(-time.Second))
 	for range 20 {
 		serveOne(t, forwarder)
 	}
--- a/internal/online/relay.go
+++ b/internal/online/relay.go
@@ -40,12 +40,12 @@
 // relayBody relays an answer that is not a stream. The whole body is read before the head is sent, so that a truncated body is
 // never taken for a complete one. The error wraps heldbytes.ErrOver if the node lacks the memory for it.
 func (e *exchange) relayBody(flight *runnertable.Flight, reply *work.Reply) error {
-	held, err := e.forwarder.Held.Reserve(heldbytes.Answer, e.memoryOwner(), min(max(reply.Length, 0), maximumBodyBytes))
+	held, err := e.forwarder.MemoryBudget.Reserve(heldbytes.Answer, e.memoryOwner(), min(max(reply.Length, 0), maximumBodyBytes))
 	if err != nil {
 		return fmt.Errorf("reserving memory for the runner's answer: %w", err)
 	}
 	defer held.Release()
-	body, err := ReadHeld(io.LimitReader(reply.Body, maximumBodyBytes+1), held, min(max(reply.Length, 0), maximumBodyBytes))
+	body, err := ReadBody(io.LimitReader(reply.Body, maximumBodyBytes+1), held, min(max(reply.Length, 0), maximumBodyBytes))
 	if err != nil {
 		return fmt.Errorf("reading the runner's answer: %w", err)
 	}
@@ -54,7 +54,7 @@
 	}
 	e.slot.release()
 	if !erred(reply) {
-		flight.Began(e.forwarder.Now())
+		flight.EventReceived(e.forwarder.Now())
 		e.recordFirstEvent()
 	}
 	if err := e.sendHead(reply.Head, int64(len(body))); err != nil {
--- a/internal/online/slowcallers_test.go
+++ b/internal/online/slowcallers_test.go
@@ -174,9 +174,9 @@
 		var reports sync.WaitGroup
 		reports.Go(func() {
 			for ctx.Err() == nil {
-				site.forwarder.Runners.TakeShares([]demand.Share{{Runner: "1", Others: 2 * slots}}, time.Now())
+				site.forwarder.Runners.UpdateShares([]demand.Share{{Runner: "1", Others: 2 * slots}}, time.Now())
 				most = max(most, site.busy())
-				time.Sleep(demand.RefreshEvery)
+				time.Sleep(demand.RefreshInterval)
 			}
 		})
 		synctest.Wait()
--- a/internal/online/storm_test.go
+++ b/internal/online/storm_test.go
@@ -203,7 +203,7 @@
 			table := runnertable.New("z")
 			node := &online.Forwarder{Runners: table, Caller: site, Key: poison.Key("k"), Logger: zerolog.Nop(), Now: time.Now}
 			if watched {
-				node.Ends = &endwatch.Watch{
+				node.PoisonWatch = &endwatch.Watch{
 					Book: poison.NewBook(int64(index + 1)), Runners: table, Caller: site, Tomb: supervisor, Logger: zerolog.Nop(), Now: time.Now,
 				}
 			}
@@ -277,14 +277,14 @@
 	for supervisor.Alive() {
 		now := time.Now()
 		for _, node := range nodes {
-			worker.Learn(node.Ends.Book.TakeUntold(now), now, true)
+			worker.Learn(node.PoisonWatch.Book.TakeUntold(now), now, true)
 		}
 		time.Sleep(stormReportInterval)
 		now = time.Now()
 		for index, node := range nodes {
 			records := worker.Since(cursors[index], now, true)
 			cursors[index] = records.After(cursors[index])
-			node.Ends.Learn(records.Records, false)
+			node.PoisonWatch.ApplyRecords(records.Records, false)
 		}
 	}
 }
--- a/internal/orphans/load_test.go
+++ b/internal/orphans/load_test.go
@@ -88,7 +88,7 @@
 type front struct {
 	node     ident.Node
 	table    *runnertable.Table
-	queue    waitline.Line
+	queue    waitline.Queue
 	requests map[*waitline.Waiter]*request
 	// reported is the state reported to each owner; reportAt is when owners that lack an update are called.
 	reported [owners]reported
@@ -146,13 +146,13 @@
 	for index := range p.fronts {
 		f := &front{
 			node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{},
-			reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshEvery))),
+			reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshInterval))),
 		}
 		for index := range f.reported {
 			f.reported[index].at = -time.Second
 		}
 		f.table.OnOnlineChanged(func(rose bool) { f.scheduleReport(m.now, rose) })
-		f.table.StartsAgain()
+		f.table.AssumeFullUntilReported()
 		f.table.Replace(listed, start, true)
 		m.fronts = append(m.fronts, f)
 	}
@@ -221,7 +221,7 @@
 			ended := req.answered > 0 && req.answered-firstEvent+requestDuration <= m.now
 			if ended {
 				req.flight.End()
-				f.queue.Freed(requestDuration, m.moment())
+				f.queue.SlotFreed(requestDuration, m.moment())
 				m.serveNext(f)
 			}
 			return ended
@@ -254,7 +254,7 @@
 	}
 }
 
-func (m *model) rations(f *front) bool { return f.table.Rations("s", m.moment()) }
+func (m *model) rations(f *front) bool { return f.table.IsRationed("s", m.moment()) }
 
 // ask schedules requests to the owners for slots, if these are rationed.
 func (m *model) ask(f *front) {
@@ -273,16 +273,16 @@
 
 // pick sends a request if a runner can accept it.
 func (m *model) pick(f *front, req *request) bool {
-	flight, err := f.table.Pick(runnertable.Wish{
-		Service: "s", Class: runnertable.Online, Full: map[ident.Incarnation]bool{}, Late: m.moment().After(req.waiter.OnTime),
+	flight, err := f.table.Pick(runnertable.PickRequest{
+		Service: "s", Class: runnertable.Online, RefusedBy: map[ident.Incarnation]bool{}, Late: m.moment().After(req.waiter.OnTime),
 	}, m.moment(), m.random)
 	if errors.Is(err, runnertable.ErrFull) || errors.Is(err, runnertable.ErrNoRunner) {
 		return false
 	}
 	req.flight = flight
-	f.queue.Taken()
+	f.queue.SlotTaken()
 	if req.waited {
-		f.queue.Served(req.waiter, m.moment())
+		f.queue.RecordWait(req.waiter, m.moment())
 	}
 	f.ending = append(f.ending, req)
 	r := m.byID[flight.Runner.ID]
@@ -298,7 +298,7 @@
 // until one finds none.
 func (m *model) serveNext(f *front) bool {
 	if m.rations(f) {
-		f.queue.LateLast(m.moment())
+		f.queue.MoveLateLast(m.moment())
 	}
 	next := f.queue.Next()
 	if next == nil {
@@ -307,7 +307,7 @@
 	if m.pick(f, f.requests[next]) {
 		return true
 	}
-	f.queue.Again(next)
+	f.queue.PutBack(next)
 	m.ask(f)
 	return false
 }
@@ -324,16 +324,16 @@
 		return
 	}
 	age := m.now - m.ownersLate
-	readEvery := m.watch.ReadEvery(200*time.Millisecond, m.moment())
+	readEvery := m.watch.ReadInterval(200*time.Millisecond, m.moment())
 	rounds := (readEvery + roundInterval - 1) / roundInterval
 	for index := range m.owners {
 		owner := &m.owners[index]
-		pressed := owner.ration.Pressed(m.moment()) && age%orphans.PressedReadEvery == 0
+		pressed := owner.ration.Pressed(m.moment()) && age%orphans.PressedReadInterval == 0
 		for _, r := range owner.runners {
 			if pressed || age%roundInterval == 0 {
-				m.counts[r.id].Know(owner.ledger.Online(r.id, "", m.moment()), m.moment())
+				m.counts[r.id].RecordAccounted(owner.ledger.Online(r.id, "", m.moment()), m.moment())
 			}
-			if (pressed || age%(rounds*roundInterval) == 0) && !m.counts[r.id].Gone() {
+			if (pressed || age%(rounds*roundInterval) == 0) && !m.counts[r.id].Ended() {
 				m.read(r)
 			}
 		}
@@ -346,7 +346,7 @@
 	if len(r.totals) > 0 {
 		total = r.totals[min(then, len(r.totals)-1)]
 	}
-	m.counts[r.id].Read(total, m.moment())
+	m.counts[r.id].RecordReading(total, m.moment())
 }
 
 // reportToOwners has a front call the owners that lack an update, and then applies the answers, as the sender of package
@@ -356,7 +356,7 @@
 	if m.now < m.ownersLate+messageDelay || m.now < f.reportAt {
 		return
 	}
-	f.reportAt = m.now + demand.RefreshEvery
+	f.reportAt = m.now + demand.RefreshInterval
 	online := map[ident.Incarnation]int{}
 	for _, count := range f.table.Online(m.moment()) {
 		online[count.Runner] = count.Online
@@ -375,7 +375,7 @@
 			f.reportAt = m.now + minAskInterval
 		}
 	}
-	f.table.TakeShares(shares, m.moment().Add(messageDelay/2))
+	f.table.UpdateShares(shares, m.moment().Add(messageDelay/2))
 	if slices.ContainsFunc(shares, func(reported demand.Share) bool { return reported.Granted > 0 }) {
 		m.serveQueue(f)
 	}
@@ -403,9 +403,9 @@
 	case !maps.Equal(counts, known.counts), waitsChanged && since >= minAskInterval:
 		return true
 	case len(counts) > 0 || known.waits.OnTime+known.waits.Late > 0:
-		return since >= demand.RefreshEvery
+		return since >= demand.RefreshInterval
 	}
-	return since >= demand.IdleRefreshEvery
+	return since >= demand.IdleRefreshInterval
 }
 
 // report makes one call to an owner and returns the answer.
@@ -417,14 +417,14 @@
 	for id, count := range counts {
 		report.Counts = append(report.Counts, demand.Count{Runner: id, Online: count})
 	}
-	owner.ledger.Take(report, m.moment())
-	m.watch.Heard(report.Age(), m.moment())
+	owner.ledger.Record(report, m.moment())
+	m.watch.RecordUptime(report.Age(), m.moment())
 	asked := map[string]orphans.Wait{}
 	if waits.OnTime+waits.Late > 0 {
 		until := m.moment().Add(time.Duration(waits.LeftMs) * time.Millisecond)
 		asked["s"] = orphans.Wait{OnTime: waits.OnTime, Late: waits.Late, Until: until}
 	}
-	owner.ration.Take(f.node, asked, m.moment())
+	owner.ration.RecordReport(f.node, asked, m.moment())
 	shares := m.sharesOf(owner, f.node)
 	known.rationed = slices.ContainsFunc(shares, func(reported demand.Share) bool { return reported.Rationed })
 	return shares
@@ -432,7 +432,7 @@
 
 func (m *model) sharesOf(owner *owner, asking ident.Node) []demand.Share {
 	var shares []demand.Share
-	var listed []orphans.Place
+	var listed []orphans.RunnerSlots
 	for _, r := range owner.runners {
 		count := m.counts[r.id]
 		if !m.noOrphanReports && m.watch.Settling(m.moment()) && !count.WasRead() {
@@ -444,13 +444,13 @@
 		}
 		shares = append(shares, share)
 		free := slotsPerRunner - owner.ledger.Online(r.id, "", m.moment()) - share.Orphans
-		listed = append(listed, orphans.Place{Runner: r.id, Service: "s", Free: free, Orphans: share.Orphans})
+		listed = append(listed, orphans.RunnerSlots{Runner: r.id, Service: "s", Free: free, Orphans: share.Orphans})
 	}
 	granted := owner.ration.Grant(asking, listed, owner.ledger.Nodes(m.moment()), m.moment())
 	for position := range shares {
 		share := &shares[position]
 		given, rationed := granted[share.Runner]
-		share.Rationed, share.Granted, share.GrantedLate = rationed, given.Places, given.Late
+		share.Rationed, share.Granted, share.GrantedLate = rationed, given.Slots, given.Late
 	}
 	return shares
 }
@@ -501,7 +501,7 @@
 
 // requiredShare is the share of the best possible result that must be reached: what nodes know of each other is up to 50
 // ms old and the objective is 300 ms, so a sixth may be lost to that.
-const requiredShare = 1 - float64(demand.RefreshEvery)/float64(objective)
+const requiredShare = 1 - float64(demand.RefreshInterval)/float64(objective)
 
 var patterns = []pattern{
 	{name: "peak over items at a third of the runners", runners: 72, fronts: 58, perSecond: 485, leftItems: 160, leftOnline: 10, affectedRunners: 24},
--- a/internal/orphans/orphans.go
+++ b/internal/orphans/orphans.go
@@ -38,17 +38,17 @@
 	readAt time.Time
 }
 
-// Know records how much work at the runner is accounted for: what nodes reported, and the owner's items.
-func (c *Count) Know(work int, now time.Time) {
+// RecordAccounted records how much work at the runner is accounted for: what nodes reported, and the owner's items.
+func (c *Count) RecordAccounted(work int, now time.Time) {
 	c.knownWork = append(c.knownWork, knownWork{work: work, at: now})
 	for len(c.knownWork) > 1 && now.Sub(c.knownWork[1].at) >= reportDelay {
 		c.knownWork = c.knownWork[1:]
 	}
 }
 
-// Learn records work that was there at all readings so far although no node had reported it: a living node reports for
+// AddLateReported records work that was there at all readings so far although no node had reported it: a living node reports for
 // the first time requests that it sent long before.
-func (c *Count) Learn(work int, now time.Time) {
+func (c *Count) AddLateReported(work int, now time.Time) {
 	if len(c.knownWork) == 0 {
 		c.knownWork = []knownWork{{at: now.Add(-reportDelay)}}
 	}
@@ -75,10 +75,10 @@
 	return then
 }
 
-// Read records the runner's own count of its work, running and waiting. What it shows beyond the accounted work is
+// RecordReading records the runner's own count of its work, running and waiting. What it shows beyond the accounted work is
 // orphaned. A single report is not conclusive, because nodes and the runner count at different moments: the count falls
 // only as far as the last two readings agree.
-func (c *Count) Read(total int, now time.Time) {
+func (c *Count) RecordReading(total int, now time.Time) {
 	excess := max(total-c.knownAtReport(now), 0)
 	if c.readAt.IsZero() {
 		c.upperBound = excess
@@ -90,8 +90,8 @@
 // WasRead reports whether the runner was read at least once.
 func (c *Count) WasRead() bool { return !c.readAt.IsZero() }
 
-// Gone reports whether the runner was read and has no orphaned runs. It will not get any again.
-func (c *Count) Gone() bool { return c.WasRead() && c.upperBound == 0 }
+// Ended reports whether the runner was read and has no orphaned runs. It will not get any again.
+func (c *Count) Ended() bool { return c.WasRead() && c.upperBound == 0 }
 
 // Runs returns the number of orphaned runs at the runner.
 func (c *Count) Runs(now time.Time) int {
--- a/internal/orphans/orphans_test.go
+++ b/internal/orphans/orphans_test.go
@@ -18,23 +18,23 @@
 func TestFirstReportCountsAllThatNobodyTold(t *testing.T) {
 	var count orphans.Count
 	assert.Equal(t, count.Runs(start), 0)
-	assert.Assert(t, !count.WasRead() && !count.Gone())
-	count.Read(7, start)
+	assert.Assert(t, !count.WasRead() && !count.Ended())
+	count.RecordReading(7, start)
 	assert.Equal(t, count.Runs(start), 7)
-	assert.Assert(t, !count.Gone())
+	assert.Assert(t, !count.Ended())
 }
 
 // TestOldReportIsHeldAgainstWhatWasKnownThen has requests sent right before a report is read: the report does not contain
 // them, and they must not hide orphaned runs.
 func TestOldReportIsHeldAgainstWhatWasKnownThen(t *testing.T) {
 	var count orphans.Count
-	count.Know(0, start)
-	count.Read(6, start)
-	count.Know(2, after(150))
-	count.Read(6, after(200))
+	count.RecordAccounted(0, start)
+	count.RecordReading(6, start)
+	count.RecordAccounted(2, after(150))
+	count.RecordReading(6, after(200))
 	assert.Equal(t, count.Runs(after(200)), 6, "two requests of the last 50 ms hid orphaned runs")
-	count.Know(4, after(350))
-	count.Read(8, after(400))
+	count.RecordAccounted(4, after(350))
+	count.RecordReading(8, after(400))
 	assert.Equal(t, count.Runs(after(400)), 6)
 }
 
@@ -46,15 +46,15 @@
 		t.Run(name, func(t *testing.T) {
 			var count orphans.Count
 			if read {
-				count.Know(0, start)
-				count.Read(8, after(10))
+				count.RecordAccounted(0, start)
+				count.RecordReading(8, after(10))
 				assert.Equal(t, count.Runs(after(10)), 8)
 			}
-			count.Learn(6, after(20))
-			count.Know(6, after(20))
+			count.AddLateReported(6, after(20))
+			count.RecordAccounted(6, after(20))
 			for ms := 30; ms <= 630; ms += 200 {
-				count.Know(6, after(ms))
-				count.Read(8, after(ms))
+				count.RecordAccounted(6, after(ms))
+				count.RecordReading(8, after(ms))
 				assert.Equal(t, count.Runs(after(ms)), 2, "after %d ms", ms)
 			}
 		})
@@ -65,10 +65,10 @@
 // with the next report.
 func TestOneReportProvesNoEnd(t *testing.T) {
 	var count orphans.Count
-	count.Read(6, start)
-	count.Read(4, after(200))
+	count.RecordReading(6, start)
+	count.RecordReading(4, after(200))
 	assert.Equal(t, count.Runs(after(200)), 6, "one report was believed")
-	count.Read(4, after(400))
+	count.RecordReading(4, after(400))
 	assert.Equal(t, count.Runs(after(400)), 4)
 }
 
@@ -79,18 +79,18 @@
 		var count orphans.Count
 		now := start
 		last := rapid.IntRange(0, 12).Draw(t, "first")
-		count.Read(last, now)
+		count.RecordReading(last, now)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 1).Draw(t, "kind") {
 			case 0:
-				count.Know(rapid.IntRange(0, 12).Draw(t, "known"), now)
+				count.RecordAccounted(rapid.IntRange(0, 12).Draw(t, "known"), now)
 			default:
-				count.Read(rapid.IntRange(0, 16).Draw(t, "total"), now)
+				count.RecordReading(rapid.IntRange(0, 16).Draw(t, "total"), now)
 			}
 			runs := count.Runs(now)
 			assert.Assert(t, runs >= 0)
-			if count.Gone() {
+			if count.Ended() {
 				assert.Equal(t, runs, 0)
 			}
 			most := last
@@ -100,12 +100,12 @@
 			// Between readings the count decays, and the next reading may restore it: the bound is that of the first
 			// report.
 		}
-		count.Know(3, now)
+		count.RecordAccounted(3, now)
 		now = now.Add(time.Second)
-		count.Know(3, now)
-		count.Read(3, now)
-		count.Read(3, now.Add(200*time.Millisecond))
-		assert.Assert(t, count.Gone())
+		count.RecordAccounted(3, now)
+		count.RecordReading(3, now)
+		count.RecordReading(3, now.Add(200*time.Millisecond))
+		assert.Assert(t, count.Ended())
 	})
 }
 
@@ -113,7 +113,7 @@
 // report is valid.
 func TestRunnerThatIsNotReadAnyMoreIsFreeAgain(t *testing.T) {
 	var count orphans.Count
-	count.Read(8, start)
+	count.RecordReading(8, start)
 	assert.Equal(t, count.Runs(after(400)), 8, "a single failed reading frees nothing")
 	assert.Equal(t, count.Runs(after(1000)), 4)
 	assert.Equal(t, count.Runs(after(1500)), 0)
@@ -131,8 +131,8 @@
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			own := time.Duration(rapid.IntRange(0, 4000).Draw(t, "own ms")) * time.Millisecond
 			age := time.Duration(rapid.IntRange(0, 9000).Draw(t, "age ms")) * time.Millisecond
-			lived = lived || age == 0 || age > own+orphans.Together
-			watch.Heard(age, start.Add(own))
+			lived = lived || age == 0 || age > own+orphans.MaxStartSkew
+			watch.RecordUptime(age, start.Add(own))
 			assert.Equal(t, watch.Open(start.Add(own)), !lived)
 		}
 	})
@@ -159,8 +159,8 @@
 		if ms-100 >= 0 {
 			atRunner = 6 + 2
 		}
-		count.Know(known, after(ms))
-		count.Read(atRunner, after(ms))
+		count.RecordAccounted(known, after(ms))
+		count.RecordReading(atRunner, after(ms))
 	}
 	assert.Equal(t, count.Runs(after(300)), 6)
 }
--- a/internal/orphans/ration.go
+++ b/internal/orphans/ration.go
@@ -26,9 +26,9 @@
 	Until time.Time
 }
 
-// Place is a runner of the owner. Free is its number of slots without requests and orphaned runs, Items the number of the
+// RunnerSlots is a runner of the owner. Free is its number of slots without requests and orphaned runs, Items the number of the
 // owner's items there, which can be preempted.
-type Place struct {
+type RunnerSlots struct {
 	Runner               ident.Incarnation
 	Service              string
 	Free, Items, Orphans int
@@ -36,8 +36,8 @@
 
 // Granted is what a node may start at a runner: the number of requests, including late ones if Late is set.
 type Granted struct {
-	Places int
-	Late   bool
+	Slots int
+	Late  bool
 }
 
 // waiter is the last report of one node.
@@ -62,9 +62,9 @@
 	grants  []grant
 }
 
-// Take records a node's report. Its earlier grants end: requests that it sent on them are part of the work that it
+// RecordReport records a node's report. Its earlier grants end: requests that it sent on them are part of the work that it
 // reports, and unused ones are requested again.
-func (r *Ration) Take(node ident.Node, waits map[string]Wait, now time.Time) {
+func (r *Ration) RecordReport(node ident.Node, waits map[string]Wait, now time.Time) {
 	if r.waiters == nil {
 		r.waiters = map[ident.Node]waiter{}
 	}
@@ -84,7 +84,7 @@
 // Grant grants a node that has just reported its waiting requests its share of the slots of some runners, given the
 // number of nodes that report work. It returns how many requests the node may start at each rationed runner; it chooses
 // among the other runners as usual.
-func (r *Ration) Grant(node ident.Node, slots []Place, nodes int, now time.Time) map[ident.Incarnation]Granted {
+func (r *Ration) Grant(node ident.Node, slots []RunnerSlots, nodes int, now time.Time) map[ident.Incarnation]Granted {
 	scarce := scarceServices(slots, nodes)
 	if len(scarce) == 0 {
 		return nil
@@ -99,7 +99,7 @@
 			continue
 		}
 		given := max(min(place.Free-reserved[place.Runner], left[place.Service]), 0)
-		granted[place.Runner] = Granted{Places: given, Late: given > 0 && late[place.Service]}
+		granted[place.Runner] = Granted{Slots: given, Late: given > 0 && late[place.Service]}
 		if given > 0 {
 			left[place.Service] -= given
 			r.grants = append(r.grants, grant{node: node, runner: place.Runner, slots: given, until: now.Add(grantTTL)})
@@ -110,7 +110,7 @@
 
 // scarceServices returns the services whose runners have orphaned runs and together fewer free slots than there are
 // nodes.
-func scarceServices(slots []Place, nodes int) map[string]bool {
+func scarceServices(slots []RunnerSlots, nodes int) map[string]bool {
 	free, orphans := map[string]int{}, map[string]int{}
 	for _, place := range slots {
 		free[place.Service] += max(place.Free, 0)
@@ -126,8 +126,8 @@
 }
 
 // byIdleSlots orders runners by the number of slots used by neither requests nor items, largest first.
-func byIdleSlots(slots []Place) []Place {
-	return slices.SortedStableFunc(slices.Values(slots), func(first, second Place) int {
+func byIdleSlots(slots []RunnerSlots) []RunnerSlots {
+	return slices.SortedStableFunc(slices.Values(slots), func(first, second RunnerSlots) int {
 		return cmp.Compare(second.Free-second.Items, first.Free-first.Items)
 	})
 }
--- a/internal/orphans/ration_test.go
+++ b/internal/orphans/ration_test.go
@@ -20,13 +20,13 @@
 	return map[string]orphans.Wait{"s": {OnTime: onTime, Late: late, Until: now.Add(left)}}
 }
 
-func placesAt(free int) []orphans.Place {
-	return []orphans.Place{{Runner: "a", Service: "s", Free: free, Orphans: 8 - free}}
+func placesAt(free int) []orphans.RunnerSlots {
+	return []orphans.RunnerSlots{{Runner: "a", Service: "s", Free: free, Orphans: 8 - free}}
 }
 
 // ask has a node report its waiting requests, and returns what it is granted at runner a.
 func ask(r *orphans.Ration, node ident.Node, told map[string]orphans.Wait, free int, now time.Time) orphans.Granted {
-	r.Take(node, told, now)
+	r.RecordReport(node, told, now)
 	return r.Grant(node, placesAt(free), manyNodes, now)["a"]
 }
 
@@ -36,13 +36,13 @@
 func TestFreedSlotIsGrantedToOneNode(t *testing.T) {
 	now := start
 	var ration orphans.Ration
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Places, 1)
-	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Places, 0)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Places, 1, "an unused grant is requested again")
-	ration.Take("f", nil, now)
-	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Places, 1)
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Slots, 1)
+	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Slots, 0)
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, now), 1, now).Slots, 1, "an unused grant is requested again")
+	ration.RecordReport("f", nil, now)
+	assert.Equal(t, ask(&ration, "g", waits(1, 0, time.Second, now), 1, now).Slots, 1)
 	later := now.Add(100 * time.Millisecond)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, later), 1, later).Places, 1, "g has not reported since")
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, time.Second, later), 1, later).Slots, 1, "g has not reported since")
 }
 
 // TestLessTimeLeftComesFirst has a node ask while most of the others have less time left, and while half of them do.
@@ -50,12 +50,12 @@
 	now := start
 	var ration orphans.Ration
 	for index := range 3 {
-		ration.Take(ident.Node(fmt.Sprint(index)), waits(1, 0, 50*time.Millisecond, now), now)
+		ration.RecordReport(ident.Node(fmt.Sprint(index)), waits(1, 0, 50*time.Millisecond, now), now)
 	}
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Places, 0)
-	ration.Take("0", nil, now)
-	ration.Take("1", nil, now)
-	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Places, 1, "one node alone blocks no other")
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Slots, 0)
+	ration.RecordReport("0", nil, now)
+	ration.RecordReport("1", nil, now)
+	assert.Equal(t, ask(&ration, "f", waits(1, 0, 200*time.Millisecond, now), 1, now).Slots, 1, "one node alone blocks no other")
 }
 
 // TestLateRequestsGetWhatNobodyElseWants has a node with late requests only: it gets slots once no other node has waiting
@@ -63,21 +63,21 @@
 func TestLateRequestsGetWhatNobodyElseWants(t *testing.T) {
 	now := start
 	var ration orphans.Ration
-	ration.Take("g", waits(1, 0, 50*time.Millisecond, now), now)
+	ration.RecordReport("g", waits(1, 0, 50*time.Millisecond, now), now)
 	assert.Equal(t, ask(&ration, "f", waits(0, 3, 0, now), 5, now), orphans.Granted{})
 	assert.Assert(t, ration.Pressed(now))
 	now = now.Add(60 * time.Millisecond)
 	assert.Assert(t, !ration.Pressed(now), "the deadline of the request at g has passed")
-	assert.Equal(t, ask(&ration, "f", waits(0, 3, 0, now), 5, now), orphans.Granted{Places: 3, Late: true})
+	assert.Equal(t, ask(&ration, "f", waits(0, 3, 0, now), 5, now), orphans.Granted{Slots: 3, Late: true})
 }
 
 // TestPlacesAreRationedOnlyWhereOrphansLeaveFew covers the cases in which no runner is rationed: no orphaned runs, and as
 // many free slots as nodes.
 func TestPlacesAreRationedOnlyWhereOrphansLeaveFew(t *testing.T) {
 	var ration orphans.Ration
-	full := []orphans.Place{{Runner: "a", Service: "s"}, {Runner: "b", Service: "s"}}
+	full := []orphans.RunnerSlots{{Runner: "a", Service: "s"}, {Runner: "b", Service: "s"}}
 	assert.Equal(t, len(ration.Grant("f", full, manyNodes, start)), 0, "all slots are used by requests")
-	few := []orphans.Place{{Runner: "a", Service: "s", Orphans: 4, Free: 4}, {Runner: "b", Service: "s", Free: 2}, {Runner: "c", Service: "other"}}
+	few := []orphans.RunnerSlots{{Runner: "a", Service: "s", Orphans: 4, Free: 4}, {Runner: "b", Service: "s", Free: 2}, {Runner: "c", Service: "other"}}
 	assert.Equal(t, len(ration.Grant("f", few, 6, start)), 0)
 	rationed := ration.Grant("f", few, 7, start)
 	assert.Equal(t, len(rationed), 2, "runners of the service alone: %v", rationed)
@@ -110,20 +110,20 @@
 			node := ident.Node(rapid.SampledFrom([]string{"f", "g", "h", "i"}).Draw(t, "node"))
 			if rapid.Bool().Draw(t, "used") {
 				for runner, given := range promises[node].usable(now) {
-					free[runner] -= given.Places
+					free[runner] -= given.Slots
 				}
 			}
 			free[rapid.SampledFrom(runners).Draw(t, "ended")]++
-			ration.Take(node, waits(rapid.IntRange(0, 3).Draw(t, "on time"), rapid.IntRange(0, 2).Draw(t, "late"), 90*time.Millisecond, now), now)
-			var places []orphans.Place
+			ration.RecordReport(node, waits(rapid.IntRange(0, 3).Draw(t, "on time"), rapid.IntRange(0, 2).Draw(t, "late"), 90*time.Millisecond, now), now)
+			var places []orphans.RunnerSlots
 			for _, runner := range runners {
-				places = append(places, orphans.Place{Runner: runner, Service: "s", Free: free[runner], Orphans: 1})
+				places = append(places, orphans.RunnerSlots{Runner: runner, Service: "s", Free: free[runner], Orphans: 1})
 			}
 			promises[node] = promise{at: now, places: ration.Grant(node, places, manyNodes, now)}
 			for _, runner := range runners {
 				promised := 0
 				for _, given := range promises {
-					promised += given.usable(now)[runner].Places
+					promised += given.usable(now)[runner].Slots
 				}
 				assert.Assert(t, promised <= max(free[runner], 0), "%d of %d slots of %s", promised, free[runner], runner)
 			}
--- a/internal/orphans/watch.go
+++ b/internal/orphans/watch.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// Together is the largest difference between the start times of nodes that lost power together: machines come up
+	// MaxStartSkew is the largest difference between the start times of nodes that lost power together: machines come up
 	// within a second or two of each other.
-	Together = 3 * time.Second
+	MaxStartSkew = 3 * time.Second
 	// watchPeriod is how long orphaned runs are looked for: longer than the longest run of an item at a runner that works
 	// at half its usual pace.
 	watchPeriod = 10 * time.Second
 	// settlePeriod is how long it takes until nodes have reported their work: they start within half a second, and the
 	// callers affected by the outage return within the second after.
 	settlePeriod = time.Second
-	// PressedReadEvery is the time between two readings of a runner with orphaned runs while requests wait for its slots.
+	// PressedReadInterval is the time between two readings of a runner with orphaned runs while requests wait for its slots.
 	// A slot is seen to be free after two readings that agree, and each slot that is idle that long makes a request late.
-	PressedReadEvery = 15 * time.Millisecond
+	PressedReadInterval = 15 * time.Millisecond
 )
 
 // Watch decides whether a node looks for orphaned runs. It does so after a simultaneous restart of all nodes: the node
@@ -31,13 +31,13 @@
 // End closes the watch.
 func (w *Watch) End() { w.startedAt = time.Time{} }
 
-// Heard records the uptime reported by a node that reports its work, zero if it does not say. If this shows that the node
-// did not start together with the others, Heard ends the watch and returns false.
-func (w *Watch) Heard(age time.Duration, now time.Time) bool {
+// RecordUptime records the uptime reported by a node that reports its work, zero if it does not say. If this shows that the node
+// did not start together with the others, RecordUptime ends the watch and returns false.
+func (w *Watch) RecordUptime(age time.Duration, now time.Time) bool {
 	if w.startedAt.IsZero() {
 		return true
 	}
-	if age > 0 && age <= now.Sub(w.startedAt)+Together {
+	if age > 0 && age <= now.Sub(w.startedAt)+MaxStartSkew {
 		return true
 	}
 	w.End()
@@ -49,10 +49,10 @@
 	return !w.startedAt.IsZero() && now.Sub(w.startedAt) < watchPeriod
 }
 
-// ReadEvery returns the time between two readings of a runner that may have orphaned runs, given the usual one: half of
+// ReadInterval returns the time between two readings of a runner that may have orphaned runs, given the usual one: half of
 // it at first, while requests left by dead nodes end. They end within a second, and their slots stay idle until the end
 // is seen.
-func (w *Watch) ReadEvery(usual time.Duration, now time.Time) time.Duration {
+func (w *Watch) ReadInterval(usual time.Duration, now time.Time) time.Duration {
 	if w.Settling(now) {
 		return usual / 2
 	}
--- a/internal/queueroom/decide.go
+++ b/internal/queueroom/decide.go
@@ -6,12 +6,12 @@
 type Verdict uint8
 
 const (
-	// Unheard means that no account holder answered.
-	Unheard Verdict = iota
-	// Unsure means that too few account holders gave a definite answer. The tokens that they know of are still counted.
-	Unsure
-	// Unkept means that the account holders run a build without queue accounts.
-	Unkept
+	// NoAnswer means that no account holder answered.
+	NoAnswer Verdict = iota
+	// Uncertain means that too few account holders gave a definite answer. The tokens that they know of are still counted.
+	Uncertain
+	// Unsupported means that the account holders run a build without queue accounts.
+	Unsupported
 	// Fits means that capacity is reserved for the job.
 	Fits
 	// Full means that the queue lacks the capacity for the job.
@@ -31,9 +31,9 @@
 func Decide(count Count, holders, tokens, bound int) Verdict {
 	switch {
 	case count.Answers == 0:
-		return Unheard
+		return NoAnswer
 	case count.Sure < Majority(holders):
-		return Unsure
+		return Uncertain
 	case count.Taken, count.Waiting+tokens <= bound:
 		return Fits
 	}
@@ -50,9 +50,9 @@
 	jitterFraction = 0.5
 )
 
-// ReturnAfter returns the retry delay for the caller of a job that does not fit: the time until the missing capacity is free
+// RetryAfter returns the retry delay for the caller of a job that does not fit: the time until the missing capacity is free
 // at the recent rate of finished tokens. spread is a random number from zero to one, drawn for each caller.
-func ReturnAfter(count Count, tokens, bound int, spread float64) time.Duration {
+func RetryAfter(count Count, tokens, bound int, spread float64) time.Duration {
 	after := defaultRetryDelay
 	if lacking := count.Waiting + tokens - bound; count.Freed > 0 {
 		after = time.Duration(float64(lacking) / float64(count.Freed) * float64(time.Second))
--- a/internal/queueroom/ledger.go
+++ b/internal/queueroom/ledger.go
@@ -36,7 +36,7 @@
 
 // entry is the capacity taken by one job.
 type entry struct {
-	Held
+	ReservedJob
 	queue queue
 	// attempts are the attempts that need the capacity; reservedUntil is when their reservation expires.
 	attempts      map[string]bool
@@ -72,16 +72,16 @@
 	freed map[queue]*tokenRate
 }
 
-// Place reserves capacity for an attempt to submit a job. A job that is or was listed needs no reservation because it is
+// Reserve reserves capacity for an attempt to submit a job. A job that is or was listed needs no reservation because it is
 // counted there. sure and revision are those of the list that the account holder follows.
-func (l *Ledger) Place(question *Question, sure bool, revision int64, now time.Time) *Answer {
+func (l *Ledger) Reserve(question *CapacityRequest, sure bool, revision int64, now time.Time) *Answer {
 	l.removeExpired(now)
 	if l.listed[question.Job] != nil {
 		answer := l.answer(question, now)
 		answer.Taken, answer.Sure, answer.Revision = true, sure, revision
 		return answer
 	}
-	e := l.entry(question.Held, queue{question.Route, question.Tenant})
+	e := l.entry(question.ReservedJob, queue{question.Route, question.Tenant})
 	e.attempts[question.Attempt] = true
 	taken, asked := now.Before(e.onDisk), len(e.attempts) > 1
 	e.reservedUntil = now.Add(reservationTTL)
@@ -91,7 +91,7 @@
 }
 
 // entry returns the entry of a job and creates it if there is none.
-func (l *Ledger) entry(held Held, in queue) *entry {
+func (l *Ledger) entry(held ReservedJob, in queue) *entry {
 	if e := l.entries[held.Job]; e != nil {
 		return e
 	}
@@ -99,7 +99,7 @@
 		l.entries = map[ident.Job]*entry{}
 	}
 	l.sequence++
-	e := &entry{Held: held, queue: in, attempts: map[string]bool{}, sequence: l.sequence}
+	e := &entry{ReservedJob: held, queue: in, attempts: map[string]bool{}, sequence: l.sequence}
 	l.entries[held.Job] = e
 	return e
 }
@@ -111,11 +111,11 @@
 	}
 }
 
-// Learn applies a worker's report. It ignores reports of jobs on disk that are listed or were listed recently.
-func (l *Ledger) Learn(news *News, now time.Time) {
+// Apply applies a worker's report. It ignores reports of jobs on disk that are listed or were listed recently.
+func (l *Ledger) Apply(news *Report, now time.Time) {
 	for _, onDisk := range news.Kept {
 		if l.listed[onDisk.Job] == nil {
-			l.entry(onDisk.Held, queue{onDisk.Route, onDisk.Tenant}).onDisk = now.Add(diskReportTTL)
+			l.entry(onDisk.ReservedJob, queue{onDisk.Route, onDisk.Tenant}).onDisk = now.Add(diskReportTTL)
 		}
 	}
 	for _, left := range news.Left {
@@ -126,7 +126,7 @@
 }
 
 // List records that a job is listed as open. It is counted as a listed job from now on.
-func (l *Ledger) List(job Kept, now time.Time) {
+func (l *Ledger) List(job DiskJob, now time.Time) {
 	if l.listed == nil {
 		l.listed = map[ident.Job]*listedJob{}
 	}
@@ -158,7 +158,7 @@
 }
 
 // answer returns what is queued besides the job of a question.
-func (l *Ledger) answer(question *Question, now time.Time) *Answer {
+func (l *Ledger) answer(question *CapacityRequest, now time.Time) *Answer {
 	asked := queue{question.Route, question.Tenant}
 	answer := &Answer{Unlisted: l.unlisted(question, asked)}
 	for id, job := range l.listed {
@@ -178,7 +178,7 @@
 }
 
 // unlisted returns the jobs that take capacity in a queue and were recorded before the job of the question, in that order.
-func (l *Ledger) unlisted(question *Question, asked queue) []Held {
+func (l *Ledger) unlisted(question *CapacityRequest, asked queue) []ReservedJob {
 	limit := l.sequence + 1
 	if own := l.entries[question.Job]; own != nil {
 		limit = own.sequence
@@ -190,17 +190,17 @@
 		}
 	}
 	slices.SortFunc(entries, func(first, second *entry) int { return cmp.Compare(first.sequence, second.sequence) })
-	unlisted := make([]Held, 0, len(entries))
+	unlisted := make([]ReservedJob, 0, len(entries))
 	for _, e := range entries {
-		unlisted = append(unlisted, e.Held)
+		unlisted = append(unlisted, e.ReservedJob)
 	}
 	return unlisted
 }
 
-// Waits returns the tokens queued according to this account holder alone.
-func (l *Ledger) Waits(route string, tenant ident.Tenant, now time.Time) int {
+// QueuedTokens returns the tokens queued according to this account holder alone.
+func (l *Ledger) QueuedTokens(route string, tenant ident.Tenant, now time.Time) int {
 	l.removeExpired(now)
-	return Sum([]*Answer{l.answer(&Question{Route: route, Tenant: tenant}, now)}).Waiting
+	return Combine([]*Answer{l.answer(&CapacityRequest{Route: route, Tenant: tenant}, now)}).Waiting
 }
 
 // removeExpired removes expired entries.
--- a/internal/queueroom/ledger_test.go
+++ b/internal/queueroom/ledger_test.go
@@ -34,7 +34,7 @@
 
 // storeEvent lists a job as open, or as no longer open.
 type storeEvent struct {
-	job    Kept
+	job    DiskJob
 	closed bool
 }
 
@@ -68,18 +68,18 @@
 }
 
 // ask asks account holders for capacity, in the order given.
-func (s *site) ask(question *Question, reached []int) (Verdict, Count) {
+func (s *site) ask(question *CapacityRequest, reached []int) (Verdict, Count) {
 	var answers []*Answer
 	for _, holder := range reached {
-		answers = append(answers, s.holders[holder].Place(question, true, int64(1+s.eventsRead[holder]), s.now))
+		answers = append(answers, s.holders[holder].Reserve(question, true, int64(1+s.eventsRead[holder]), s.now))
 	}
-	count := Sum(answers)
+	count := Combine(answers)
 	return Decide(count, testHolders, question.Tokens, testBound), count
 }
 
-func (s *site) question(job ident.Job, tokens int) *Question {
+func (s *site) question(job ident.Job, tokens int) *CapacityRequest {
 	s.attempts++
-	return &Question{Route: "r", Held: Held{Job: job, Tokens: tokens}, Attempt: fmt.Sprint(s.attempts)}
+	return &CapacityRequest{Route: "r", ReservedJob: ReservedJob{Job: job, Tokens: tokens}, Attempt: fmt.Sprint(s.attempts)}
 }
 
 // reached draws which account holders a node reaches, at least a majority, and in which order.
@@ -131,7 +131,7 @@
 		s.unlisted[job] = true
 		return
 	}
-	s.events = append(s.events, storeEvent{job: Kept{Route: "r", Held: question.Held}})
+	s.events = append(s.events, storeEvent{job: DiskJob{Route: "r", ReservedJob: question.ReservedJob}})
 }
 
 // deliver has the store accept a job that was on disks.
@@ -139,7 +139,7 @@
 	for _, job := range s.sortedUnlisted() {
 		if rapid.Bool().Draw(t, "hand over") {
 			delete(s.unlisted, job)
-			s.events = append(s.events, storeEvent{job: Kept{Route: "r", Held: Held{Job: job, Tokens: s.queued[job]}}})
+			s.events = append(s.events, storeEvent{job: DiskJob{Route: "r", ReservedJob: ReservedJob{Job: job, Tokens: s.queued[job]}}})
 			return
 		}
 	}
@@ -167,13 +167,13 @@
 
 // reportDisks sends the jobs on disks to the account holders; some updates are lost.
 func (s *site) reportDisks(t *rapid.T) {
-	var news News
+	var news Report
 	for _, job := range s.sortedUnlisted() {
-		news.Kept = append(news.Kept, Kept{Route: "r", Held: Held{Job: job, Tokens: s.queued[job]}})
+		news.Kept = append(news.Kept, DiskJob{Route: "r", ReservedJob: ReservedJob{Job: job, Tokens: s.queued[job]}})
 	}
 	for _, holder := range s.holders {
 		if rapid.IntRange(0, 2).Draw(t, "lost") > 0 {
-			holder.Learn(&news, s.now)
+			holder.Apply(&news, s.now)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 		s := newSite()
 		first, second := s.question("a", testBound*2/3), s.question("b", testBound*2/3)
 		toFirst, toSecond := reached(t), reached(t)
-		answers := map[*Question][]*Answer{}
+		answers := map[*CapacityRequest][]*Answer{}
 		for holder := range testHolders {
-			order := []*Question{first, second}
+			order := []*CapacityRequest{first, second}
 			if rapid.Bool().Draw(t, "second first") {
 				slices.Reverse(order)
 			}
@@ -197,13 +197,13 @@
 					asked = toSecond
 				}
 				if slices.Contains(asked, holder) {
-					answers[question] = append(answers[question], s.holders[holder].Place(question, true, 1, s.now))
+					answers[question] = append(answers[question], s.holders[holder].Reserve(question, true, 1, s.now))
 				}
 			}
 		}
 		fit := 0
 		for question, all := range answers {
-			if Decide(Sum(all), testHolders, question.Tokens, testBound) == Fits {
+			if Decide(Combine(all), testHolders, question.Tokens, testBound) == Fits {
 				fit++
 			}
 		}
@@ -231,13 +231,13 @@
 	s.now = s.now.Add(reservationTTL)
 	assert.Assert(t, fits("a", 1000))
 
-	s.events = append(s.events, storeEvent{job: Kept{Route: "r", Held: Held{Job: "open", Tokens: 900}}})
+	s.events = append(s.events, storeEvent{job: DiskJob{Route: "r", ReservedJob: ReservedJob{Job: "open", Tokens: 900}}})
 	for holder := range s.holders {
 		s.follow(holder, 1)
 	}
 	assert.Assert(t, !fits("a", 200))
 	for _, holder := range s.holders {
-		holder.Learn(&News{Left: []Left{{Job: "open", Tokens: 700}}}, s.now)
+		holder.Apply(&Report{Left: []UnfinishedJob{{Job: "open", Tokens: 700}}}, s.now)
 	}
 	assert.Assert(t, fits("a", 300), "finished items still take capacity")
 	s.events = append(s.events, storeEvent{job: s.events[0].job, closed: true})
@@ -247,7 +247,7 @@
 	assert.Assert(t, fits("a", 1000))
 	// A worker with outdated state reports the finished job on disk once more.
 	for _, holder := range s.holders {
-		holder.Learn(&News{Kept: []Kept{s.events[0].job}}, s.now)
+		holder.Apply(&Report{Kept: []DiskJob{s.events[0].job}}, s.now)
 	}
 	assert.Assert(t, fits("a", 1000))
 }
@@ -287,12 +287,12 @@
 // callers may ask for it, and take no capacity.
 func TestFinishedJobIsNotDenied(t *testing.T) {
 	ledger, now := &Ledger{}, time.Unix(1000, 0)
-	ledger.List(Kept{Route: "r", Held: Held{Job: "a", Tokens: 10}}, now)
+	ledger.List(DiskJob{Route: "r", ReservedJob: ReservedJob{Job: "a", Tokens: 10}}, now)
 	ledger.Unlist("a", now)
 	for _, after := range []time.Duration{0, time.Minute} {
-		answer := ledger.Place(&Question{Route: "r", Held: Held{Job: "a", Tokens: 10}, Attempt: "1"}, true, 1, now.Add(after))
+		answer := ledger.Reserve(&CapacityRequest{Route: "r", ReservedJob: ReservedJob{Job: "a", Tokens: 10}, Attempt: "1"}, true, 1, now.Add(after))
 		assert.Assert(t, answer.Taken)
-		assert.Equal(t, ledger.Waits("r", "", now.Add(after)), 0)
+		assert.Equal(t, ledger.QueuedTokens("r", "", now.Add(after)), 0)
 	}
 }
 
@@ -300,13 +300,13 @@
 // unknown, so it must count for both.
 func TestTenantsHaveSeparateQueues(t *testing.T) {
 	ledger, now := &Ledger{}, time.Unix(1000, 0)
-	ledger.List(Kept{Route: "r", Tenant: "a", Held: Held{Job: "of-a", Tokens: 1}}, now)
-	ledger.List(Kept{Route: "r", Tenant: "b", Held: Held{Job: "of-b", Tokens: 10}}, now)
-	ledger.List(Kept{Route: "r", Held: Held{Job: "of-nobody", Tokens: 100}}, now)
-	ledger.List(Kept{Route: "s", Tenant: "a", Held: Held{Job: "elsewhere", Tokens: 1000}}, now)
-	assert.Equal(t, ledger.Waits("r", "a", now), 101)
-	assert.Equal(t, ledger.Waits("r", "b", now), 110)
-	assert.Equal(t, ledger.Waits("r", "", now), 111)
+	ledger.List(DiskJob{Route: "r", Tenant: "a", ReservedJob: ReservedJob{Job: "of-a", Tokens: 1}}, now)
+	ledger.List(DiskJob{Route: "r", Tenant: "b", ReservedJob: ReservedJob{Job: "of-b", Tokens: 10}}, now)
+	ledger.List(DiskJob{Route: "r", ReservedJob: ReservedJob{Job: "of-nobody", Tokens: 100}}, now)
+	ledger.List(DiskJob{Route: "s", Tenant: "a", ReservedJob: ReservedJob{Job: "elsewhere", Tokens: 1000}}, now)
+	assert.Equal(t, ledger.QueuedTokens("r", "a", now), 101)
+	assert.Equal(t, ledger.QueuedTokens("r", "b", now), 110)
+	assert.Equal(t, ledger.QueuedTokens("r", "", now), 111)
 }
 
 // TestLoweredBoundAcceptsNothingNew has more tokens queued than a lowered bound allows: nothing may be accepted until it
@@ -316,8 +316,8 @@
 	assert.Equal(t, Decide(count, testHolders, 1, 500), Full)
 	assert.Equal(t, Decide(count, testHolders, 200, testBound), Fits)
 	count.Sure = 1
-	assert.Equal(t, Decide(count, testHolders, 1, testBound), Unsure)
-	assert.Equal(t, Decide(Count{}, 0, 1, testBound), Unheard)
+	assert.Equal(t, Decide(count, testHolders, 1, testBound), Uncertain)
+	assert.Equal(t, Decide(Count{}, 0, 1, testBound), NoAnswer)
 }
 
 // TestAccountHoldersStayInAnOutage has registrations expire in an outage and return. The holders of a route's account must stay the
@@ -326,8 +326,8 @@
 	var roster Roster
 	now := time.Unix(1000, 0)
 	workers := []Worker{{Node: "a", Zone: "1"}, {Node: "b", Zone: "1"}, {Node: "c", Zone: "2"}, {Node: "d", Zone: "3"}, {Node: "e", Zone: "3"}}
-	roster.Note(workers, now)
-	before := roster.Keepers("r", 1, now)
+	roster.Update(workers, now)
+	before := roster.AccountHolders("r", 1, now)
 	assert.Equal(t, len(before), 3)
 	zones := map[ident.Zone]bool{}
 	for _, holder := range before {
@@ -335,25 +335,25 @@
 	}
 	assert.Equal(t, len(zones), 3, "the loss of a zone would affect two account holders")
 	without := slices.DeleteFunc(slices.Clone(workers), func(worker Worker) bool { return worker == before[0] })
-	roster.Note(without, now)
-	roster.Note(nil, now)
-	assert.DeepEqual(t, roster.Keepers("r", 1, now.Add(unregisteredGrace-1)), before)
-	assert.Assert(t, !slices.Contains(roster.Keepers("r", 1, now.Add(unregisteredGrace)), before[0]))
-	roster.Note(workers, now.Add(unregisteredGrace))
-	assert.DeepEqual(t, roster.Keepers("r", 1, now.Add(unregisteredGrace)), before)
-	assert.Equal(t, len(roster.Keepers("r", 2, now.Add(unregisteredGrace))), 5)
+	roster.Update(without, now)
+	roster.Update(nil, now)
+	assert.DeepEqual(t, roster.AccountHolders("r", 1, now.Add(unregisteredGrace-1)), before)
+	assert.Assert(t, !slices.Contains(roster.AccountHolders("r", 1, now.Add(unregisteredGrace)), before[0]))
+	roster.Update(workers, now.Add(unregisteredGrace))
+	assert.DeepEqual(t, roster.AccountHolders("r", 1, now.Add(unregisteredGrace)), before)
+	assert.Equal(t, len(roster.AccountHolders("r", 2, now.Add(unregisteredGrace))), 5)
 }
 
 // TestRetryDelayOfRefusedCallers checks when callers refused by a full queue may retry: when the tokens that exceed the
 // bound are expected to be finished, with jitter.
 func TestRetryDelayOfRefusedCallers(t *testing.T) {
 	count := Count{Waiting: testBound, Freed: 100}
-	assert.Equal(t, ReturnAfter(count, 100, testBound, 0), time.Second)
-	assert.Equal(t, ReturnAfter(count, 100, testBound, 1), 1500*time.Millisecond)
-	assert.Equal(t, ReturnAfter(count, 1, testBound, 0), minRetryDelay)
-	assert.Equal(t, ReturnAfter(count, 900, testBound, 0), maxRetryDelay)
+	assert.Equal(t, RetryAfter(count, 100, testBound, 0), time.Second)
+	assert.Equal(t, RetryAfter(count, 100, testBound, 1), 1500*time.Millisecond)
+	assert.Equal(t, RetryAfter(count, 1, testBound, 0), minRetryDelay)
+	assert.Equal(t, RetryAfter(count, 900, testBound, 0), maxRetryDelay)
 	count.Freed = 0
-	assert.Equal(t, ReturnAfter(count, 1, testBound, 0), defaultRetryDelay)
+	assert.Equal(t, RetryAfter(count, 1, testBound, 0), defaultRetryDelay)
 }
 
 // TestJobIsCountedOnceByAccountHoldersOfDifferentAge has one account holder that has read a job as listed, one that has
@@ -362,7 +362,7 @@
 	s := newSite()
 	question := s.question("a", 600)
 	s.ask(question, []int{0, 1})
-	s.events = append(s.events, storeEvent{job: Kept{Route: "r", Held: question.Held}})
+	s.events = append(s.events, storeEvent{job: DiskJob{Route: "r", ReservedJob: question.ReservedJob}})
 	s.follow(0, 1)
 	for _, asked := range [][]int{{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}} {
 		_, count := s.ask(s.question("b", 1), asked)
--- a/internal/queueroom/queueroom.go
+++ b/internal/queueroom/queueroom.go
@@ -9,18 +9,18 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Held is a job that takes queue capacity before the store is known to list it.
-type Held struct {
+// ReservedJob is a job that takes queue capacity before the store is known to list it.
+type ReservedJob struct {
 	Job    ident.Job `json:"job"`
 	Tokens int       `json:"tokens"`
 }
 
-// Question asks an account holder for capacity. The job is recorded there before the answer is made.
-type Question struct {
+// CapacityRequest asks an account holder for capacity. The job is recorded there before the answer is made.
+type CapacityRequest struct {
 	Route string `json:"route"`
 	// Tenant owns the queue; empty stands for the queue of the whole route.
 	Tenant ident.Tenant `json:"tenant,omitempty"`
-	Held
+	ReservedJob
 	// Attempt identifies the asking node's attempt. A job that is submitted at two nodes is counted once, until neither
 	// attempt needs its capacity.
 	Attempt string `json:"attempt"`
@@ -39,7 +39,7 @@
 	// Open is the number of unfinished tokens of the queue's listed jobs, without the job of the question.
 	Open int `json:"open"`
 	// Unlisted are the queue's jobs that take capacity, are not listed yet and were recorded before the job of the question.
-	Unlisted []Held `json:"unlisted,omitempty"`
+	Unlisted []ReservedJob `json:"unlisted,omitempty"`
 	// RecentlyListed are recently listed jobs: another account holder may still count them as unlisted.
 	RecentlyListed []ident.Job `json:"lately,omitempty"`
 	// Freed is the recent rate of finished tokens of the queue, in tokens per second.
@@ -52,23 +52,23 @@
 	Attempt string    `json:"attempt"`
 }
 
-// Kept is a job on a worker's disk.
-type Kept struct {
+// DiskJob is a job on a worker's disk.
+type DiskJob struct {
 	Route  string       `json:"route"`
 	Tenant ident.Tenant `json:"tenant,omitempty"`
-	Held
+	ReservedJob
 }
 
-// Left is the number of unfinished tokens of a job that a worker runs.
-type Left struct {
+// UnfinishedJob is the number of unfinished tokens of a job that a worker runs.
+type UnfinishedJob struct {
 	Job    ident.Job `json:"job"`
 	Tokens int       `json:"tokens"`
 }
 
-// News is a worker's report to the holders of a route's account.
-type News struct {
-	Kept []Kept `json:"kept,omitempty"`
-	Left []Left `json:"left,omitempty"`
+// Report is a worker's report to the holders of a route's account.
+type Report struct {
+	Kept []DiskJob       `json:"kept,omitempty"`
+	Left []UnfinishedJob `json:"left,omitempty"`
 }
 
 // Count combines the answers of several account holders.
@@ -83,8 +83,8 @@
 	Unlisted int
 }
 
-// Sum combines answers: the open jobs of the newest list, plus the unlisted jobs of any answer.
-func Sum(answers []*Answer) Count {
+// Combine combines answers: the open jobs of the newest list, plus the unlisted jobs of any answer.
+func Combine(answers []*Answer) Count {
 	var count Count
 	newest := newestOf(answers)
 	if newest == nil {
--- a/internal/queueroom/roster.go
+++ b/internal/queueroom/roster.go
@@ -39,9 +39,9 @@
 	unregisteredSince time.Time
 }
 
-// Note updates the roster from the list of registered workers. It ignores an empty list, which comes from a node that knows no
+// Update updates the roster from the list of registered workers. It ignores an empty list, which comes from a node that knows no
 // workers.
-func (r *Roster) Note(registered []Worker, now time.Time) {
+func (r *Roster) Update(registered []Worker, now time.Time) {
 	if len(registered) == 0 {
 		return
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// Keepers returns the workers that hold the account of a route, given how many workers may fail at once: the first by rank of
+// AccountHolders returns the workers that hold the account of a route, given how many workers may fail at once: the first by rank of
 // each zone, then others by rank.
-func (r *Roster) Keepers(route string, tolerance int, now time.Time) []Worker {
+func (r *Roster) AccountHolders(route string, tolerance int, now time.Time) []Worker {
 	ranked := make([]Worker, 0, len(r.workers))
 	for _, known := range r.workers {
 		if known.unregisteredSince.IsZero() || now.Sub(known.unregisteredSince) < unregisteredGrace {
--- a/internal/quota/isolation_test.go
+++ b/internal/quota/isolation_test.go
@@ -27,7 +27,7 @@
 				r.advance(time.Second)
 			}
 			for request := range requestsPerWindow {
-				assert.Equal(t, r.meter.TakeAlone("a", r.limit, r.now).Decision, Admit, "request %d", request)
+				assert.Equal(t, r.meter.TakeIsolated("a", r.limit, r.now).Decision, Admit, "request %d", request)
 				r.now = r.now.Add(simWindow / requestsPerWindow)
 			}
 		})
@@ -42,11 +42,11 @@
 	admitted := 0
 	for node := range nodes {
 		meter := NewMeter(ident.Node(fmt.Sprint(draw, "-", node)), 1, simWindow, now.Add(-time.Hour))
-		meter.Wait("other", limit)
-		for _, spending := range meter.Due(func(ident.Tenant) string { return "owner" }, now) {
-			meter.Settle(spending, &Answer{Nodes: nodes, Epoch: 1, Credits: []Credit{{Tenant: "other", Amount: 1}}}, now)
+		meter.BeginWait("other", limit)
+		for _, spending := range meter.DueReports(func(ident.Tenant) string { return "owner" }, now) {
+			meter.ApplyAnswer(spending, &Answer{Nodes: nodes, Epoch: 1, Credits: []Credit{{Tenant: "other", Amount: 1}}}, now)
 		}
-		for meter.TakeAlone("a", limit, now).Decision == Admit {
+		for meter.TakeIsolated("a", limit, now).Decision == Admit {
 			admitted++
 		}
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Settle records what a node admitted and returns its credit for each tenant. limit returns a tenant's limit by this worker's
+// ApplyReport records what a node admitted and returns its credit for each tenant. limit returns a tenant's limit by this worker's
 // configuration, and false for a tenant that the configuration lacks.
-func (l *Ledger) Settle(spending *Spending, limit func(ident.Tenant) (Limit, bool), now time.Time) *Answer {
+func (l *Ledger) ApplyReport(spending *NodeReport, limit func(ident.Tenant) (Limit, bool), now time.Time) *Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	began := now.Add(-time.Duration(spending.AgeMs) * time.Millisecond)
@@ -124,7 +124,7 @@
 }
 
 // reporter returns the record of the reporting node. The caller holds the mutex.
-func (l *Ledger) reporter(spending *Spending, now time.Time) *reporter {
+func (l *Ledger) reporter(spending *NodeReport, now time.Time) *reporter {
 	known := l.nodes[spending.Node]
 	if known == nil || spending.Incarnation > known.incarnation {
 		// The current time distinguishes this ledger from an earlier one of the same owner and from that of another owner.
@@ -187,7 +187,7 @@
 
 // estimate infers from one node's report and its share of the tenant's requests whether much of the limit was used before this
 // worker became the owner.
-func (e *entry) estimate(spent Spent, l *Ledger, limit Limit, now time.Time) {
+func (e *entry) estimate(spent TenantReport, l *Ledger, limit Limit, now time.Time) {
 	if now.Sub(e.firstReport) >= tightReportedAfter || spent.Share <= 0 {
 		return
 	}
@@ -203,7 +203,7 @@
 
 // applyReport replaces the counts of a node by those it reports. The requests that an earlier process of the node admitted remain in
 // allSpent.
-func (e *entry) applyReport(spending *Spending, spent Spent, l *Ledger, now time.Time) *nodeUsage {
+func (e *entry) applyReport(spending *NodeReport, spent TenantReport, l *Ledger, now time.Time) *nodeUsage {
 	index := l.clock.index(now)
 	usage := e.nodes[spending.Node]
 	if usage == nil || spending.Incarnation > usage.incarnation {
@@ -239,7 +239,7 @@
 
 // lastReportedLimit records the limit in a report, if there is one, and returns the one recorded last. It is used if this worker's
 // configuration lacks the tenant.
-func (e *entry) lastReportedLimit(spent Spent) Limit {
+func (e *entry) lastReportedLimit(spent TenantReport) Limit {
 	if reportedLimit := (Limit{Rate: spent.Rate, Burst: spent.Burst}); reportedLimit.Bounded() {
 		e.reportedLimit = reportedLimit
 	}
@@ -247,7 +247,7 @@
 }
 
 // credit computes the answer to a node for one tenant. The caller holds the mutex.
-func (l *Ledger) credit(entry *entry, usage *nodeUsage, spent Spent, limit Limit, now time.Time) Credit {
+func (l *Ledger) credit(entry *entry, usage *nodeUsage, spent TenantReport, limit Limit, now time.Time) Credit {
 	index := l.clock.index(now)
 	answer := Credit{Tenant: spent.Tenant}
 	usage.credit, usage.share = 0, 0
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -31,15 +31,15 @@
 	return Limit{Rate: l.Rate * share, Burst: l.Burst * share}
 }
 
-// Spending reports what a node admitted of the tenants that one worker owns.
-type Spending struct {
+// NodeReport reports what a node admitted of the tenants that one worker owns.
+type NodeReport struct {
 	Node ident.Node `json:"node"`
 	// Incarnation increases with each start of the node's process.
 	Incarnation int64 `json:"incarnation"`
 	// AgeMs is the time since that start. The process does not know what an earlier one admitted.
 	AgeMs int64 `json:"age_ms"`
 	// Spent has one element per tenant.
-	Spent []Spent `json:"spent,omitempty"`
+	Spent []TenantReport `json:"spent,omitempty"`
 	// Kept is the epoch of an owner that has counted everything the node admitted of the tenants not listed in Spent; zero makes
 	// no statement about them.
 	Kept uint32 `json:"kept,omitempty"`
@@ -48,8 +48,8 @@
 	owner string
 }
 
-// Spent reports what a node admitted of one tenant's requests.
-type Spent struct {
+// TenantReport reports what a node admitted of one tenant's requests.
+type TenantReport struct {
 	Tenant ident.Tenant `json:"tenant"`
 	// Recent holds the counts by slot, newest first; trailing empty slots are omitted.
 	Recent []int `json:"recent"`
@@ -72,7 +72,7 @@
 }
 
 // count returns the number of requests in Recent.
-func (s Spent) count() int {
+func (s TenantReport) count() int {
 	total := 0
 	for _, count := range s.Recent {
 		total += max(count, 0)
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -145,9 +145,9 @@
 	return Verdict{}
 }
 
-// TakeAlone decides on a request for which no owner answered: it is admitted while the node has not used up its share of the limit
+// TakeIsolated decides on a request for which no owner answered: it is admitted while the node has not used up its share of the limit
 // in the window.
-func (m *Meter) TakeAlone(tenant ident.Tenant, limit Limit, now time.Time) Verdict {
+func (m *Meter) TakeIsolated(tenant ident.Tenant, limit Limit, now time.Time) Verdict {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	acct := m.account(tenant, limit)
@@ -177,8 +177,8 @@
 	return float64(xxhash.Sum64String(string(m.node)+"/"+string(tenant))>>(64-digits)) / (1 << digits)
 }
 
-// Pass admits a request that no owner counts; it is reported to a later owner.
-func (m *Meter) Pass(tenant ident.Tenant, limit Limit, now time.Time) {
+// AdmitUncounted admits a request that no owner counts; it is reported to a later owner.
+func (m *Meter) AdmitUncounted(tenant ident.Tenant, limit Limit, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.spend(m.account(tenant, limit), now)
@@ -204,8 +204,8 @@
 	acct.count++
 }
 
-// Wait records that a request waits for credit, and returns the current value of Failures.
-func (m *Meter) Wait(tenant ident.Tenant, limit Limit) (failures int) {
+// BeginWait records that a request waits for credit, and returns the current value of Failures.
+func (m *Meter) BeginWait(tenant ident.Tenant, limit Limit) (failures int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	acct := m.account(tenant, limit)
@@ -213,15 +213,15 @@
 	return acct.failures
 }
 
-// Failures returns the number of unanswered reports of a tenant that has a waiting request.
-func (m *Meter) Failures(tenant ident.Tenant) int {
+// UnansweredReports returns the number of unanswered reports of a tenant that has a waiting request.
+func (m *Meter) UnansweredReports(tenant ident.Tenant) int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.accounts[tenant].failures
 }
 
-// Leave records that a request no longer waits.
-func (m *Meter) Leave(tenant ident.Tenant) {
+// EndWait records that a request no longer waits.
+func (m *Meter) EndWait(tenant ident.Tenant) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.accounts[tenant].waiting--
@@ -238,13 +238,13 @@
 	reporting bool
 }
 
-// Due returns the reports to send now, by the names of the owners. A report covers the tenants whose requests wait for credit and,
+// DueReports returns the reports to send now, by the names of the owners. A report covers the tenants whose requests wait for credit and,
 // at intervals, those that the owner has not fully counted; it also states that the owner has fully counted the others. owner
 // returns an empty name if a tenant has no owner. For each report the caller must call Settle or Failed.
-func (m *Meter) Due(owner func(ident.Tenant) string, now time.Time) map[string]*Spending {
+func (m *Meter) DueReports(owner func(ident.Tenant) string, now time.Time) map[string]*NodeReport {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	var due map[string]*Spending
+	var due map[string]*NodeReport
 	all := m.pending(owner, now)
 	maps.DeleteFunc(m.owners, func(name string, state *ownerState) bool {
 		return all[name] == nil && !state.reporting && now.Sub(state.lastAnswer) > isolationPeriod
@@ -254,7 +254,7 @@
 			continue
 		}
 		if due == nil {
-			due = map[string]*Spending{}
+			due = map[string]*NodeReport{}
 		}
 		due[name] = m.report(name, group, now)
 	}
@@ -356,8 +356,8 @@
 }
 
 // report builds the report to an owner of the tenants that it has not fully counted. The caller holds the mutex.
-func (m *Meter) report(name string, group *pending, now time.Time) *Spending {
-	spending := &Spending{Node: m.node, Incarnation: m.incarnation, AgeMs: now.Sub(m.started).Milliseconds(), owner: name}
+func (m *Meter) report(name string, group *pending, now time.Time) *NodeReport {
+	spending := &NodeReport{Node: m.node, Incarnation: m.incarnation, AgeMs: now.Sub(m.started).Milliseconds(), owner: name}
 	state := m.owner(name)
 	if !group.reporting {
 		spending.Kept = state.epoch
@@ -365,7 +365,7 @@
 	for _, tenant := range append(group.due, group.unsettled...) {
 		acct := m.accounts[tenant]
 		acct.reporting = true
-		spent := Spent{Tenant: tenant, Recent: acct.spent.recent(m.clock.index(now)), Want: acct.waiting, upTo: acct.count}
+		spent := TenantReport{Tenant: tenant, Recent: acct.spent.recent(m.clock.index(now)), Want: acct.waiting, upTo: acct.count}
 		if !acct.isKnownTo(name, state.epoch) {
 			spent.Rate, spent.Burst = acct.limit.Rate, acct.limit.Burst
 		}
@@ -406,9 +406,9 @@
 	return a.advance && a.settled != a.count && a.credit == 0 && now.Before(a.creditUntil)
 }
 
-// Settle applies an owner's answer to a report that was sent at a given time. It returns false if the answer lacks a tenant: an
+// ApplyAnswer applies an owner's answer to a report that was sent at a given time. It returns false if the answer lacks a tenant: an
 // owner of a build without ledgers answers for none.
-func (m *Meter) Settle(spending *Spending, answer *Answer, sent time.Time) bool {
+func (m *Meter) ApplyAnswer(spending *NodeReport, answer *Answer, sent time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.recordAnswer(spending, answer, sent)
@@ -441,7 +441,7 @@
 }
 
 // recordAnswer records that an owner answered. The caller holds the mutex.
-func (m *Meter) recordAnswer(spending *Spending, answer *Answer, sent time.Time) {
+func (m *Meter) recordAnswer(spending *NodeReport, answer *Answer, sent time.Time) {
 	state := m.owner(spending.owner)
 	state.reporting = state.reporting && len(spending.Spent) > 0
 	if sent.After(state.lastAnswer) {
@@ -460,8 +460,8 @@
 	return most
 }
 
-// Failed records that an owner did not answer a report.
-func (m *Meter) Failed(spending *Spending) {
+// ReportFailed records that an owner did not answer a report.
+func (m *Meter) ReportFailed(spending *NodeReport) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.owner(spending.owner)
@@ -475,7 +475,7 @@
 }
 
 // settle applies the owner's answer for one tenant. Requests admitted since the report are subtracted from the credit.
-func (a *account) settle(spent Spent, answer Credit, sent time.Time) {
+func (a *account) settle(spent TenantReport, answer Credit, sent time.Time) {
 	a.settled, a.lastSettled = spent.upTo, sent
 	a.credit = max(answer.Amount-int(a.count-spent.upTo), 0)
 	a.creditUntil = sent.Add(creditLifetime)
--- a/internal/quota/report_test.go
+++ b/internal/quota/report_test.go
@@ -31,14 +31,14 @@
 }
 
 // report delivers the due reports and returns them.
-func (r *reportRig) report() []*Spending {
-	var reports []*Spending
-	for _, spending := range r.meter.Due(func(ident.Tenant) string { return r.owner }, r.now) {
-		answer := r.ledger.Settle(spending, func(ident.Tenant) (Limit, bool) { return r.limit, true }, r.now)
+func (r *reportRig) report() []*NodeReport {
+	var reports []*NodeReport
+	for _, spending := range r.meter.DueReports(func(ident.Tenant) string { return r.owner }, r.now) {
+		answer := r.ledger.ApplyReport(spending, func(ident.Tenant) (Limit, bool) { return r.limit, true }, r.now)
 		if r.old {
 			answer.Epoch = 0
 		}
-		assert.Assert(r.t, r.meter.Settle(spending, answer, r.now))
+		assert.Assert(r.t, r.meter.ApplyAnswer(spending, answer, r.now))
 		reports = append(reports, spending)
 	}
 	return reports
@@ -49,10 +49,10 @@
 	if r.meter.Take(tenant, r.limit, r.now).Decision == Admit {
 		return
 	}
-	r.meter.Wait(tenant, r.limit)
+	r.meter.BeginWait(tenant, r.limit)
 	r.report()
 	assert.Equal(r.t, r.meter.Take(tenant, r.limit, r.now).Decision, Admit)
-	r.meter.Leave(tenant)
+	r.meter.EndWait(tenant)
 }
 
 // counted returns the number of a tenant's requests that the owner has counted.
@@ -65,8 +65,8 @@
 }
 
 // advance advances the clock and returns the reports sent meanwhile.
-func (r *reportRig) advance(duration time.Duration) []*Spending {
-	var reports []*Spending
+func (r *reportRig) advance(duration time.Duration) []*NodeReport {
+	var reports []*NodeReport
 	for end := r.now.Add(duration); r.now.Before(end); r.now = r.now.Add(100 * time.Millisecond) {
 		reports = append(reports, r.report()...)
 	}
@@ -89,7 +89,7 @@
 	}
 	assert.Equal(t, r.counted("a"), 1)
 	// Requests admitted without credit are reported.
-	r.meter.Pass("a", r.limit, r.now)
+	r.meter.AdmitUncounted("a", r.limit, r.now)
 	r.advance(looseReportInterval + 200*time.Millisecond)
 	assert.Equal(t, r.counted("a"), 2)
 }
@@ -113,11 +113,11 @@
 // TestUnusedCreditIsGivenBack leaves the credit of an abandoned request unused: the owner counts it only until the next report.
 func TestUnusedCreditIsGivenBack(t *testing.T) {
 	r := newReportRig(t)
-	r.meter.Wait("a", r.limit)
+	r.meter.BeginWait("a", r.limit)
 	r.report()
-	r.meter.Leave("a")
+	r.meter.EndWait("a")
 	assert.Equal(t, r.counted("a"), 1)
-	r.meter.Pass("a", r.limit, r.now)
+	r.meter.AdmitUncounted("a", r.limit, r.now)
 	r.advance(tightReportInterval + 200*time.Millisecond)
 	assert.Equal(t, r.counted("a"), 1, "only the admitted request counts, not the abandoned one")
 }
@@ -136,13 +136,13 @@
 	assert.Assert(t, times >= 2*int(3*time.Second/tightReportInterval)-2, "%d", times)
 	assert.Equal(t, r.counted("a"), 1)
 
-	node := &Spending{Node: "older", Incarnation: 1, AgeMs: time.Hour.Milliseconds(), Spent: []Spent{{Tenant: "c", Recent: []int{1}, Want: 1}}}
+	node := &NodeReport{Node: "older", Incarnation: 1, AgeMs: time.Hour.Milliseconds(), Spent: []TenantReport{{Tenant: "c", Recent: []int{1}, Want: 1}}}
 	limit := func(ident.Tenant) (Limit, bool) { return r.limit, true }
-	assert.Equal(t, r.ledger.Settle(node, limit, r.now).Credits[0].Amount, 1)
+	assert.Equal(t, r.ledger.ApplyReport(node, limit, r.now).Credits[0].Amount, 1)
 	assert.Equal(t, r.counted("c"), 2)
 	// It reports the request that waited like any other.
-	node.Spent[0] = Spent{Tenant: "c", Recent: []int{2}}
-	r.ledger.Settle(node, limit, r.now)
+	node.Spent[0] = TenantReport{Tenant: "c", Recent: []int{2}}
+	r.ledger.ApplyReport(node, limit, r.now)
 	assert.Equal(t, r.counted("c"), 2)
 }
 
@@ -156,7 +156,7 @@
 	r.advance(time.Second)
 	r.request("a")
 	for range 60 {
-		r.meter.Pass("a", r.limit, r.now)
+		r.meter.AdmitUncounted("a", r.limit, r.now)
 	}
 	r.owner, r.ledger = "second", NewLedger(simWindow, r.now.Add(-time.Hour))
 	for range 20 {
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -39,14 +39,14 @@
 	const duration, step = 30 * time.Second, 10 * time.Millisecond
 	bytesSent, messages, refused := 0, 0, 0
 	report := func() {
-		for name, spending := range meter.Due(owner, now) {
-			answer := ledgers[name].Settle(spending, limitOf, now)
+		for name, spending := range meter.DueReports(owner, now) {
+			answer := ledgers[name].ApplyReport(spending, limitOf, now)
 			for _, message := range []any{spending, answer} {
 				encoded, err := json.Marshal(message)
 				assert.NilError(t, err)
 				bytesSent += len(encoded)
 			}
-			meter.Settle(spending, answer, now)
+			meter.ApplyAnswer(spending, answer, now)
 			messages++
 		}
 	}
@@ -55,12 +55,12 @@
 			// The largest tenants have most of the requests.
 			tenant := ident.Tenant(fmt.Sprintf("tenant-%d", int(math.Exp(random.Float64()*math.Log(designTenants)))))
 			if meter.Take(tenant, limit, now).Decision == Ask {
-				meter.Wait(tenant, limit)
+				meter.BeginWait(tenant, limit)
 				report()
 				if meter.Take(tenant, limit, now).Decision != Admit {
 					refused++
 				}
-				meter.Leave(tenant)
+				meter.EndWait(tenant)
 			}
 		}
 		if now.UnixMilli()%100 == 0 {
@@ -80,12 +80,12 @@
 	ledger := NewLedger(simWindow, now.Add(-time.Hour))
 	each := int(designRequestsPerSecond / designNodes * simWindow.Seconds())
 	for node := range designNodes {
-		spending := &Spending{Node: ident.Node(fmt.Sprint(node)), Incarnation: 1}
+		spending := &NodeReport{Node: ident.Node(fmt.Sprint(node)), Incarnation: 1}
 		for tenant := range each {
 			name := ident.Tenant(fmt.Sprint((node*each + tenant) % designTenants))
-			spending.Spent = append(spending.Spent, Spent{Tenant: name, Recent: []int{1}})
+			spending.Spent = append(spending.Spent, TenantReport{Tenant: name, Recent: []int{1}})
 		}
-		ledger.Settle(spending, func(ident.Tenant) (Limit, bool) { return Limit{Rate: 10, Burst: 10}, true }, now)
+		ledger.ApplyReport(spending, func(ident.Tenant) (Limit, bool) { return Limit{Rate: 10, Burst: 10}, true }, now)
 	}
 	taken := heapInUse() - before
 	t.Logf("%.1f MB for all owners together, %.2f MB for each of %d", float64(taken)/1e6, float64(taken)/1e6/designOwners, designOwners)
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -69,15 +69,15 @@
 		return
 	}
 	meter, sent := c.meters[node], c.sim.now
-	for _, spending := range meter.Due(func(ident.Tenant) string { return fmt.Sprint("owner-", owner) }, c.sim.now) {
+	for _, spending := range meter.DueReports(func(ident.Tenant) string { return fmt.Sprint("owner-", owner) }, c.sim.now) {
 		var answer *Answer
 		c.sim.call(node, owner, func() {
-			answer = c.ledgers[owner].Settle(spending, func(ident.Tenant) (Limit, bool) { return c.sim.configured, true }, c.sim.now)
+			answer = c.ledgers[owner].ApplyReport(spending, func(ident.Tenant) (Limit, bool) { return c.sim.configured, true }, c.sim.now)
 		}, func(answered bool) {
 			if answered {
-				meter.Settle(spending, answer, sent)
+				meter.ApplyAnswer(spending, answer, sent)
 			} else {
-				meter.Failed(spending)
+				meter.ReportFailed(spending)
 			}
 			if meter == c.meters[node] {
 				c.decide(node, answered)
@@ -94,7 +94,7 @@
 	case Refuse:
 		decided(false)
 	case Ask:
-		meter.Wait(simTenant, limit)
+		meter.BeginWait(simTenant, limit)
 		c.waiting[node] = append(c.waiting[node], &waitingRequest{until: c.sim.now.Add(askTimeout), decided: decided})
 		if c.sim.owner() < 0 {
 			c.decide(node, false)
@@ -114,9 +114,9 @@
 			continue
 		}
 		if verdict.Decision == Ask {
-			verdict = meter.TakeAlone(simTenant, limit, c.sim.now)
+			verdict = meter.TakeIsolated(simTenant, limit, c.sim.now)
 		}
-		meter.Leave(simTenant)
+		meter.EndWait(simTenant)
 		request.decided(verdict.Decision == Admit)
 	}
 	c.waiting[node] = left
--- a/internal/quota/takeover_test.go
+++ b/internal/quota/takeover_test.go
@@ -61,10 +61,10 @@
 		}
 	}
 	for range int(simWindow/time.Second) + 1 {
-		busy.meter.Pass(tenant, busy.limit, busy.now)
+		busy.meter.AdmitUncounted(tenant, busy.limit, busy.now)
 		for _, r := range both {
 			r.now = r.now.Add(time.Second)
-			r.meter.Due(func(ident.Tenant) string { return "" }, r.now)
+			r.meter.DueReports(func(ident.Tenant) string { return "" }, r.now)
 		}
 	}
 	second := NewLedger(simWindow, busy.now.Add(-time.Hour))
@@ -73,7 +73,7 @@
 	}
 	advance(time.Second)
 	for range waitingRequests {
-		busy.meter.Wait(tenant, busy.limit)
+		busy.meter.BeginWait(tenant, busy.limit)
 	}
 	busy.report()
 	for range waitingRequests {
--- a/internal/quota/unconfigured_test.go
+++ b/internal/quota/unconfigured_test.go
@@ -24,12 +24,12 @@
 	for end := now.Add(simWindow); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		for _, meter := range meters {
 			if meter.Take("hot", limit, now).Decision == Ask {
-				meter.Wait("hot", limit)
-				for _, spending := range meter.Due(func(ident.Tenant) string { return "owner" }, now) {
-					answer := ledger.Settle(spending, func(ident.Tenant) (Limit, bool) { return Limit{}, false }, now)
-					assert.Assert(t, meter.Settle(spending, answer, now))
+				meter.BeginWait("hot", limit)
+				for _, spending := range meter.DueReports(func(ident.Tenant) string { return "owner" }, now) {
+					answer := ledger.ApplyReport(spending, func(ident.Tenant) (Limit, bool) { return Limit{}, false }, now)
+					assert.Assert(t, meter.ApplyAnswer(spending, answer, now))
 				}
-				meter.Leave("hot")
+				meter.EndWait("hot")
 			}
 			if meter.Take("hot", limit, now).Decision == Admit {
 				admitted++
--- a/internal/runnertable/flight.go
+++ b/internal/runnertable/flight.go
@@ -31,7 +31,7 @@
 }
 
 // start registers a new flight. The caller holds the mutex.
-func (t *Table) start(chosen *entry, wish Wish, uncached int, now time.Time) *Flight {
+func (t *Table) start(chosen *entry, wish PickRequest, uncached int, now time.Time) *Flight {
 	flight := &Flight{
 		Runner: chosen.runner, table: t, entry: chosen, class: wish.Class, startedAt: now, uncached: uncached,
 		tokens: wish.memoryTokens(uncached), lastEvent: now, hasPrompt: uncached > 0 || len(wish.Prefix) > 0,
@@ -49,8 +49,8 @@
 	return flight
 }
 
-// Answered records the head of the runner's response and the load reported in it, if any.
-func (f *Flight) Answered(load *work.Load, now time.Time) {
+// HeadReceived records the head of the runner's response and the load reported in it, if any.
+func (f *Flight) HeadReceived(load *work.Load, now time.Time) {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.stopWaiting()
@@ -63,9 +63,9 @@
 	}
 }
 
-// Began records that an event was received, the first one or a later one. The first one counts as a success of the
+// EventReceived records that an event was received, the first one or a later one. The first one counts as a success of the
 // runner.
-func (f *Flight) Began(now time.Time) {
+func (f *Flight) EventReceived(now time.Time) {
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.stopWaiting()
@@ -107,7 +107,7 @@
 	f.table.mutex.Lock()
 	defer f.table.mutex.Unlock()
 	f.entry.health.failed(failure, now)
-	if f.isCrossZone() && (failure == Unreachable || failure == Silent) {
+	if f.isCrossZone() && (failure == Unreachable || failure == FirstByteTimeout) {
 		f.table.zoneTimedOut(f.Runner.Zone, string(f.Runner.ID), f.startedAt, now)
 	}
 }
--- a/internal/runnertable/free.go
+++ b/internal/runnertable/free.go
@@ -25,7 +25,7 @@
 	defer t.mutex.Unlock()
 	free := 0
 	for _, known := range t.services[service] {
-		if known.eligible(Wish{}, now) {
+		if known.eligible(PickRequest{}, now) {
 			committed, _ := known.estimate(now)
 			free += max(max(known.runner.Slots, 1)-committed, 0)
 		}
--- a/internal/runnertable/health.go
+++ b/internal/runnertable/health.go
@@ -13,12 +13,12 @@
 	Unreachable Failure = iota
 	// NoAnswer means that the request was sent and no response was received, or that the response broke off.
 	NoAnswer
-	// Silent means that the runner did not start to respond in time.
-	Silent
+	// FirstByteTimeout means that the runner did not start to respond in time.
+	FirstByteTimeout
 	// Refused means that the runner refused the request because it is full.
 	Refused
-	// Erred means that the runner responded with an error.
-	Erred
+	// ErrorResponse means that the runner responded with an error.
+	ErrorResponse
 	// Replaced means that another incarnation, or another service, answers at the address.
 	Replaced
 )
@@ -60,10 +60,10 @@
 		h.fullUntil = now.Add(refusalBackoff)
 	case Replaced:
 		h.replaced = true
-	case Unreachable, Silent:
+	case Unreachable, FirstByteTimeout:
 		h.failures = max(h.failures, failuresBeforeEjection-1)
 		h.addFailure(now)
-	case NoAnswer, Erred:
+	case NoAnswer, ErrorResponse:
 		h.addFailure(now)
 	}
 	if failure != Refused && failure != Replaced {
--- a/internal/runnertable/orphans.go
+++ b/internal/runnertable/orphans.go
@@ -7,9 +7,9 @@
 // longer than a third of a typical objective would make requests late.
 const assumeFullFor = 100 * time.Millisecond
 
-// StartsAgain makes the runners of the first list count as full for assumeFullFor, unless their owners report them or
+// AssumeFullUntilReported makes the runners of the first list count as full for assumeFullFor, unless their owners report them or
 // they respond earlier. It must be called before the table is used, by a node of a deployment that ran before.
-func (t *Table) StartsAgain() { t.assumeFullFor = assumeFullFor }
+func (t *Table) AssumeFullUntilReported() { t.assumeFullFor = assumeFullFor }
 
 // assumedFull says whether the node has just started and has no information about the work at the runner.
 func (e *entry) assumedFull(now time.Time) bool {
--- a/internal/runnertable/orphans_test.go
+++ b/internal/runnertable/orphans_test.go
@@ -16,8 +16,8 @@
 )
 
 // queueableWish describes a request that may wait for a slot at the node.
-func queueableWish() runnertable.Wish {
-	return runnertable.Wish{Service: "s", Class: runnertable.Online, Full: map[ident.Incarnation]bool{}}
+func queueableWish() runnertable.PickRequest {
+	return runnertable.PickRequest{Service: "s", Class: runnertable.Online, RefusedBy: map[ident.Incarnation]bool{}}
 }
 
 func eightSlotRunners(ids ...ident.Incarnation) []work.Runner {
@@ -37,10 +37,10 @@
 	now := time.Now()
 	table := runnertable.New("z")
 	table.Replace(eightSlotRunners("a"), now, true)
-	table.TakeShares([]demand.Share{{Runner: "a", Orphans: 8}}, now)
+	table.UpdateShares([]demand.Share{{Runner: "a", Orphans: 8}}, now)
 	_, err := table.Pick(queueableWish(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
-	table.TakeShares([]demand.Share{{Runner: "a", Orphans: 6}}, now.Add(time.Millisecond))
+	table.UpdateShares([]demand.Share{{Runner: "a", Orphans: 6}}, now.Add(time.Millisecond))
 	for range 2 {
 		_, err = table.Pick(queueableWish(), now.Add(time.Millisecond), fixedRand())
 		assert.NilError(t, err)
@@ -55,26 +55,26 @@
 func TestRestartedNodeWaitsForRunnerReports(t *testing.T) {
 	now := time.Now()
 	table := runnertable.New("z")
-	table.StartsAgain()
+	table.AssumeFullUntilReported()
 	table.Replace(nil, now, true)
 	table.Replace(eightSlotRunners("a", "b"), now, true)
 	_, err := table.Pick(queueableWish(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
-	_, err = table.Pick(runnertable.Wish{Service: "s", Class: runnertable.Online}, now, fixedRand())
+	_, err = table.Pick(runnertable.PickRequest{Service: "s", Class: runnertable.Online}, now, fixedRand())
 	assert.NilError(t, err)
-	table.TakeShares([]demand.Share{{Runner: "b"}}, now)
+	table.UpdateShares([]demand.Share{{Runner: "b"}}, now)
 	for range 8 {
 		flight, err := table.Pick(queueableWish(), now, fixedRand())
 		assert.NilError(t, err)
 		assert.Equal(t, flight.Runner.ID, ident.Incarnation("b"))
 	}
 	later := now.Add(100 * time.Millisecond)
-	table.TakeShares([]demand.Share{{Runner: "b", Others: 8}}, later)
+	table.UpdateShares([]demand.Share{{Runner: "b", Others: 8}}, later)
 	flight, err := table.Pick(queueableWish(), later, fixedRand())
 	assert.NilError(t, err)
 	assert.Equal(t, flight.Runner.ID, ident.Incarnation("a"))
 	table.Replace(eightSlotRunners("a", "b", "c"), later, true)
-	table.TakeShares([]demand.Share{{Runner: "a", Others: 8}, {Runner: "b", Others: 8}}, later)
+	table.UpdateShares([]demand.Share{{Runner: "a", Others: 8}, {Runner: "b", Others: 8}}, later)
 	flight, err = table.Pick(queueableWish(), later, fixedRand())
 	assert.NilError(t, err)
 	assert.Equal(t, flight.Runner.ID, ident.Incarnation("c"), "a runner that joins later is held back")
@@ -90,7 +90,7 @@
 			ids = append(ids, ident.Incarnation(fmt.Sprint("r", index)))
 		}
 		fresh, restarted := runnertable.New("z"), runnertable.New("z")
-		restarted.StartsAgain()
+		restarted.AssumeFullUntilReported()
 		for _, table := range []*runnertable.Table{fresh, restarted} {
 			table.Replace(eightSlotRunners(ids...), now, true)
 		}
@@ -103,7 +103,7 @@
 			}
 			var chosen [2]ident.Incarnation
 			for index, table := range []*runnertable.Table{fresh, restarted} {
-				table.TakeShares(shares, now)
+				table.UpdateShares(shares, now)
 				flight, err := table.Pick(queueableWish(), now, rand.New(rand.NewPCG(uint64(step), 0)))
 				if err != nil {
 					chosen[index] = ident.Incarnation(err.Error())
--- a/internal/runnertable/pace.go
+++ b/internal/runnertable/pace.go
@@ -55,9 +55,9 @@
 	// Begun and Ended are the numbers of slow phases that started and ended.
 	Begun, Ended int
 	// Chosen is the number of choices made while a runner of the service was slow, Slow the number of those that
-	// selected a slow runner, and Beyond the number that selected a runner that can't keep the maximum pause between
+	// selected a slow runner, and PauseExceeded the number that selected a runner that can't keep the maximum pause between
 	// events.
-	Chosen, Slow, Beyond int
+	Chosen, Slow, PauseExceeded int
 }
 
 // timingsOf returns the timings of a service. The caller holds the mutex.
@@ -73,7 +73,7 @@
 // paceCost is the additional delay of the first event that is expected from the runner's pace, in milliseconds, and
 // pauseCost if the runner can't keep the pause; zero at the typical pace. queuedMs is the time that a request spends
 // at the runner, at the typical pace, before its own work starts.
-func (t *Table) paceCost(candidate *entry, wish Wish, queuedMs float64, now time.Time) float64 {
+func (t *Table) paceCost(candidate *entry, wish PickRequest, queuedMs float64, now time.Time) float64 {
 	at := candidate.pace.Current(now)
 	if at <= 1 {
 		return 0
@@ -130,7 +130,7 @@
 }
 
 // countChoice updates the slow-phase counters for the log. The caller holds the mutex.
-func (t *Table) countChoice(chosen *entry, wish Wish, now time.Time) {
+func (t *Table) countChoice(chosen *entry, wish PickRequest, now time.Time) {
 	slow := false
 	for _, candidate := range t.services[wish.Service] {
 		slow = slow || candidate.pace.Current(now) >= pace.Slow
@@ -144,7 +144,7 @@
 		t.slowPhases.Slow++
 	}
 	if !pace.MeetsPause(t.timingsOf(wish.Service).gap.Or(0), wish.Pause, at) {
-		t.slowPhases.Beyond++
+		t.slowPhases.PauseExceeded++
 	}
 }
 
@@ -163,15 +163,15 @@
 }
 
 // staleCost is the cost added for a runner whose owner was polled before the choice and has no recent report.
-func (e *entry) staleCost(wish Wish, now time.Time) float64 {
-	if wish.Wary && !e.share.Within(recentShareAge, now) {
+func (e *entry) staleCost(wish PickRequest, now time.Time) float64 {
+	if wish.OwnersPolled && !e.share.Within(recentShareAge, now) {
 		return staleShareCost
 	}
 	return 0
 }
 
-// Would returns up to most runners that Pick would choose, best first. It starts no flight.
-func (t *Table) Would(wish Wish, most int, now time.Time, random *rand.Rand) []work.Runner {
+// Candidates returns up to most runners that Pick would choose, best first. It starts no flight.
+func (t *Table) Candidates(wish PickRequest, most int, now time.Time, random *rand.Rand) []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	type priced struct {
@@ -193,16 +193,16 @@
 	return runners
 }
 
-// TellsPace says whether runners of a service in this node's zone report their pace.
-func (t *Table) TellsPace(service string, now time.Time) bool {
+// ReportsPace says whether runners of a service in this node's zone report their pace.
+func (t *Table) ReportsPace(service string, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	timings := t.timings[service]
 	return timings != nil && !timings.paceReported.IsZero() && now.Sub(timings.paceReported) < paceReporterLifetime
 }
 
-// HearCounts stores the paces in another node's report, as of its arrival.
-func (t *Table) HearCounts(counts []demand.Count, now time.Time) {
+// UpdatePaces stores the paces in another node's report, as of its arrival.
+func (t *Table) UpdatePaces(counts []demand.Count, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, count := range counts {
@@ -222,9 +222,9 @@
 	return 1
 }
 
-// PaceNews adds the latest pace of a runner to the share that its owner sends to another node, if that node needs it.
+// AddPaceUpdate adds the latest pace of a runner to the share that its owner sends to another node, if that node needs it.
 // The node already has everything the owner knew at since.
-func (t *Table) PaceNews(share *demand.Share, since, now time.Time) {
+func (t *Table) AddPaceUpdate(share *demand.Share, since, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.runners[share.Runner]
--- a/internal/runnertable/pace_load_test.go
+++ b/internal/runnertable/pace_load_test.go
@@ -134,37 +134,37 @@
 	report := &demand.Report{Node: front.name, Sequence: front.reports}
 	for _, count := range front.table.Online(f.now) {
 		if count.Pace.Known() {
-			count.PaceAgeMs = f.now.Sub(count.Heard).Milliseconds()
+			count.PaceAgeMs = f.now.Sub(count.PaceReceivedAt).Milliseconds()
 		}
 		report.Counts = append(report.Counts, count)
 	}
-	answered := f.ledger.Heard(front.name)
-	f.ledger.Take(report, f.now)
-	f.owners[zone].HearCounts(report.Counts, f.now)
+	answered := f.ledger.LastReport(front.name)
+	f.ledger.Record(report, f.now)
+	f.owners[zone].UpdatePaces(report.Counts, f.now)
 	var shares []demand.Share
 	for _, runner := range f.runners {
 		if runner.zone != zone {
 			continue
 		}
 		share := demand.Share{Runner: runner.runner.ID, Others: f.ledger.Online(runner.runner.ID, front.name, f.now)}
-		f.owners[zone].PaceNews(&share, answered, f.now)
+		f.owners[zone].AddPaceUpdate(&share, answered, f.now)
 		shares = append(shares, share)
 	}
-	front.table.TakeShares(shares, f.now)
+	front.table.UpdateShares(shares, f.now)
 	front.lastExchange[zone] = f.now
 }
 
 // send chooses a runner for a request, polling the owners first as online.Forwarder does.
 func (f *slowFleet) send(t *testing.T, front *slowFront) {
-	wish := runnertable.Wish{
-		Service: "s", PromptTokens: 250, Bytes: 1500, Objective: slowObjective, Pause: slowPause, Full: map[ident.Incarnation]bool{},
+	wish := runnertable.PickRequest{
+		Service: "s", PromptTokens: 250, Bytes: 1500, Objective: slowObjective, Pause: slowPause, RefusedBy: map[ident.Incarnation]bool{},
 		Prefix: []work.Part{{ID: fmt.Sprint("own-", f.random.Uint64()), Tokens: 250}},
 	}
 	seed := f.random.Uint64()
-	if front.table.TellsPace("s", f.now) {
+	if front.table.ReportsPace("s", f.now) {
 		for range 2 {
 			polled := false
-			for _, best := range front.table.Would(wish, 3, f.now, rand.New(rand.NewPCG(seed, 0))) {
+			for _, best := range front.table.Candidates(wish, 3, f.now, rand.New(rand.NewPCG(seed, 0))) {
 				if zone := f.byID[best.ID].zone; f.now.Sub(front.lastExchange[zone]) >= 20*time.Millisecond {
 					f.exchange(front, zone)
 					polled = true
@@ -174,7 +174,7 @@
 				break
 			}
 		}
-		wish.Wary = true
+		wish.OwnersPolled = true
 	}
 	f.requests++
 	flight, err := front.table.Pick(wish, f.now, rand.New(rand.NewPCG(seed, 0)))
@@ -224,8 +224,8 @@
 	if f.reportsPace {
 		load.Pace = work.Pace(at)
 	}
-	flight.flight.Answered(load, f.now)
-	flight.flight.Began(f.now)
+	flight.flight.HeadReceived(load, f.now)
+	flight.flight.EventReceived(f.now)
 	if f.now.Sub(flight.sent)+slowRoundTrip > slowObjective {
 		f.late++
 	}
@@ -239,7 +239,7 @@
 		f.updatePhases()
 		f.advance(step)
 		for index, front := range f.fronts {
-			if (f.now.UnixMilli()+int64(index))%demand.RefreshEvery.Milliseconds() == 0 && len(front.flights) > 0 {
+			if (f.now.UnixMilli()+int64(index))%demand.RefreshInterval.Milliseconds() == 0 && len(front.flights) > 0 {
 				f.exchange(front, front.zone)
 			}
 		}
--- a/internal/runnertable/pace_test.go
+++ b/internal/runnertable/pace_test.go
@@ -27,7 +27,7 @@
 }
 
 // costWithoutPace is the cost of a runner without any influence of its pace.
-func costWithoutPace(t *Table, candidate *entry, wish Wish, pick pickContext, now time.Time) float64 {
+func costWithoutPace(t *Table, candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
 	slots := float64(max(candidate.runner.Slots, 1))
 	committed, preemptible := candidate.estimate(now)
 	load := float64(committed + 1)
@@ -73,22 +73,22 @@
 			reported := work.Pace(rapid.SampledFrom([]float64{0, 0, 1, .8}).Draw(t, "pace"))
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				flight, err := table.StartAt(id, Wish{Service: "s", PromptTokens: 300}, now)
+				flight, err := table.StartAt(id, PickRequest{Service: "s", PromptTokens: 300}, now)
 				if err == nil && rapid.Bool().Draw(t, "answered") {
-					flight.Answered(&work.Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Pace: reported}, now)
-					flight.Began(now)
+					flight.HeadReceived(&work.Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Pace: reported}, now)
+					flight.EventReceived(now)
 				}
 			case 1:
-				table.TakeShares([]demand.Share{{
+				table.UpdateShares([]demand.Share{{
 					Runner: id, Others: rapid.IntRange(0, 9).Draw(t, "others"), Batch: rapid.IntRange(0, 9).Draw(t,
 						"batch"), Pace: reported,
 				}}, now)
 			case 2:
-				table.TakeShares([]demand.Share{{Runner: id, Pace: 5, PaceAgeMs: 10_000}}, now)
+				table.UpdateShares([]demand.Share{{Runner: id, Pace: 5, PaceAgeMs: 10_000}}, now)
 			}
 		}
-		wish := Wish{
-			Service: "s", PromptTokens: 400, Bytes: 1500, Objective: 300 * time.Millisecond, Pause: time.Millisecond, Full: map[ident.Incarnation]bool{},
+		wish := PickRequest{
+			Service: "s", PromptTokens: 400, Bytes: 1500, Objective: 300 * time.Millisecond, Pause: time.Millisecond, RefusedBy: map[ident.Incarnation]bool{},
 		}
 		pick := table.newPickContext(wish, now, rand.New(rand.NewPCG(1, 1)))
 		for _, candidate := range table.runners {
@@ -100,7 +100,7 @@
 }
 
 // countPicks returns how many of 200 requests, each of which ends before the next, are sent to a runner.
-func countPicks(t *testing.T, table *Table, wish Wish, on ident.Incarnation, now time.Time) int {
+func countPicks(t *testing.T, table *Table, wish PickRequest, on ident.Incarnation, now time.Time) int {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 1))
 	count := 0
@@ -119,8 +119,8 @@
 // report expires, and half of them after the length of a long slow phase.
 func TestSlowRunnerTakesFewerRequestsAndIsNotForgotten(t *testing.T) {
 	table := pacedTable("a", "slow", "usual")
-	wish := Wish{Service: "s", PromptTokens: 300}
-	table.TakeShares([]demand.Share{{Runner: "slow", Pace: 2.5}}, start)
+	wish := PickRequest{Service: "s", PromptTokens: 300}
+	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 2.5}}, start)
 	assert.Equal(t, countPicks(t, table, wish, "slow", start), 0, "a free runner of the typical pace was not chosen")
 	later := countPicks(t, table, wish, "slow", start.Add(1400*time.Millisecond))
 	assert.Assert(t, later > 0 && later < 80, "%d of 200", later)
@@ -132,10 +132,10 @@
 // first in the queue of a runner of the typical pace.
 func TestSlowRunnerWithFreeSlotBeatsQueue(t *testing.T) {
 	table := pacedTable("a", "slow", "usual")
-	table.TakeShares([]demand.Share{{Runner: "slow", Pace: 2.5}, {Runner: "usual", Others: 4}}, start)
-	wish := Wish{Service: "s", PromptTokens: 300, Objective: 300 * time.Millisecond}
+	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 2.5}, {Runner: "usual", Others: 4}}, start)
+	wish := PickRequest{Service: "s", PromptTokens: 300, Objective: 300 * time.Millisecond}
 	assert.Assert(t, countPicks(t, table, wish, "slow", start) > 150)
-	table.TakeShares([]demand.Share{{Runner: "slow", Pace: 7.5}}, start.Add(time.Millisecond))
+	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 7.5}}, start.Add(time.Millisecond))
 	assert.Equal(t, countPicks(t, table, wish, "slow", start.Add(time.Millisecond)), 0, "the request would be late")
 }
 
@@ -144,15 +144,15 @@
 func TestRunnerThatCannotKeepThePauseIsTheLast(t *testing.T) {
 	table := pacedTable("a", "slow", "usual")
 	now := start
-	flight, err := table.StartAt("usual", Wish{Service: "s", PromptTokens: 300}, now)
+	flight, err := table.StartAt("usual", PickRequest{Service: "s", PromptTokens: 300}, now)
 	assert.NilError(t, err)
 	for range 20 {
-		flight.Began(now)
+		flight.EventReceived(now)
 		now = now.Add(35 * time.Millisecond)
 	}
 	flight.End()
-	table.TakeShares([]demand.Share{{Runner: "slow", Pace: 7.5}, {Runner: "usual", Others: 13}}, now)
-	wish := Wish{Service: "s", PromptTokens: 300, Pause: 250 * time.Millisecond}
+	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 7.5}, {Runner: "usual", Others: 13}}, now)
+	wish := PickRequest{Service: "s", PromptTokens: 300, Pause: 250 * time.Millisecond}
 	assert.Equal(t, countPicks(t, table, wish, "slow", now), 0)
 	wish.Pause = 300 * time.Millisecond
 	assert.Assert(t, countPicks(t, table, wish, "slow", now) > 0, "the slow runner meets this pause")
@@ -160,7 +160,7 @@
 	assert.Equal(t, countPicks(t, table, wish, "slow", now), 200)
 	counted, slow := table.TakeSlowPhases(now)
 	assert.Equal(t, counted.Begun, 1)
-	assert.Assert(t, counted.Slow >= 200 && counted.Beyond >= 200)
+	assert.Assert(t, counted.Slow >= 200 && counted.PauseExceeded >= 200)
 	assert.DeepEqual(t, slow, []string{"slow"})
 }
 
@@ -168,10 +168,10 @@
 // node: its slots take longer to become free, in proportion to its pace.
 func TestNothingWaitsBehindASlowRunner(t *testing.T) {
 	table := pacedTable("a", "r")
-	wish := Wish{Service: "s", Full: map[ident.Incarnation]bool{}}
-	table.TakeShares([]demand.Share{{Runner: "r", Others: 4}}, start)
+	wish := PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
+	table.UpdateShares([]demand.Share{{Runner: "r", Others: 4}}, start)
 	assert.Equal(t, countPicks(t, table, wish, "r", start), 200)
-	table.TakeShares([]demand.Share{{Runner: "r", Others: 4, Pace: 3}}, start.Add(time.Millisecond))
+	table.UpdateShares([]demand.Share{{Runner: "r", Others: 4, Pace: 3}}, start.Add(time.Millisecond))
 	_, err := table.Pick(wish, start.Add(time.Millisecond), rand.New(rand.NewPCG(1, 1)))
 	assert.ErrorIs(t, err, ErrFull)
 }
@@ -180,12 +180,12 @@
 // pace this node knows.
 func TestOlderBuildsChangeNothingThatIsKnown(t *testing.T) {
 	table := pacedTable("a", "r")
-	flight, err := table.StartAt("r", Wish{Service: "s"}, start)
+	flight, err := table.StartAt("r", PickRequest{Service: "s"}, start)
 	assert.NilError(t, err)
-	flight.Answered(&work.Load{Running: 1, Slots: 4, Pace: 2}, start)
+	flight.HeadReceived(&work.Load{Running: 1, Slots: 4, Pace: 2}, start)
 	later := start.Add(10 * time.Millisecond)
-	table.TakeShares([]demand.Share{{Runner: "r", Others: 1}}, later)
-	table.HearCounts([]demand.Count{{Runner: "r", Online: 1}, {Runner: "unknown", Online: 1, Pace: 2}}, later)
+	table.UpdateShares([]demand.Share{{Runner: "r", Others: 1}}, later)
+	table.UpdatePaces([]demand.Count{{Runner: "r", Online: 1}, {Runner: "unknown", Online: 1, Pace: 2}}, later)
 	assert.Assert(t, table.Pace("r", later) > 1.9)
 	assert.Equal(t, table.Pace("unknown", later), work.Pace(1))
 }
@@ -202,26 +202,26 @@
 		}
 	})
 	answered := func(at work.Pace, now time.Time) {
-		flight, err := table.StartAt("r", Wish{Service: "s"}, now)
+		flight, err := table.StartAt("r", PickRequest{Service: "s"}, now)
 		assert.NilError(t, err)
-		flight.Answered(&work.Load{Pace: at}, now)
+		flight.HeadReceived(&work.Load{Pace: at}, now)
 		changes = 0
 		flight.End()
 	}
-	assert.Assert(t, !table.TellsPace("s", start))
+	assert.Assert(t, !table.ReportsPace("s", start))
 	answered(2, start)
-	assert.Assert(t, table.TellsPace("s", start) && !table.TellsPace("other", start))
+	assert.Assert(t, table.ReportsPace("s", start) && !table.ReportsPace("other", start))
 	for _, count := range table.Online(start.Add(time.Second)) {
-		assert.DeepEqual(t, count, demand.Count{Runner: "r", Pace: 2, Heard: start})
+		assert.DeepEqual(t, count, demand.Count{Runner: "r", Pace: 2, PaceReceivedAt: start})
 	}
 	assert.Equal(t, len(table.Online(start.Add(time.Second))), 1)
 	assert.Equal(t, len(table.Online(start.Add(directReportLifetime))), 0)
-	flight, err := table.StartAt("r", Wish{Service: "s"}, start)
+	flight, err := table.StartAt("r", PickRequest{Service: "s"}, start)
 	assert.NilError(t, err)
 	changes = 0
-	flight.Answered(&work.Load{Pace: 2.1}, start.Add(time.Millisecond))
+	flight.HeadReceived(&work.Load{Pace: 2.1}, start.Add(time.Millisecond))
 	assert.Equal(t, changes, 0, "the runner was slow before")
-	flight.Answered(&work.Load{Pace: 1}, start.Add(2*time.Millisecond))
+	flight.HeadReceived(&work.Load{Pace: 1}, start.Add(2*time.Millisecond))
 	assert.Equal(t, changes, 1)
 }
 
@@ -234,7 +234,7 @@
 		sent := 0
 		for node := range uint64(2) {
 			table := pacedTable("a", ids...)
-			table.TakeShares([]demand.Share{{Runner: "3", Pace: 3}}, start)
+			table.UpdateShares([]demand.Share{{Runner: "3", Pace: 3}}, start)
 			now := start.Add(500 * time.Millisecond)
 			shares := []demand.Share{{Runner: "3", Pace: 1}}
 			for _, id := range ids {
@@ -242,10 +242,10 @@
 					shares = append(shares, demand.Share{Runner: id, Others: 2})
 				}
 			}
-			table.TakeShares(shares, now)
+			table.UpdateShares(shares, now)
 			random := rand.New(rand.NewPCG(seed, node))
 			for range 8 {
-				flight, err := table.Pick(Wish{Service: "s"}, now, random)
+				flight, err := table.Pick(PickRequest{Service: "s"}, now, random)
 				assert.NilError(t, err)
 				if flight.Runner.ID == "3" {
 					sent++
--- a/internal/runnertable/peak_test.go
+++ b/internal/runnertable/peak_test.go
@@ -94,7 +94,7 @@
 func (p *peak) send(t *testing.T, node int) {
 	parts := []work.Part{{ID: fmt.Sprint("system-", p.random.IntN(16)), Tokens: 100},
 		{ID: fmt.Sprint("own-", p.random.Uint64()), Tokens: 350}}
-	wish := runnertable.Wish{Service: "s", Prefix: parts, PromptTokens: 450, Bytes: 1500, Full: map[ident.Incarnation]bool{}}
+	wish := runnertable.PickRequest{Service: "s", Prefix: parts, PromptTokens: 450, Bytes: 1500, RefusedBy: map[ident.Incarnation]bool{}}
 	flight, err := p.tables[node].Pick(wish, p.now, p.random)
 	assert.NilError(t, err)
 	sent := &peakFlight{flight: flight, node: node, sent: p.now}
@@ -112,7 +112,7 @@
 		next.ends = p.now.Add(peakRun)
 		runner.running = append(runner.running, next)
 		p.waits = append(p.waits, p.now.Sub(next.sent))
-		next.flight.Began(p.now)
+		next.flight.EventReceived(p.now)
 	}
 }
 
@@ -148,7 +148,7 @@
 // deliver applies the messages that are due.
 func (p *peak) deliver() {
 	for len(p.messages) > 0 && !p.messages[0].asOf.Add(peakReportDelay).After(p.now) {
-		p.tables[p.messages[0].node].TakeShares(p.messages[0].shares, p.messages[0].asOf)
+		p.tables[p.messages[0].node].UpdateShares(p.messages[0].shares, p.messages[0].asOf)
 		p.messages = p.messages[1:]
 	}
 }
--- a/internal/runnertable/pick.go
+++ b/internal/runnertable/pick.go
@@ -55,8 +55,8 @@
 	loadLifetime = 1500 * time.Millisecond
 )
 
-// Wish describes the request for which a runner is chosen.
-type Wish struct {
+// PickRequest describes the request for which a runner is chosen.
+type PickRequest struct {
 	Service string
 	Class   Class
 	Prefix  []work.Part
@@ -69,28 +69,28 @@
 	// Objective is the time to the first event, and Pause the longest time between two events, that still earn full
 	// credit. Zero means no limit.
 	Objective, Pause time.Duration
-	// Wary says that the owners were polled before the choice. Runners whose owner did not answer in time then cost
+	// OwnersPolled says that the owners were polled before the choice. Runners whose owner did not answer in time then cost
 	// more.
-	Wary bool
+	OwnersPolled bool
 	// Exclude holds the runners that the request was already sent to.
 	Exclude map[ident.Incarnation]bool
-	// Full holds the runners that refused the request recently because their slots were taken. If the map is nil, the
+	// RefusedBy holds the runners that refused the request recently because their slots were taken. If the map is nil, the
 	// request is sent even if it has to queue at the runner, provided the runner has enough free memory.
-	Full map[ident.Incarnation]bool
+	RefusedBy map[ident.Incarnation]bool
 	// Scarce says that slots are scarce: a runner with an overdue report is not assumed to be free.
 	Scarce bool
-	// Yields says that the request must not use the short queue at the runners, which is reserved for others: it is
+	// NoQueueing says that the request must not use the short queue at the runners, which is reserved for others: it is
 	// sent only to a slot that is free now. It applies only if Full is not nil.
-	Yields bool
-	// Vacant is a runner at which another request gave up its slot for this one. It counts as full only if the request
+	NoQueueing bool
+	// FreedRunner is a runner at which another request gave up its slot for this one. It counts as full only if the request
 	// does not fit its memory or was refused there. Empty means none.
-	Vacant ident.Incarnation
+	FreedRunner ident.Incarnation
 	// Late says that the request can't meet its objective any more. It applies only if Full is not nil.
 	Late bool
 }
 
 // Pick chooses the runner with the least cost and starts a flight on it. The error wraps ErrFull or ErrNoRunner.
-func (t *Table) Pick(wish Wish, now time.Time, random *rand.Rand) (*Flight, error) {
+func (t *Table) Pick(wish PickRequest, now time.Time, random *rand.Rand) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	pick := t.newPickContext(wish, now, random)
@@ -110,7 +110,7 @@
 }
 
 // cheapest returns the eligible runner with the least cost that is not full, or nil.
-func (t *Table) cheapest(wish Wish, pick pickContext, now time.Time, random *rand.Rand) *entry {
+func (t *Table) cheapest(wish PickRequest, pick pickContext, now time.Time, random *rand.Rand) *entry {
 	var best *entry
 	bestCost := 0.0
 	for _, candidate := range t.services[wish.Service] {
@@ -126,7 +126,7 @@
 }
 
 // anyFull says whether a runner is eligible for the request but full.
-func (t *Table) anyFull(wish Wish, now time.Time) bool {
+func (t *Table) anyFull(wish PickRequest, now time.Time) bool {
 	for _, candidate := range t.services[wish.Service] {
 		if candidate.eligible(wish, now) && candidate.full(wish, now) {
 			return true
@@ -138,23 +138,23 @@
 // full says whether the runner can't take the request now: its memory lacks space, or, for a request that can wait for
 // a slot at the node, it would have to queue at the runner beyond the short queue or was refused there. A request that
 // can't wait at the node (nil Full) is limited by memory only.
-func (e *entry) full(wish Wish, now time.Time) bool {
+func (e *entry) full(wish PickRequest, now time.Time) bool {
 	switch {
 	case !e.fits(wish, now):
 		return true
-	case wish.Full == nil:
+	case wish.RefusedBy == nil:
 		return false
-	case wish.Full[e.runner.ID]:
+	case wish.RefusedBy[e.runner.ID]:
 		return true
 	case e.rationed(now):
 		return !e.grants(wish, now)
-	case e.runner.ID == wish.Vacant:
+	case e.runner.ID == wish.FreedRunner:
 		return false
 	}
 	slots := float64(max(e.runner.Slots, 1))
 	queue := queueShare / float64(e.pace.Current(now)) * max(slots-float64(e.orphans(now)), 0)
 	switch {
-	case !wish.Yields:
+	case !wish.NoQueueing:
 	case !e.knownFree(now):
 		return true
 	default:
@@ -165,7 +165,7 @@
 
 // earliestReadmitted returns the ejected runner whose ejection ends first. If every runner is ejected, the cause may
 // be this node itself, so trying one is better than refusing the request.
-func (t *Table) earliestReadmitted(wish Wish) *entry {
+func (t *Table) earliestReadmitted(wish PickRequest) *entry {
 	var best *entry
 	for _, candidate := range t.services[wish.Service] {
 		if !candidate.allowed(wish) {
@@ -179,7 +179,7 @@
 }
 
 // StartAt starts a flight at a runner that the caller chose.
-func (t *Table) StartAt(id ident.Incarnation, wish Wish, now time.Time) (*Flight, error) {
+func (t *Table) StartAt(id ident.Incarnation, wish PickRequest, now time.Time) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	chosen := t.runners[id]
@@ -190,18 +190,18 @@
 }
 
 // allowed excludes the runners that must never get the request.
-func (e *entry) allowed(wish Wish) bool {
+func (e *entry) allowed(wish PickRequest) bool {
 	return e.runner.State == work.Ready && !wish.Exclude[e.runner.ID] && !e.health.replaced
 }
 
 // eligible also excludes ejected runners and those whose owner reports them as unresponsive.
-func (e *entry) eligible(wish Wish, now time.Time) bool {
+func (e *entry) eligible(wish PickRequest, now time.Time) bool {
 	unresponsive := e.share.Value().unresponsive && e.share.Within(shareLifetime, now)
 	return e.allowed(wish) && !e.health.ejected(now) && !unresponsive
 }
 
 // prefixHome returns the runner of the node's zone to which nodes send prompts with this shared prefix, or nil.
-func (t *Table) prefixHome(wish Wish, now time.Time) *entry {
+func (t *Table) prefixHome(wish PickRequest, now time.Time) *entry {
 	if sharedTokens(wish.Prefix) < smallestSharedTokens {
 		return nil
 	}
@@ -219,7 +219,7 @@
 }
 
 // cost returns the expected delay of the first event, in milliseconds, plus the price of cross-zone traffic.
-func (t *Table) cost(candidate *entry, wish Wish, pick pickContext, now time.Time) float64 {
+func (t *Table) cost(candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
 	slots := float64(max(candidate.runner.Slots, 1))
 	load, preemptible := float64(candidate.committed+1), float64(candidate.preemptible)
 	cost := loadCost * min((load+preemptible)/slots, 1)
@@ -250,7 +250,7 @@
 
 // uncached returns the number of prompt tokens that the runner would have to read. At the prefix home another node may
 // have sent the prefix, so half of it is assumed to be cached.
-func (e *entry) uncached(wish Wish, isPrefixHome bool, now time.Time) int {
+func (e *entry) uncached(wish PickRequest, isPrefixHome bool, now time.Time) int {
 	cached := e.prefixes.cached(wish.Prefix, now)
 	if isPrefixHome {
 		cached = max(cached, sharedTokens(wish.Prefix)/2)
--- a/internal/runnertable/pick_bench_test.go
+++ b/internal/runnertable/pick_bench_test.go
@@ -22,10 +22,10 @@
 		shares = append(shares, demand.Share{Runner: id, Others: index % 9})
 	}
 	table.Replace(listed, start, true)
-	table.TakeShares(shares, start)
+	table.UpdateShares(shares, start)
 	chance := random()
 	for b.Loop() {
-		flight, err := table.Pick(runnertable.Wish{Service: "s", PromptTokens: 450, Full: map[ident.Incarnation]bool{}}, start, chance)
+		flight, err := table.Pick(runnertable.PickRequest{Service: "s", PromptTokens: 450, RefusedBy: map[ident.Incarnation]bool{}}, start, chance)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/runnertable/ration.go
+++ b/internal/runnertable/ration.go
@@ -11,7 +11,7 @@
 const (
 	// rationingLifetime is how long a runner counts as rationed after its owner's last report. Owners report every
 	// half second to nodes without work at the runner, so an owner that is gone delays requests no longer than this.
-	rationingLifetime = demand.IdleRefreshEvery + 100*time.Millisecond
+	rationingLifetime = demand.IdleRefreshInterval + 100*time.Millisecond
 	// grantLifetime is how long a grant may be used: slightly less than the owner reserves the slot.
 	grantLifetime = 80 * time.Millisecond
 )
@@ -23,7 +23,7 @@
 
 // grants says whether a request may be sent to a rationed runner. A slot that one of this node's requests frees is
 // granted again by the owner, not reused by this node.
-func (e *entry) grants(wish Wish, now time.Time) bool {
+func (e *entry) grants(wish PickRequest, now time.Time) bool {
 	reported := e.share.Value()
 	if !e.share.Within(grantLifetime, now) || wish.Late && !reported.grantedLate {
 		return false
@@ -44,8 +44,8 @@
 	e.grantUses = slices.DeleteFunc(e.grantUses, asOf.After)
 }
 
-// Rations says whether any runner of a service is rationed.
-func (t *Table) Rations(service string, now time.Time) bool {
+// IsRationed says whether any runner of a service is rationed.
+func (t *Table) IsRationed(service string, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.ContainsFunc(t.services[service], func(known *entry) bool { return known.rationed(now) })
--- a/internal/runnertable/ration_test.go
+++ b/internal/runnertable/ration_test.go
@@ -16,7 +16,7 @@
 	table := runnertable.New("z")
 	table.Replace(eightSlotRunners("a"), now, true)
 	share.Runner, share.Rationed = "a", true
-	table.TakeShares([]demand.Share{share}, now)
+	table.UpdateShares([]demand.Share{share}, now)
 	return table
 }
 
@@ -25,7 +25,7 @@
 func TestRationedRunnerTakesWhatItsOwnerGranted(t *testing.T) {
 	now := time.Now()
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
-	assert.Assert(t, table.Rations("s", now) && !table.Rations("other", now))
+	assert.Assert(t, table.IsRationed("s", now) && !table.IsRationed("other", now))
 	assert.Equal(t, len(table.Rationed(now)), 1)
 	flight, err := table.Pick(queueableWish(), now, fixedRand())
 	assert.NilError(t, err)
@@ -35,7 +35,7 @@
 	_, err = table.Pick(queueableWish(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull, "a slot that was freed is granted by the owner only")
 	now = now.Add(5 * time.Millisecond)
-	table.TakeShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now)
+	table.UpdateShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now)
 	_, err = table.Pick(queueableWish(), now, fixedRand())
 	assert.NilError(t, err)
 }
@@ -47,7 +47,7 @@
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
 	_, err := table.Pick(queueableWish(), now.Add(2*time.Millisecond), fixedRand())
 	assert.NilError(t, err)
-	table.TakeShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now.Add(time.Millisecond))
+	table.UpdateShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now.Add(time.Millisecond))
 	_, err = table.Pick(queueableWish(), now.Add(3*time.Millisecond), fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 }
@@ -58,10 +58,10 @@
 	now := time.Now()
 	late := queueableWish()
 	late.Late = true
-	sentAnyway := runnertable.Wish{Service: "s", Class: runnertable.Online}
+	sentAnyway := runnertable.PickRequest{Service: "s", Class: runnertable.Online}
 	for name, c := range map[string]struct {
 		share demand.Share
-		wish  runnertable.Wish
+		wish  runnertable.PickRequest
 		after time.Duration
 		full  bool
 	}{
@@ -91,7 +91,7 @@
 	for _, rationed := range []bool{false, true} {
 		table := runnertable.New("z")
 		table.Replace(eightSlotRunners("a"), now, true)
-		table.TakeShares([]demand.Share{{Runner: "a", Rationed: rationed, Granted: 1}}, now)
+		table.UpdateShares([]demand.Share{{Runner: "a", Rationed: rationed, Granted: 1}}, now)
 		flight, err := table.Pick(queueableWish(), now, fixedRand())
 		assert.NilError(t, err)
 		var notified []bool
--- a/internal/runnertable/scarce_test.go
+++ b/internal/runnertable/scarce_test.go
@@ -22,13 +22,13 @@
 	}
 	table.Replace(listed, now, true)
 	for id, others := range reported {
-		table.TakeShares([]demand.Share{{Runner: id, Others: others}}, now.Add(-age[id]))
+		table.UpdateShares([]demand.Share{{Runner: id, Others: others}}, now.Add(-age[id]))
 	}
 	return table
 }
 
-func pickScarce(table *Table, wish Wish, now time.Time) (ident.Incarnation, error) {
-	wish.Service, wish.Full = "s", map[ident.Incarnation]bool{}
+func pickScarce(table *Table, wish PickRequest, now time.Time) (ident.Incarnation, error) {
+	wish.Service, wish.RefusedBy = "s", map[ident.Incarnation]bool{}
 	flight, err := table.Pick(wish, now, rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		return "", err
@@ -42,11 +42,11 @@
 func TestYieldingRequestTakesAFreeSlotOrNone(t *testing.T) {
 	now := time.Unix(100, 0)
 	fresh := map[ident.Incarnation]time.Duration{}
-	yields := Wish{Yields: true, Scarce: true}
+	yields := PickRequest{NoQueueing: true, Scarce: true}
 	full := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 8}, fresh)
 	_, err := pickScarce(full, yields, now)
 	assert.ErrorIs(t, err, ErrFull)
-	_, err = pickScarce(full, Wish{Scarce: true}, now)
+	_, err = pickScarce(full, PickRequest{Scarce: true}, now)
 	assert.NilError(t, err, "the short queue is for requests that may queue")
 	free := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 7}, fresh)
 	got, err := pickScarce(free, yields, now)
@@ -69,10 +69,10 @@
 func TestRunnerWithOverdueReportIsNotAssumedFree(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := scarceTable(now, map[ident.Incarnation]int{"a": 8, "b": 9}, map[ident.Incarnation]time.Duration{"b": 2 * time.Second})
-	got, err := pickScarce(table, Wish{Scarce: true}, now)
+	got, err := pickScarce(table, PickRequest{Scarce: true}, now)
 	assert.NilError(t, err)
 	assert.Equal(t, got, ident.Incarnation("a"))
-	got, err = pickScarce(table, Wish{}, now)
+	got, err = pickScarce(table, PickRequest{}, now)
 	assert.NilError(t, err)
 	assert.Equal(t, got, ident.Incarnation("b"), "without scarcity the overdue runner is preferred")
 }
--- a/internal/runnertable/share.go
+++ b/internal/runnertable/share.go
@@ -31,10 +31,10 @@
 	defer t.mutex.Unlock()
 	online := map[work.Runner]demand.Count{}
 	for id, known := range t.runners {
-		count := demand.Count{Runner: id, Online: known.own[Online], Old: known.sentBefore(now.Add(-demand.OldAfter)),
+		count := demand.Count{Runner: id, Online: known.own[Online], Old: known.sentBefore(now.Add(-demand.MaxReportAge)),
 			Tokens: known.tokens[Online], Suspect: known.health.ejected(now)}
 		if known.directPace.Pace.Known() && now.Sub(known.directPace.At) < directReportLifetime {
-			count.Pace, count.Heard = known.directPace.Pace, known.directPace.At
+			count.Pace, count.PaceReceivedAt = known.directPace.Pace, known.directPace.At
 		}
 		if count.HasWork() || count.Pace.Known() {
 			online[known.runner] = count
@@ -54,20 +54,20 @@
 	return count
 }
 
-// TakeShares stores what the owner of the runners reported about the work at them, as of a time. A report older than
+// UpdateShares stores what the owner of the runners reported about the work at them, as of a time. A report older than
 // the last one is ignored.
-func (t *Table) TakeShares(shares []demand.Share, asOf time.Time) {
+func (t *Table) UpdateShares(shares []demand.Share, asOf time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, reported := range shares {
 		if known := t.runners[reported.Runner]; known != nil {
 			known.share.Renew(share{
-				others: reported.Others, batch: reported.Batch, orphans: reported.Orphans, unresponsive: reported.Silent,
+				others: reported.Others, batch: reported.Batch, orphans: reported.Orphans, unresponsive: reported.Unresponsive,
 				tokens: max(reported.Tokens, 0), rationed: reported.Rationed, granted: reported.Granted, grantedLate: reported.GrantedLate,
 			}, asOf)
 			known.dropGrantUses(asOf)
-			if reported.Memory > 0 {
-				known.memory = reported.Memory
+			if reported.TokenCapacity > 0 {
+				known.memory = reported.TokenCapacity
 			}
 			t.updatePace(known, pace.ReportFromAge(reported.Pace, reported.PaceAgeMs, asOf), false, asOf)
 		}
--- a/internal/runnertable/table.go
+++ b/internal/runnertable/table.go
@@ -133,8 +133,8 @@
 	Added, Removed []ident.Incarnation
 	// Addresses are the addresses of the removed runners. Pooled connections to them are useless, and may be dead.
 	Addresses []string
-	// Kept are the runners that the list lacks and that the table retains for now.
-	Kept []ident.Incarnation
+	// Retained are the runners that the list lacks and that the table retains for now.
+	Retained []ident.Incarnation
 	// LongestMissing is the longest time for which a removed runner was retained without being listed.
 	LongestMissing time.Duration
 }
@@ -168,7 +168,7 @@
 		}
 		if !named && !absenceIsProof && known.runner.State == work.Ready {
 			known.markMissing(now)
-			change.Kept = append(change.Kept, id)
+			change.Retained = append(change.Retained, id)
 			continue
 		}
 		delete(t.runners, id)
@@ -279,8 +279,8 @@
 	return known == nil || known.runner.State != work.Ready || !known.missingSince.IsZero()
 }
 
-// Of returns the ready runners of a service.
-func (t *Table) Of(service string) []work.Runner {
+// ReadyRunners returns the ready runners of a service.
+func (t *Table) ReadyRunners(service string) []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var found []work.Runner
