--- a/internal/runnertable/table_test.go
+++ b/internal/runnertable/table_test.go
@@ -30,7 +30,7 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func pick(t *testing.T, table *runnertable.Table, now time.Time, wish runnertable.Wish) *runnertable.Flight {
+func pick(t *testing.T, table *runnertable.Table, now time.Time, wish runnertable.PickRequest) *runnertable.Flight {
 	t.Helper()
 	wish.Service = "s"
 	flight, err := table.Pick(wish, now, random())
@@ -46,13 +46,13 @@
 	leaving.State = work.Draining
 	table.Replace([]work.Runner{leaving, runner("2", "a")}, start, true)
 	for range 20 {
-		assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
+		assert.Equal(t, pick(t, table, start, runnertable.PickRequest{}).Runner.ID, ident.Incarnation("2"))
 	}
-	_, err := table.StartAt("1", runnertable.Wish{Service: "s"}, start)
+	_, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, start)
 	assert.ErrorIs(t, err, runnertable.ErrNoRunner)
 	change := table.Replace([]work.Runner{leaving}, start, true)
 	assert.DeepEqual(t, change.Removed, []ident.Incarnation{"2"})
-	_, err = table.Pick(runnertable.Wish{Service: "s"}, start, random())
+	_, err = table.Pick(runnertable.PickRequest{Service: "s"}, start, random())
 	assert.ErrorIs(t, err, runnertable.ErrNoRunner)
 }
 
@@ -62,15 +62,15 @@
 	leaving := runner("3", "a")
 	leaving.State = work.Draining
 	table := tableOf(runner("1", "a"), runner("2", "a"), leaving)
-	flight, err := table.StartAt("1", runnertable.Wish{Service: "s"}, start)
+	flight, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, start)
 	assert.NilError(t, err)
-	flight.Answered(nil, start.Add(time.Second))
+	flight.HeadReceived(nil, start.Add(time.Second))
 	flight.End()
 	change := table.Replace(nil, start.Add(2*time.Second), false)
-	slices.Sort(change.Kept)
-	assert.DeepEqual(t, change.Kept, []ident.Incarnation{"1", "2"})
+	slices.Sort(change.Retained)
+	assert.DeepEqual(t, change.Retained, []ident.Incarnation{"1", "2"})
 	assert.DeepEqual(t, change.Removed, []ident.Incarnation{"3"})
-	_, err = table.StartAt("2", runnertable.Wish{Service: "s"}, start.Add(2*time.Second))
+	_, err = table.StartAt("2", runnertable.PickRequest{Service: "s"}, start.Add(2*time.Second))
 	assert.NilError(t, err)
 	change = table.Replace([]work.Runner{runner("2", "a")}, start.Add(5*time.Second), true)
 	assert.DeepEqual(t, change.Removed, []ident.Incarnation{"1"})
@@ -83,12 +83,12 @@
 func TestUnreachableRunnerIsEjectedAndComesBack(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	ejectedFor := func(now time.Time) time.Duration {
-		flight, err := table.StartAt("1", runnertable.Wish{Service: "s"}, now)
+		flight, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, now)
 		assert.NilError(t, err)
 		flight.Failed(runnertable.Unreachable, now)
 		flight.End()
 		for waited := time.Duration(0); ; waited += 50 * time.Millisecond {
-			if probe, err := table.StartAt("1", runnertable.Wish{Service: "s"}, now.Add(waited)); err == nil {
+			if probe, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, now.Add(waited)); err == nil {
 				probe.End()
 				return waited
 			}
@@ -97,9 +97,9 @@
 	first := ejectedFor(start)
 	second := ejectedFor(start.Add(10 * time.Second))
 	assert.Assert(t, first > 0 && second > first, "%v, %v", first, second)
-	flight, err := table.StartAt("1", runnertable.Wish{Service: "s"}, start.Add(20*time.Second))
+	flight, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, start.Add(20*time.Second))
 	assert.NilError(t, err)
-	flight.Began(start.Add(20 * time.Second))
+	flight.EventReceived(start.Add(20 * time.Second))
 	flight.End()
 	assert.Equal(t, ejectedFor(start.Add(30*time.Second)), first)
 }
@@ -108,10 +108,10 @@
 func TestOneLostAnswerEjectsNobody(t *testing.T) {
 	table := tableOf(runner("1", "a"))
 	for range 2 {
-		flight := pick(t, table, start, runnertable.Wish{})
+		flight := pick(t, table, start, runnertable.PickRequest{})
 		flight.Failed(runnertable.NoAnswer, start)
 		flight.End()
-		_, err := table.StartAt("1", runnertable.Wish{Service: "s"}, start)
+		_, err := table.StartAt("1", runnertable.PickRequest{Service: "s"}, start)
 		assert.NilError(t, err)
 	}
 }
@@ -120,12 +120,12 @@
 func TestEveryRunnerEjectedIsBetterTriedThanRefused(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
 	for index, id := range []ident.Incarnation{"2", "1"} {
-		flight, err := table.StartAt(id, runnertable.Wish{Service: "s"}, start)
+		flight, err := table.StartAt(id, runnertable.PickRequest{Service: "s"}, start)
 		assert.NilError(t, err)
 		flight.Failed(runnertable.Unreachable, start.Add(time.Duration(index)*time.Millisecond))
 		flight.End()
 	}
-	assert.Equal(t, pick(t, table, start.Add(time.Millisecond), runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
+	assert.Equal(t, pick(t, table, start.Add(time.Millisecond), runnertable.PickRequest{}).Runner.ID, ident.Incarnation("2"))
 }
 
 // TestWorkStaysInTheZoneUntilItIsFull fills the runner in the node's own zone.
@@ -133,7 +133,7 @@
 	table := tableOf(runner("far", "b"), runner("near", "a"))
 	near := 0
 	for {
-		if pick(t, table, start, runnertable.Wish{Bytes: 1000}).Runner.ID == "far" {
+		if pick(t, table, start, runnertable.PickRequest{Bytes: 1000}).Runner.ID == "far" {
 			break
 		}
 		near++
@@ -146,7 +146,7 @@
 	runners := []work.Runner{runner("1", "a"), runner("2", "a"), runner("3", "a"), runner("4", "a")}
 	used := map[ident.Incarnation]bool{}
 	for part := range 40 {
-		wish := runnertable.Wish{
+		wish := runnertable.PickRequest{
 			PromptTokens: 9000,
 			Prefix:       []work.Part{{ID: "base", Tokens: 2500}, {ID: fmt.Sprint(part), Tokens: 3800}, {ID: "own", Tokens: 2700}},
 		}
@@ -167,13 +167,13 @@
 	bad := 0
 	for range 200 {
 		now = now.Add(20 * time.Millisecond)
-		flight, err := table.Pick(runnertable.Wish{Service: "s"}, now, random)
+		flight, err := table.Pick(runnertable.PickRequest{Service: "s"}, now, random)
 		assert.NilError(t, err)
 		if flight.Runner.ID == "bad" {
 			bad++
-			flight.Failed(runnertable.Erred, now)
+			flight.Failed(runnertable.ErrorResponse, now)
 		} else {
-			flight.Began(now)
+			flight.EventReceived(now)
 		}
 		flight.End()
 	}
@@ -186,11 +186,11 @@
 // of batch items that can be preempted, and one has free slots.
 func TestRequestsPreferRunnersWithoutPreemption(t *testing.T) {
 	table := tableOf(runner("online", "a"), runner("items", "a"), runner("free", "a"))
-	table.TakeShares([]demand.Share{{Runner: "online", Others: 4}, {Runner: "items", Batch: 4},
+	table.UpdateShares([]demand.Share{{Runner: "online", Others: 4}, {Runner: "items", Batch: 4},
 		{Runner: "free", Others: 1, Batch: 1}}, start)
 	var chosen []ident.Incarnation
 	for range 4 {
-		chosen = append(chosen, pick(t, table, start, runnertable.Wish{}).Runner.ID)
+		chosen = append(chosen, pick(t, table, start, runnertable.PickRequest{}).Runner.ID)
 	}
 	assert.DeepEqual(t, chosen[:2], []ident.Incarnation{"free", "free"})
 	for _, id := range chosen[2:] {
@@ -199,7 +199,7 @@
 	old := start.Add(demand.Lifetime)
 	table.Observe("items", work.Load{Running: 4 + 3, Slots: 4}, old)
 	table.Observe("free", work.Load{Running: 4 + 3, Slots: 4}, old)
-	assert.Equal(t, pick(t, table, old, runnertable.Wish{}).Runner.ID, ident.Incarnation("online"), "an expired report is still used")
+	assert.Equal(t, pick(t, table, old, runnertable.PickRequest{}).Runner.ID, ident.Incarnation("online"), "an expired report is still used")
 }
 
 // TestOnlineWorkIsReported expects a notification for each start and end of a request, and none for batch items.
@@ -207,9 +207,9 @@
 	table := tableOf(runner("1", "a"))
 	var notified []bool
 	table.OnOnlineChanged(func(rose bool) { notified = append(notified, rose) })
-	item, err := table.StartAt("1", runnertable.Wish{Service: "s", Class: runnertable.Batch}, start)
+	item, err := table.StartAt("1", runnertable.PickRequest{Service: "s", Class: runnertable.Batch}, start)
 	assert.NilError(t, err)
-	flight := pick(t, table, start, runnertable.Wish{})
+	flight := pick(t, table, start, runnertable.PickRequest{})
 	assert.DeepEqual(t, table.Online(start), map[work.Runner]demand.Count{runner("1", "a"): {Runner: "1", Online: 1}})
 	item.End()
 	flight.End()
@@ -222,7 +222,7 @@
 // ejected.
 func TestSuspectsAreReported(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
-	flight := pick(t, table, start, runnertable.Wish{})
+	flight := pick(t, table, start, runnertable.PickRequest{})
 	flight.Failed(runnertable.Unreachable, start)
 	flight.End()
 	assert.DeepEqual(t, table.Online(start), map[work.Runner]demand.Count{
@@ -236,35 +236,35 @@
 // anyway.
 func TestSilentRunnerIsPassedOver(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
-	table.TakeShares([]demand.Share{{Runner: "1", Silent: true}, {Runner: "2", Others: 50}}, start)
+	table.UpdateShares([]demand.Share{{Runner: "1", Unresponsive: true}, {Runner: "2", Others: 50}}, start)
 	for range 10 {
-		assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
+		assert.Equal(t, pick(t, table, start, runnertable.PickRequest{}).Runner.ID, ident.Incarnation("2"))
 	}
-	assert.Equal(t, pick(t, table, start.Add(demand.Lifetime), runnertable.Wish{}).Runner.ID, ident.Incarnation("1"),
+	assert.Equal(t, pick(t, table, start.Add(demand.Lifetime), runnertable.PickRequest{}).Runner.ID, ident.Incarnation("1"),
 		"an expired report is still used")
-	table.TakeShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 50}}, start)
-	assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("1"))
-	table.TakeShares([]demand.Share{{Runner: "1", Silent: true}, {Runner: "2", Silent: true}}, start)
-	pick(t, table, start, runnertable.Wish{})
+	table.UpdateShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 50}}, start)
+	assert.Equal(t, pick(t, table, start, runnertable.PickRequest{}).Runner.ID, ident.Incarnation("1"))
+	table.UpdateShares([]demand.Share{{Runner: "1", Unresponsive: true}, {Runner: "2", Unresponsive: true}}, start)
+	pick(t, table, start, runnertable.PickRequest{})
 }
 
 // TestOlderReportOfAnOwnerIsIgnored applies two reports of an owner in reverse order.
 func TestOlderReportOfAnOwnerIsIgnored(t *testing.T) {
 	table := tableOf(runner("1", "a"), runner("2", "a"))
-	table.TakeShares([]demand.Share{{Runner: "1", Others: 4}, {Runner: "2"}}, start)
-	table.TakeShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 4}}, start.Add(-time.Millisecond))
-	assert.Equal(t, pick(t, table, start, runnertable.Wish{}).Runner.ID, ident.Incarnation("2"))
+	table.UpdateShares([]demand.Share{{Runner: "1", Others: 4}, {Runner: "2"}}, start)
+	table.UpdateShares([]demand.Share{{Runner: "1"}, {Runner: "2", Others: 4}}, start.Add(-time.Millisecond))
+	assert.Equal(t, pick(t, table, start, runnertable.PickRequest{}).Runner.ID, ident.Incarnation("2"))
 }
 
 // TestRunnerIsReadmittedAfterFailures draws failures of a runner. However many there were, the runner is eligible
 // again after the longest ejection.
 func TestRunnerIsReadmittedAfterFailures(t *testing.T) {
 	const longestEjection = 3 * time.Second
-	kinds := []runnertable.Failure{runnertable.Unreachable, runnertable.NoAnswer, runnertable.Silent, runnertable.Erred}
+	kinds := []runnertable.Failure{runnertable.Unreachable, runnertable.NoAnswer, runnertable.FirstByteTimeout, runnertable.ErrorResponse}
 	rapid.Check(t, func(t *rapid.T) {
 		table := tableOf(runner("1", "a"), runner("2", "a"))
 		now := start
-		wish := runnertable.Wish{Service: "s"}
+		wish := runnertable.PickRequest{Service: "s"}
 		for range rapid.IntRange(1, 30).Draw(t, "failures") {
 			flight, err := table.StartAt("1", wish, now)
 			if err == nil {
@@ -283,12 +283,12 @@
 func TestOldReportsOfRunnersAndOwnersExpire(t *testing.T) {
 	const expiresAfter = 1500 * time.Millisecond
 	for name, report := range map[string]func(table *runnertable.Table){
-		"the owner":  func(table *runnertable.Table) { table.TakeShares([]demand.Share{{Runner: "1", Others: 50}}, start) },
+		"the owner":  func(table *runnertable.Table) { table.UpdateShares([]demand.Share{{Runner: "1", Others: 50}}, start) },
 		"the runner": func(table *runnertable.Table) { table.Observe("1", work.Load{Running: 50, Slots: 4}, start) },
 	} {
 		table := tableOf(runner("1", "a"))
 		report(table)
-		wish := runnertable.Wish{Service: "s", Full: map[ident.Incarnation]bool{}}
+		wish := runnertable.PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
 		_, err := table.Pick(wish, start.Add(time.Millisecond), random())
 		assert.ErrorIs(t, err, runnertable.ErrFull, name)
 		_, err = table.Pick(wish, start.Add(expiresAfter), random())
@@ -313,7 +313,7 @@
 func TestRunnerThatStartsAgainUnderItsNameIsAnother(t *testing.T) {
 	before, after := startedRunner("1", 1000), startedRunner("1", 2000)
 	table := tableOf(before)
-	flight := pick(t, table, start, runnertable.Wish{})
+	flight := pick(t, table, start, runnertable.PickRequest{})
 	flight.Failed(runnertable.Unreachable, start)
 	flight.Failed(runnertable.Unreachable, start)
 	change := table.Replace([]work.Runner{after}, start.Add(time.Second), false)
@@ -322,7 +322,7 @@
 	assert.Equal(t, table.FailureRate(after.ID, start.Add(time.Second)), 0.0)
 	assert.Equal(t, table.Own(after.ID, runnertable.Online), 0)
 	flight.End()
-	assert.Equal(t, pick(t, table, start.Add(time.Second), runnertable.Wish{}).Runner.ID, after.ID)
+	assert.Equal(t, pick(t, table, start.Add(time.Second), runnertable.PickRequest{}).Runner.ID, after.ID)
 }
 
 // TestUnreadableEntryEndsTheRunnerOfItsName checks that a runner whose entry can't be read gets no new work, even if
@@ -331,7 +331,7 @@
 	table := tableOf(startedRunner("1", 1000), startedRunner("2", 1000))
 	change := table.Replace([]work.Runner{unreadable("1")}, start.Add(time.Second), false)
 	assert.DeepEqual(t, change.Removed, []ident.Incarnation{startedRunner("1", 1000).ID})
-	assert.DeepEqual(t, change.Kept, []ident.Incarnation{startedRunner("2", 1000).ID})
+	assert.DeepEqual(t, change.Retained, []ident.Incarnation{startedRunner("2", 1000).ID})
 	change = table.Replace([]work.Runner{runner("2", "a")}, start.Add(time.Second), false)
 	assert.DeepEqual(t, change.Removed, []ident.Incarnation{startedRunner("2", 1000).ID})
 	assert.Equal(t, table.Count(), 0, "an entry without a start time was taken for the runner with one")
--- a/internal/runnertable/tokens.go
+++ b/internal/runnertable/tokens.go
@@ -19,8 +19,8 @@
 	maxResumedMemoryShare = 0.95
 )
 
-// NoteMemory stores how many tokens a runner can hold, as reported by the runner.
-func (t *Table) NoteMemory(id ident.Incarnation, tokens int) {
+// SetMemory stores how many tokens a runner can hold, as reported by the runner.
+func (t *Table) SetMemory(id ident.Incarnation, tokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.runners[id]; known != nil && tokens > 0 {
@@ -28,9 +28,9 @@
 	}
 }
 
-// Tokens returns the memory use of this node's work at a runner, prompts and maximum output, and the number of tokens
+// MemoryUse returns the memory use of this node's work at a runner, prompts and maximum output, and the number of tokens
 // the runner can hold, which is zero if it was never reported.
-func (t *Table) Tokens(id ident.Incarnation) (own, memory int) {
+func (t *Table) MemoryUse(id ident.Incarnation) (own, memory int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.runners[id]; known != nil {
@@ -41,7 +41,7 @@
 
 // fits says whether a runner's memory has enough free space for a request, given all work it is known to hold. An idle
 // runner always fits: it refuses a request that is too large for it.
-func (e *entry) fits(wish Wish, now time.Time) bool {
+func (e *entry) fits(wish PickRequest, now time.Time) bool {
 	held := e.tokens[Online] + e.tokens[Batch]
 	if e.share.Within(shareLifetime, now) {
 		held += e.share.Value().tokens
@@ -51,8 +51,8 @@
 }
 
 // maxMemoryShare returns the part of a runner's memory that may be in use with the request.
-func (w Wish) maxMemoryShare() float64 {
-	if w.Class == Online && w.Full == nil {
+func (w PickRequest) maxMemoryShare() float64 {
+	if w.Class == Online && w.RefusedBy == nil {
 		return maxResumedMemoryShare
 	}
 	return maxMemoryShare
@@ -60,4 +60,6 @@
 
 // memoryTokens returns the memory that a request needs at a runner that has to read uncached tokens of its prompt.
 // Parts that are cached for other requests are stored once.
-func (w Wish) memoryTokens(uncached int) int { return max(w.Tokens-w.PromptTokens, 0) + uncached }
+func (w PickRequest) memoryTokens(uncached int) int {
+	return max(w.Tokens-w.PromptTokens, 0) + uncached
+}
--- a/internal/runnertable/tokens_test.go
+++ b/internal/runnertable/tokens_test.go
@@ -33,7 +33,7 @@
 func pickLong(t *testing.T, table *runnertable.Table, now time.Time) map[ident.Incarnation][]*runnertable.Flight {
 	t.Helper()
 	picked := map[ident.Incarnation][]*runnertable.Flight{}
-	wish := runnertable.Wish{Service: "s", PromptTokens: longPrompt, Tokens: longPrompt, Full: map[ident.Incarnation]bool{}}
+	wish := runnertable.PickRequest{Service: "s", PromptTokens: longPrompt, Tokens: longPrompt, RefusedBy: map[ident.Incarnation]bool{}}
 	for range 16 {
 		flight, err := table.Pick(wish, now, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
@@ -51,8 +51,8 @@
 func TestLongPromptsStayWithinTheMemoryOfRunners(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	table.NoteMemory("1", runnerMemory)
-	table.NoteMemory("2", runnerMemory)
+	table.SetMemory("1", runnerMemory)
+	table.SetMemory("2", runnerMemory)
 	picked := pickLong(t, table, now)
 	assert.Equal(t, len(picked["1"]), 4)
 	assert.Equal(t, len(picked["2"]), 4)
@@ -65,8 +65,8 @@
 func TestWhatOthersHoldAtARunnerCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	table.NoteMemory("2", runnerMemory)
-	table.TakeShares([]demand.Share{{Runner: "1", Tokens: 60_000, Memory: runnerMemory}, {Runner: "2"}}, now)
+	table.SetMemory("2", runnerMemory)
+	table.UpdateShares([]demand.Share{{Runner: "1", Tokens: 60_000, TokenCapacity: runnerMemory}, {Runner: "2"}}, now)
 	picked := pickLong(t, table, now)
 	assert.Equal(t, len(picked["1"]), 1)
 	assert.Equal(t, len(picked["2"]), 4)
@@ -84,10 +84,10 @@
 func TestSharedPartsCountOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	table.NoteMemory("1", 45_000)
-	wish := runnertable.Wish{
+	table.SetMemory("1", 45_000)
+	wish := runnertable.PickRequest{
 		Service: "s", PromptTokens: longPrompt, Tokens: longPrompt + 20,
-		Exclude: map[ident.Incarnation]bool{"2": true}, Full: map[ident.Incarnation]bool{},
+		Exclude: map[ident.Incarnation]bool{"2": true}, RefusedBy: map[ident.Incarnation]bool{},
 	}
 	for index := range 8 {
 		wish.Prefix = []work.Part{{ID: "shared", Tokens: longPrompt - 2000}, {ID: fmt.Sprint(index), Tokens: 2000}}
@@ -102,8 +102,8 @@
 func TestIdleRunnerIsAskedWhateverTheSize(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	table.NoteMemory("1", longPrompt/2)
-	table.NoteMemory("2", longPrompt/2)
+	table.SetMemory("1", longPrompt/2)
+	table.SetMemory("2", longPrompt/2)
 	picked := pickLong(t, table, now)
 	assert.Equal(t, len(picked["1"])+len(picked["2"]), 2)
 }
@@ -112,17 +112,17 @@
 func TestTokensAreReportedWithTheOnlineWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	flight, err := table.StartAt("1", runnertable.Wish{Service: "s", Tokens: 470}, now)
+	flight, err := table.StartAt("1", runnertable.PickRequest{Service: "s", Tokens: 470}, now)
 	assert.NilError(t, err)
-	_, err = table.StartAt("1", runnertable.Wish{Service: "s", Class: runnertable.Batch, Tokens: 300}, now)
+	_, err = table.StartAt("1", runnertable.PickRequest{Service: "s", Class: runnertable.Batch, Tokens: 300}, now)
 	assert.NilError(t, err)
 	for _, count := range table.Online(now) {
 		assert.Equal(t, count.Tokens, 470)
 	}
-	own, _ := table.Tokens("1")
+	own, _ := table.MemoryUse("1")
 	assert.Equal(t, own, 770)
 	flight.End()
-	own, _ = table.Tokens("1")
+	own, _ = table.MemoryUse("1")
 	assert.Equal(t, own, 300)
 }
 
@@ -132,11 +132,11 @@
 func TestRequestThatRanAlreadyAsksForMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
-	table.NoteMemory("1", runnerMemory)
-	table.NoteMemory("2", runnerMemory)
+	table.SetMemory("1", runnerMemory)
+	table.SetMemory("2", runnerMemory)
 	picked := pickLong(t, table, now)
 	resumed := func(tokens int) (*runnertable.Flight, error) {
-		return table.Pick(runnertable.Wish{Service: "s", PromptTokens: tokens - 1000, Tokens: tokens}, now, rand.New(rand.NewPCG(1, 1)))
+		return table.Pick(runnertable.PickRequest{Service: "s", PromptTokens: tokens - 1000, Tokens: tokens}, now, rand.New(rand.NewPCG(1, 1)))
 	}
 	_, err := resumed(20_000)
 	assert.ErrorIs(t, err, runnertable.ErrFull)
--- a/internal/runnertable/zoneload.go
+++ b/internal/runnertable/zoneload.go
@@ -31,7 +31,7 @@
 }
 
 // newPickContext returns the context for choosing a runner. The caller holds the mutex.
-func (t *Table) newPickContext(wish Wish, now time.Time, random *rand.Rand) pickContext {
+func (t *Table) newPickContext(wish PickRequest, now time.Time, random *rand.Rand) pickContext {
 	zones := t.summarizeZones(wish, now)
 	return pickContext{prefixHome: t.prefixHome(wish, now), zones: zones, targetZone: t.targetZone(wish, zones, random),
 		skipUnreachable: skipUnreachable(zones)}
@@ -56,7 +56,7 @@
 
 // summarizeZones summarizes each zone, and updates the typical load and the estimate of each runner of the service.
 // The caller holds the mutex.
-func (t *Table) summarizeZones(wish Wish, now time.Time) []zoneSummary {
+func (t *Table) summarizeZones(wish PickRequest, now time.Time) []zoneSummary {
 	zones := make([]zoneSummary, len(t.zones.names))
 	for index, zone := range t.zones.names {
 		zones[index] = zoneSummary{load: zoneroom.ZoneLoad{Zone: zone}, state: t.zoneState(zone, now)}
@@ -94,8 +94,8 @@
 // loadMaxAge is the age up to which the report of a runner's owner counts towards the load of its zone. If the owners
 // of the best runners have just been polled, an old report from another zone means that its owner did not answer,
 // which is no reason to send requests there.
-func (t *Table) loadMaxAge(known *entry, wish Wish) time.Duration {
-	if wish.Wary && known.runner.Zone != t.zone {
+func (t *Table) loadMaxAge(known *entry, wish PickRequest) time.Duration {
+	if wish.OwnersPolled && known.runner.Zone != t.zone {
 		return recentShareAge
 	}
 	return shareLifetime
@@ -108,7 +108,7 @@
 }
 
 // targetZone returns the zone that a request should go to. The caller holds the mutex.
-func (t *Table) targetZone(wish Wish, zones []zoneSummary, random *rand.Rand) ident.Zone {
+func (t *Table) targetZone(wish PickRequest, zones []zoneSummary, random *rand.Rand) ident.Zone {
 	own := slices.IndexFunc(zones, func(summary zoneSummary) bool { return summary.load.Zone == t.zone })
 	if wish.Class != Online || own < 0 || len(zones) < 2 {
 		return t.zone
--- a/internal/runnertable/zones.go
+++ b/internal/runnertable/zones.go
@@ -45,26 +45,26 @@
 
 // ZoneChange says that a zone became unreachable, or reachable again.
 type ZoneChange struct {
-	Zone ident.Zone
-	Cut  bool
+	Zone        ident.Zone
+	Unreachable bool
 }
 
-// HeardZone records that a worker of a zone answered a request sent at a time.
-func (t *Table) HeardZone(zone ident.Zone, sent time.Time) {
+// ZoneAnswered records that a worker of a zone answered a request sent at a time.
+func (t *Table) ZoneAnswered(zone ident.Zone, sent time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.zoneAnswered(zone, sent)
 }
 
-// MissedZone records that a request to a worker of a zone, named by, got no answer.
-func (t *Table) MissedZone(zone ident.Zone, by string, sent, now time.Time) {
+// ZoneTimedOut records that a request to a worker of a zone, named by, got no answer.
+func (t *Table) ZoneTimedOut(zone ident.Zone, by string, sent, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.zoneTimedOut(zone, by, sent, now)
 }
 
-// ZoneDoubted returns since when a zone is suspected or unreachable, or zero.
-func (t *Table) ZoneDoubted(zone ident.Zone) time.Time {
+// ZoneSuspectedSince returns since when a zone is suspected or unreachable, or zero.
+func (t *Table) ZoneSuspectedSince(zone ident.Zone) time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.zones.reachability[zone]; known != nil && zone != t.zone {
@@ -80,7 +80,7 @@
 	var changes []ZoneChange
 	for zone := range t.zones.reachability {
 		if unreachable := t.zoneState(zone, now) == zoneroom.Unreachable; unreachable != (t.zones.reported[zone] == zoneroom.Unreachable) {
-			changes = append(changes, ZoneChange{Zone: zone, Cut: unreachable})
+			changes = append(changes, ZoneChange{Zone: zone, Unreachable: unreachable})
 		}
 	}
 	if t.zones.reported == nil {
@@ -145,12 +145,12 @@
 }
 
 // transferCost is the cost of sending a request to another zone, in milliseconds.
-func transferCost(wish Wish) float64 {
+func transferCost(wish PickRequest) float64 {
 	return crossZoneCost + crossZoneCostPerKilobyte*float64(wish.Bytes)/1000
 }
 
 // zoneCost is the part of a runner's cost that depends on its zone. The caller holds the mutex.
-func (t *Table) zoneCost(candidate *entry, wish Wish, pick pickContext, now time.Time) float64 {
+func (t *Table) zoneCost(candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
 	zone := candidate.runner.Zone
 	if zone == t.zone {
 		if pick.targetZone != t.zone {
@@ -177,7 +177,7 @@
 }
 
 // countDeparture counts a request that leaves its zone. The caller holds the mutex.
-func (t *Table) countDeparture(chosen *entry, wish Wish, targetZone ident.Zone) {
+func (t *Table) countDeparture(chosen *entry, wish PickRequest, targetZone ident.Zone) {
 	if wish.Class != Online || chosen.runner.Zone == t.zone {
 		return
 	}
--- a/internal/runnertable/zones_test.go
+++ b/internal/runnertable/zones_test.go
@@ -46,7 +46,7 @@
 	table *runnertable.Table
 	// polled is when each worker was last polled, pausedUntil until when it is not polled after a failure.
 	polled, pausedUntil []time.Time
-	queue               waitline.Line
+	queue               waitline.Queue
 	// queued is the moving average of the time that its requests wait at runners.
 	queued  time.Duration
 	waiting map[*waitline.Waiter]*simRequest
@@ -144,7 +144,7 @@
 				every = 50 * time.Millisecond
 			}
 		}
-		suspected := node.table.ZoneDoubted(zone)
+		suspected := node.table.ZoneSuspectedSince(zone)
 		isSuspected := node.polled[worker].Before(suspected) || (!suspected.IsZero() && z.isProbed(node, worker))
 		if !isSuspected && (z.now.Before(node.pausedUntil[worker]) || z.now.Sub(node.polled[worker]) < every) {
 			continue
@@ -153,7 +153,7 @@
 		node.polled[worker] = sent
 		if !z.reachable(node.zone, zone) {
 			node.pausedUntil[worker] = z.now.Add(simPollTimeout + simPollPause)
-			z.schedule(simPollTimeout, func() { node.table.MissedZone(zone, fmt.Sprint("worker-", worker), sent, z.now) })
+			z.schedule(simPollTimeout, func() { node.table.ZoneTimedOut(zone, fmt.Sprint("worker-", worker), sent, z.now) })
 			continue
 		}
 		shares := z.shares(node, owned)
@@ -162,8 +162,8 @@
 			took = simRemoteRoundTrip
 		}
 		z.schedule(took, func() {
-			node.table.TakeShares(shares, sent)
-			node.table.HeardZone(zone, sent)
+			node.table.UpdateShares(shares, sent)
+			node.table.ZoneAnswered(zone, sent)
 		})
 	}
 }
@@ -193,12 +193,12 @@
 
 // try chooses a runner for a request, and says whether it found one or there is none for which the request could wait.
 func (z *zoneSim) try(request *simRequest) (done bool) {
-	wish := runnertable.Wish{Service: "s", PromptTokens: 450, Bytes: 1500, Exclude: request.tried, Full: map[ident.Incarnation]bool{}}
+	wish := runnertable.PickRequest{Service: "s", PromptTokens: 450, Bytes: 1500, Exclude: request.tried, RefusedBy: map[ident.Incarnation]bool{}}
 	flight, err := request.node.table.Pick(wish, z.now, z.random)
 	if err != nil {
 		return !errors.Is(err, runnertable.ErrFull)
 	}
-	request.node.queue.Taken()
+	request.node.queue.SlotTaken()
 	request.flight, request.at, request.sent = flight, flight.Runner.Zone, z.now
 	if !z.reachable(request.from, flight.Runner.Zone) {
 		request.tried[flight.Runner.ID] = true
@@ -229,7 +229,7 @@
 // release ends a request's time at a runner and lets the next one use the slot.
 func (z *zoneSim) release(request *simRequest) {
 	request.flight.End()
-	request.node.queue.Freed(z.now.Sub(request.sent), z.now)
+	request.node.queue.SlotFreed(z.now.Sub(request.sent), z.now)
 	z.drainQueue(request.node)
 }
 
@@ -250,7 +250,7 @@
 		next.node.queued += (z.now.Sub(next.sent) - next.node.queued) / 20
 		next.ends = z.now.Add(time.Duration((0.5 + z.random.Float64()) * float64(simRun)))
 		runner.running = append(runner.running, next)
-		next.flight.Began(z.now)
+		next.flight.EventReceived(z.now)
 	}
 }
 
@@ -304,10 +304,10 @@
 func (z *zoneSim) drainQueue(node *simNode) {
 	for next := node.queue.Next(); next != nil; next = node.queue.Next() {
 		if !z.try(node.waiting[next]) {
-			node.queue.Again(next)
+			node.queue.PutBack(next)
 			return
 		}
-		node.queue.Served(next, z.now)
+		node.queue.RecordWait(next, z.now)
 		delete(node.waiting, next)
 	}
 }
@@ -464,9 +464,9 @@
 		for range requests {
 			table := runnertable.New("a")
 			table.Replace(listed, start, true)
-			table.TakeShares([]demand.Share{{Runner: "r0"}}, start.Add(-age))
-			table.TakeShares([]demand.Share{{Runner: "r1", Others: 8}, {Runner: "r2", Others: 8}, {Runner: "r3", Others: 8}}, start)
-			flight, err := table.Pick(runnertable.Wish{Service: "s", PromptTokens: 450}, start, source)
+			table.UpdateShares([]demand.Share{{Runner: "r0"}}, start.Add(-age))
+			table.UpdateShares([]demand.Share{{Runner: "r1", Others: 8}, {Runner: "r2", Others: 8}, {Runner: "r3", Others: 8}}, start)
+			flight, err := table.Pick(runnertable.PickRequest{Service: "s", PromptTokens: 450}, start, source)
 			assert.NilError(t, err)
 			if flight.Runner.ID == "r0" {
 				unreported++
@@ -500,17 +500,17 @@
 	for _, ownAnswers := range []bool{true, false} {
 		table := tableOf(runner("near", "a"), runner("far", "b"))
 		for _, worker := range []string{"1", "2"} {
-			table.MissedZone("b", worker, start, start.Add(simPollTimeout))
+			table.ZoneTimedOut("b", worker, start, start.Add(simPollTimeout))
 			if !ownAnswers {
-				table.MissedZone("a", worker, start, start.Add(simPollTimeout))
+				table.ZoneTimedOut("a", worker, start, start.Add(simPollTimeout))
 			}
 		}
 		now := start.Add(simPollTimeout)
 		for range 6 {
-			_, err := table.StartAt("near", runnertable.Wish{Service: "s"}, now)
+			_, err := table.StartAt("near", runnertable.PickRequest{Service: "s"}, now)
 			assert.NilError(t, err)
 		}
-		chosen := pick(t, table, now, runnertable.Wish{}).Runner.ID
+		chosen := pick(t, table, now, runnertable.PickRequest{}).Runner.ID
 		assert.Equal(t, chosen == "far", !ownAnswers, "own zone answers: %v, chosen %s", ownAnswers, chosen)
 	}
 }
--- a/internal/waitline/late.go
+++ b/internal/waitline/late.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// LateLast reorders the queue so that, within each turn, requests that became late while they waited come after those that can
+// MoveLateLast reorders the queue so that, within each turn, requests that became late while they waited come after those that can
 // still be on time.
-func (l *Line) LateLast(now time.Time) {
+func (l *Queue) MoveLateLast(now time.Time) {
 	for _, waiter := range l.waiting {
 		if now.After(waiter.due) {
 			waiter.due = waiter.Latest
@@ -20,7 +20,7 @@
 }
 
 // Waiting returns how many waiting requests can still be on time, until when the first of them can, and how many are late.
-func (l *Line) Waiting(now time.Time) (onTime int, until time.Time, late int) {
+func (l *Queue) Waiting(now time.Time) (onTime int, until time.Time, late int) {
 	for _, waiter := range l.waiting {
 		if now.After(waiter.OnTime) {
 			late++
--- a/internal/waitline/late_test.go
+++ b/internal/waitline/late_test.go
@@ -24,7 +24,7 @@
 
 // TestLateRequestsMoveBehindThoseOnTime has three requests arrive one after the other, and the first one become late.
 func TestLateRequestsMoveBehindThoseOnTime(t *testing.T) {
-	var queue waitline.Line
+	var queue waitline.Queue
 	first, second, third := arriving(start), arriving(start.Add(100*time.Millisecond)), arriving(start.Add(200*time.Millisecond))
 	for _, waiter := range []*waitline.Waiter{first, second, third} {
 		assert.Assert(t, queue.JoinRationed(waiter, start))
@@ -34,7 +34,7 @@
 	assert.Equal(t, onTime, 2)
 	assert.Equal(t, until, second.OnTime)
 	assert.Equal(t, late, 1)
-	queue.LateLast(now)
+	queue.MoveLateLast(now)
 	for _, next := range []*waitline.Waiter{second, third, first} {
 		assert.Equal(t, queue.Next(), next)
 	}
--- a/internal/waitline/waitline.go
+++ b/internal/waitline/waitline.go
@@ -43,9 +43,9 @@
 	minWaitFactor, maxWaitFactor = 0.5, 4
 )
 
-// Line is the queue of the requests without a slot at one node, for one service, with an estimate of how fast slots become
+// Queue is the queue of the requests without a slot at one node, for one service, with an estimate of how fast slots become
 // free. The zero Line is empty.
-type Line struct {
+type Queue struct {
 	// Yields reports whether a request must wait behind those that don't yield; if nil, none yields. It is set before the
 	// queue is used.
 	Yields func(*Waiter) bool
@@ -76,18 +76,18 @@
 }
 
 // Tally returns the counts since the last call, and the mean ratio of actual to estimated waits.
-func (l *Line) Tally() (counts Tally, waitFactor float64) {
+func (l *Queue) Tally() (counts Tally, waitFactor float64) {
 	tally := l.tally
 	l.tally = Tally{}
 	return tally, boundedFactor(l.waitFactor)
 }
 
-// Taken records that a request got a slot.
-func (l *Line) Taken() { l.slotsInUse++ }
+// SlotTaken records that a request got a slot.
+func (l *Queue) SlotTaken() { l.slotsInUse++ }
 
-// Freed records that a request released its slot after a time. If nobody waits for the slot, a rejected request that would
+// SlotFreed records that a request released its slot after a time. If nobody waits for the slot, a rejected request that would
 // still be in time could have used it.
-func (l *Line) Freed(after time.Duration, now time.Time) {
+func (l *Queue) SlotFreed(after time.Duration, now time.Time) {
 	l.slotsInUse--
 	if len(l.waiting) == 0 {
 		l.countWrong(now)
@@ -99,12 +99,12 @@
 }
 
 // Len returns the number of waiting requests.
-func (l *Line) Len() int { return len(l.waiting) }
+func (l *Queue) Len() int { return len(l.waiting) }
 
 // estimateWait returns the estimated time until a request with a number of others ahead of it gets a slot, on the assumption
 // that this node's slots become free one after the other within the time of a run. A node that uses no slot has no data, and
 // expects one at once.
-func (l *Line) estimateWait(ahead int, waitFactor float64) time.Duration {
+func (l *Queue) estimateWait(ahead int, waitFactor float64) time.Duration {
 	if l.slotsInUse <= 0 {
 		return 0
 	}
@@ -122,7 +122,7 @@
 
 // Join adds a request to the queue, and returns false if it can't get a slot in time: on time or, for one that is late
 // already, while a slot is of any use. Rejecting it at once saves its caller a useless wait.
-func (l *Line) Join(waiter *Waiter, now time.Time) bool {
+func (l *Queue) Join(waiter *Waiter, now time.Time) bool {
 	position := l.position(waiter, now)
 	expected := l.estimateWait(l.ahead(waiter, position), *l.waitFactorOf(waiter))
 	return l.join(waiter, position, expected, now)
@@ -130,12 +130,12 @@
 
 // JoinRationed adds a request where others grant the slots, so that the rate at which this node's own slots become free says
 // nothing about the wait. It returns false if no slot is of any use to the request any more.
-func (l *Line) JoinRationed(waiter *Waiter, now time.Time) bool {
+func (l *Queue) JoinRationed(waiter *Waiter, now time.Time) bool {
 	return l.join(waiter, l.position(waiter, now), 0, now)
 }
 
 // position sets the sort keys of a request and returns its index in the queue.
-func (l *Line) position(waiter *Waiter, now time.Time) int {
+func (l *Queue) position(waiter *Waiter, now time.Time) int {
 	waiter.due = waiter.OnTime
 	if now.After(waiter.due) {
 		waiter.due = waiter.Latest
@@ -146,7 +146,7 @@
 }
 
 // join adds a request with an estimated wait at a position, or rejects it.
-func (l *Line) join(waiter *Waiter, position int, expected time.Duration, now time.Time) bool {
+func (l *Queue) join(waiter *Waiter, position int, expected time.Duration, now time.Time) bool {
 	if now.Add(l.conservativeWait(waiter, expected)).After(waiter.due) {
 		l.dropExpired(now)
 		l.rejected = append(l.rejected, waiter.due)
@@ -160,7 +160,7 @@
 }
 
 // countWrong counts one rejected request, if there is one left, as wrongly rejected because a slot became free in time.
-func (l *Line) countWrong(now time.Time) {
+func (l *Queue) countWrong(now time.Time) {
 	l.dropExpired(now)
 	if len(l.rejected) > 0 {
 		l.rejected = slices.Delete(l.rejected, 0, 1)
@@ -169,12 +169,12 @@
 }
 
 // dropExpired removes the rejected requests that would be late by now.
-func (l *Line) dropExpired(now time.Time) {
+func (l *Queue) dropExpired(now time.Time) {
 	l.rejected = slices.DeleteFunc(l.rejected, func(due time.Time) bool { return due.Before(now) })
 }
 
 // insertIndex returns how many waiting requests sort before a request or equal to it.
-func (l *Line) insertIndex(waiter *Waiter) int {
+func (l *Queue) insertIndex(waiter *Waiter) int {
 	index := slices.IndexFunc(l.waiting, func(other *Waiter) bool {
 		return cmp.Or(cmp.Compare(other.turn, waiter.turn), other.due.Compare(waiter.due)) > 0
 	})
@@ -186,7 +186,7 @@
 
 // turnOf returns the turn of a request: the current one, or a later one if its tenant has used that. A tenant with many
 // requests thus waits for its own turns, and does not delay the others. Requests of no tenant always have the current turn.
-func (l *Line) turnOf(waiter *Waiter) int {
+func (l *Queue) turnOf(waiter *Waiter) int {
 	if len(l.waiting) == 0 {
 		l.turn = 0
 		clear(l.next)
@@ -195,7 +195,7 @@
 }
 
 // countTurn counts the turn of a waiting request. A tenant has half as many turns as one of the next more urgent rank.
-func (l *Line) countTurn(waiter *Waiter) {
+func (l *Queue) countTurn(waiter *Waiter) {
 	if waiter.Tenant == "" {
 		return
 	}
@@ -206,7 +206,7 @@
 }
 
 // Leave removes a request from the queue.
-func (l *Line) Leave(waiter *Waiter) {
+func (l *Queue) Leave(waiter *Waiter) {
 	if index := slices.Index(l.waiting, waiter); index >= 0 {
 		l.waiting = slices.Delete(l.waiting, index, index+1)
 	}
@@ -214,7 +214,7 @@
 
 // Next removes and returns the first request of the queue, or nil if it is empty: within a turn, the one with the least time
 // left. Requests that yield come last.
-func (l *Line) Next() *Waiter {
+func (l *Queue) Next() *Waiter {
 	if len(l.waiting) == 0 {
 		return nil
 	}
@@ -225,11 +225,11 @@
 	return next
 }
 
-// Again puts a request that Next returned, and that found no slot, back at the head of the queue.
-func (l *Line) Again(waiter *Waiter) { l.waiting = slices.Insert(l.waiting, 0, waiter) }
+// PutBack puts a request that Next returned, and that found no slot, back at the head of the queue.
+func (l *Queue) PutBack(waiter *Waiter) { l.waiting = slices.Insert(l.waiting, 0, waiter) }
 
-// Served records how long a request waited that got a slot, to improve later estimates.
-func (l *Line) Served(waiter *Waiter, now time.Time) {
+// RecordWait records how long a request waited that got a slot, to improve later estimates.
+func (l *Queue) RecordWait(waiter *Waiter, now time.Time) {
 	l.tally.Waited++
 	if waiter.expected <= 0 {
 		return
@@ -241,4 +241,4 @@
 }
 
 // ExpectedWait returns the estimated time until all requests that wait now have a slot, and one more.
-func (l *Line) ExpectedWait() time.Duration { return l.estimateWait(len(l.waiting), l.waitFactor) }
+func (l *Queue) ExpectedWait() time.Duration { return l.estimateWait(len(l.waiting), l.waitFactor) }
--- a/internal/waitline/waitline_test.go
+++ b/internal/waitline/waitline_test.go
@@ -23,13 +23,13 @@
 }
 
 // busyLine returns the queue of a node whose requests use some slots, each for the time of a run.
-func busyLine(slots int, run time.Duration) *waitline.Line {
-	queue := &waitline.Line{}
+func busyLine(slots int, run time.Duration) *waitline.Queue {
+	queue := &waitline.Queue{}
 	for range slots {
-		queue.Taken()
+		queue.SlotTaken()
 	}
-	queue.Taken()
-	queue.Freed(run, start)
+	queue.SlotTaken()
+	queue.SlotFreed(run, start)
 	return queue
 }
 
@@ -54,7 +54,7 @@
 	second, first := arriving(start.Add(10*time.Millisecond)), arriving(start)
 	assert.Assert(t, queue.Join(second, start) && queue.Join(first, start))
 	assert.Equal(t, queue.Next(), first)
-	queue.Again(first)
+	queue.PutBack(first)
 	assert.Equal(t, queue.Next(), first)
 	assert.Equal(t, queue.Next(), second)
 	assert.Assert(t, queue.Next() == nil)
@@ -75,7 +75,7 @@
 
 // TestNodeWithoutSlotsRejectsNothing has a node without any request at a runner.
 func TestNodeWithoutSlotsRejectsNothing(t *testing.T) {
-	queue := &waitline.Line{}
+	queue := &waitline.Queue{}
 	for range 100 {
 		assert.Assert(t, queue.Join(arriving(start), start))
 	}
@@ -92,7 +92,7 @@
 		assert.Assert(t, queue.Join(waiter, start))
 		queue.Next()
 		if queue.ExpectedWait() < 2*before {
-			queue.Served(waiter, start.Add(2*before))
+			queue.RecordWait(waiter, start.Add(2*before))
 		}
 		assert.Assert(t, expected <= queue.ExpectedWait()+time.Millisecond)
 	}
@@ -136,7 +136,7 @@
 		for range 2 {
 			assert.Assert(t, !queue.Join(arriving(start), start))
 		}
-		queue.Freed(time.Second, start.Add(freed.after))
+		queue.SlotFreed(time.Second, start.Add(freed.after))
 		tally, _ := queue.Tally()
 		assert.DeepEqual(t, tally, waitline.Tally{Rejected: 2, WronglyRejected: freed.wronglyRejected})
 	}
@@ -145,7 +145,7 @@
 // TestTenantWithManyRequestsDoesNotHoldUpOthers has one tenant fill the queue before others arrive, each with one request.
 func TestTenantWithManyRequestsDoesNotHoldUpOthers(t *testing.T) {
 	now := time.Unix(100, 0)
-	queue := &waitline.Line{}
+	queue := &waitline.Queue{}
 	join := func(tenant ident.Tenant, rank int) *waitline.Waiter {
 		waiter := &waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}
 		assert.Assert(t, queue.Join(waiter, now))
@@ -168,7 +168,7 @@
 // TestMoreUrgentTenantHasMoreTurns has two tenants of different ranks keep the queue full.
 func TestMoreUrgentTenantHasMoreTurns(t *testing.T) {
 	now := time.Unix(100, 0)
-	queue := &waitline.Line{}
+	queue := &waitline.Queue{}
 	for range 40 {
 		for rank, tenant := range []ident.Tenant{"urgent", "other"} {
 			queue.Join(&waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}, now)
@@ -185,7 +185,7 @@
 func TestLineWithoutTenantsIsOrderedByTheTimeLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		queue := &waitline.Line{}
+		queue := &waitline.Queue{}
 		for _, left := range rapid.SliceOfN(rapid.IntRange(1, 2000), 1, 40).Draw(t, "left") {
 			onTime := now.Add(time.Duration(left) * time.Millisecond)
 			queue.Join(&waitline.Waiter{OnTime: onTime, Latest: onTime.Add(time.Second)}, now)
--- a/internal/waitline/yield.go
+++ b/internal/waitline/yield.go
@@ -8,11 +8,11 @@
 // Requests of tenants that use more than their share of slots yield: they are served after the others, and their waits are
 // estimated separately. Among them the more urgent kind is served first.
 
-func (l *Line) yields(waiter *Waiter) bool { return l.Yields != nil && l.Yields(waiter) }
+func (l *Queue) yields(waiter *Waiter) bool { return l.Yields != nil && l.Yields(waiter) }
 
 // memoizedYields returns a version of Yields that reuses the last result for consecutive requests of one tenant and kind,
 // which are the usual case.
-func (l *Line) memoizedYields() func(*Waiter) bool {
+func (l *Queue) memoizedYields() func(*Waiter) bool {
 	var last *Waiter
 	yields := false
 	return func(waiter *Waiter) bool {
@@ -25,7 +25,7 @@
 }
 
 // nextIndex returns the index of the next request to serve. The queue must not be empty.
-func (l *Line) nextIndex() int {
+func (l *Queue) nextIndex() int {
 	if l.Yields == nil {
 		return 0
 	}
@@ -43,7 +43,7 @@
 }
 
 // ahead returns how many waiting requests are served before one that would be inserted at a position.
-func (l *Line) ahead(waiter *Waiter, position int) int {
+func (l *Queue) ahead(waiter *Waiter, position int) int {
 	if l.Yields == nil {
 		return position
 	}
@@ -59,7 +59,7 @@
 
 // MustWait reports whether an arriving request must wait because some waiting request is served before it. A request that does
 // not yield passes all that yield.
-func (l *Line) MustWait(waiter *Waiter) bool {
+func (l *Queue) MustWait(waiter *Waiter) bool {
 	if l.Yields == nil {
 		return len(l.waiting) > 0
 	}
@@ -87,10 +87,10 @@
 	minExtra      = 0.25
 )
 
-// Extra returns how many requests that yield may try to take slots at a check, beyond the slots that this node freed. The
+// ExtraYielding returns how many requests that yield may try to take slots at a check, beyond the slots that this node freed. The
 // limit is needed because all nodes see the same slots become free at the same time, and together would take each many times
 // over.
-func (l *Line) Extra() int {
+func (l *Queue) ExtraYielding() int {
 	l.extraCredit += max(extraFraction*float64(l.slotsInUse), minExtra)
 	whole := int(l.extraCredit)
 	l.extraCredit -= float64(whole)
@@ -98,16 +98,16 @@
 }
 
 // NextYields reports whether the next request to serve yields; false if nobody waits.
-func (l *Line) NextYields() bool {
+func (l *Queue) NextYields() bool {
 	return l.Yields != nil && len(l.waiting) > 0 && l.Yields(l.waiting[l.nextIndex()])
 }
 
 // FreedUnused records that a request released a slot without using it. The time for which it had the slot is not counted as a
 // run.
-func (l *Line) FreedUnused() { l.slotsInUse-- }
+func (l *Queue) FreedUnused() { l.slotsInUse-- }
 
 // waitFactorOf returns the wait factor that applies to a request and that its own wait updates.
-func (l *Line) waitFactorOf(waiter *Waiter) *float64 {
+func (l *Queue) waitFactorOf(waiter *Waiter) *float64 {
 	if waiter.yielded {
 		return &l.yieldingWaitFactor
 	}
@@ -119,7 +119,7 @@
 const yieldingSafetyFactor = 1.25
 
 // conservativeWait returns the wait within which a request gets its slot almost certainly.
-func (l *Line) conservativeWait(waiter *Waiter, expected time.Duration) time.Duration {
+func (l *Queue) conservativeWait(waiter *Waiter, expected time.Duration) time.Duration {
 	if !waiter.yielded {
 		return expected
 	}
@@ -128,6 +128,6 @@
 
 // ExpectedYieldingWait returns the estimated time until all requests that wait now have a slot, a further number that yield,
 // and one more.
-func (l *Line) ExpectedYieldingWait(more int) time.Duration {
+func (l *Queue) ExpectedYieldingWait(more int) time.Duration {
 	return l.estimateWait(len(l.waiting)+more, l.yieldingWaitFactor)
 }
--- a/internal/waitline/yield_test.go
+++ b/internal/waitline/yield_test.go
@@ -12,7 +12,7 @@
 )
 
 // yieldingLine returns a queue in which the requests of one tenant yield.
-func yieldingLine(slots int, run time.Duration) *waitline.Line {
+func yieldingLine(slots int, run time.Duration) *waitline.Queue {
 	queue := busyLine(slots, run)
 	queue.Yields = func(waiter *waitline.Waiter) bool { return waiter.Tenant == "hot" }
 	return queue
@@ -73,8 +73,8 @@
 				continue
 			}
 			assert.Equal(t, twins[one], other)
-			plain.Served(one, now)
-			asking.Served(other, now)
+			plain.RecordWait(one, now)
+			asking.RecordWait(other, now)
 		}
 		assert.Equal(t, plain.ExpectedWait(), asking.ExpectedWait())
 	})
@@ -87,11 +87,11 @@
 	for _, slots := range []int{0, 1, 4, 8, 100} {
 		queue := busyLine(max(slots, 1), 100*time.Millisecond)
 		if slots == 0 {
-			queue.Freed(100*time.Millisecond, start)
+			queue.SlotFreed(100*time.Millisecond, start)
 		}
 		taken := 0
 		for range 80 {
-			taken += queue.Extra()
+			taken += queue.ExtraYielding()
 		}
 		assert.Equal(t, taken, max(10*slots, 20))
 	}
