--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -172,17 +172,17 @@
 // reported repeatedly, and that it is reported anew after the worker was down.
 func TestWorkerReceivesEachChange(t *testing.T) {
 	work, worker := &fakeWork{}, &fakeWorker{}
-	teller := demand.NewReporter("front", work, time.Now)
-	teller.Send = worker.send
+	reporter := demand.NewReporter("front", work, time.Now)
+	reporter.Send = worker.send
 	supervisor := new(tomb.Tomb)
-	teller.Start(supervisor)
+	reporter.Start(supervisor)
 	t.Cleanup(func() {
 		supervisor.Kill(nil)
 		_ = supervisor.Wait()
 	})
 	change := func(online int, started bool) {
 		work.set(online)
-		teller.Changed(started)
+		reporter.Changed(started)
 	}
 	expectOnline := func(online int) {
 		t.Helper()
@@ -212,7 +212,7 @@
 	work.mutex.Lock()
 	work.suspect = true
 	work.mutex.Unlock()
-	teller.Changed(false)
+	reporter.Changed(false)
 	suspicionReceived := func() bool {
 		worker.mutex.Lock()
 		defer worker.mutex.Unlock()
--- a/internal/demand/poll.go
+++ b/internal/demand/poll.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-// startPolls starts the calls for a request and returns those to wait for. It runs in the teller's loop.
+// startPolls starts the calls for a request and returns those to wait for. It runs in the reporter's loop.
 func (t *Reporter) startPolls(ctx context.Context, request *pollRequest) []<-chan struct{} {
 	online := t.Work.Online()
 	now := t.Now()
--- a/internal/demand/poll_test.go
+++ b/internal/demand/poll_test.go
@@ -84,15 +84,15 @@
 	return reported
 }
 
-// startTeller starts a teller for two workers of its own zone and one of another.
-func startTeller(t *testing.T) (*Reporter, *fleetWork, *fleetWorkers) {
+// startReporter starts a reporter for two workers of its own zone and one of another.
+func startReporter(t *testing.T) (*Reporter, *fleetWork, *fleetWorkers) {
 	t.Helper()
 	work := &fleetWork{online: map[string]OwnerDemand{"near-1": {}, "near-2": {}, "far": {Far: true}}, taken: map[string]int{}}
 	workers := &fleetWorkers{dead: map[string]bool{}, reports: map[string][]*Report{}}
-	teller := NewReporter("front", work, time.Now)
-	teller.Send = workers.send
+	reporter := NewReporter("front", work, time.Now)
+	reporter.Send = workers.send
 	supervisor := new(tomb.Tomb)
-	teller.Start(supervisor)
+	reporter.Start(supervisor)
 	t.Cleanup(func() {
 		supervisor.Kill(nil)
 		_ = supervisor.Wait()
@@ -100,7 +100,7 @@
 	eventually(t, func() bool {
 		return workers.calls("near-1") > 0 && workers.calls("near-2") > 0 && workers.calls("far") > 0
 	})
-	return teller, work, workers
+	return reporter, work, workers
 }
 
 func eventually(t *testing.T, true func() bool) {
@@ -117,24 +117,24 @@
 // TestStaleWorkersArePolledOnRequest requests answers below some age: from the workers of the zone or from those
 // named. Workers with a fresh answer are not called.
 func TestStaleWorkersArePolledOnRequest(t *testing.T) {
-	teller, work, workers := startTeller(t)
+	reporter, work, workers := startReporter(t)
 	near, far := workers.calls("near-1"), workers.calls("far")
-	assert.Assert(t, !teller.Poll(t.Context(), []string{"near-1", "far"}, time.Hour))
-	teller.PollOwnZone(t.Context(), time.Hour)
+	assert.Assert(t, !reporter.Poll(t.Context(), []string{"near-1", "far"}, time.Hour))
+	reporter.PollOwnZone(t.Context(), time.Hour)
 	assert.Equal(t, workers.calls("near-1"), near, "a worker with a fresh answer was called")
 	work.mutex.Lock()
 	before := work.taken["near-1"]
 	work.mutex.Unlock()
-	teller.PollOwnZone(t.Context(), time.Nanosecond)
+	reporter.PollOwnZone(t.Context(), time.Nanosecond)
 	assert.Assert(t, workers.calls("near-1") > near)
 	assert.Equal(t, workers.calls("far"), far, "a worker of another zone was called")
 	work.mutex.Lock()
 	assert.Assert(t, work.taken["near-1"] > before, "AskNear returned before the answer was applied")
 	work.mutex.Unlock()
-	assert.Assert(t, teller.Poll(t.Context(), []string{"far"}, time.Nanosecond))
+	assert.Assert(t, reporter.Poll(t.Context(), []string{"far"}, time.Nanosecond))
 	assert.Assert(t, workers.calls("far") > far)
-	assert.Assert(t, !teller.Poll(t.Context(), []string{"unknown"}, time.Nanosecond))
-	assert.Assert(t, !teller.Poll(t.Context(), nil, time.Nanosecond))
+	assert.Assert(t, !reporter.Poll(t.Context(), []string{"unknown"}, time.Nanosecond))
+	assert.Assert(t, !reporter.Poll(t.Context(), nil, time.Nanosecond))
 }
 
 // TestUnresponsiveWorkerDelaysNoRequestForLong polls a worker that does not answer. The poll ends with its
@@ -147,14 +147,14 @@
 	failed := &workerState{notBefore: now.Add(time.Second)}
 	assert.Assert(t, !failed.stale(time.Millisecond, now))
 
-	teller, _, workers := startTeller(t)
+	reporter, _, workers := startReporter(t)
 	workers.mutex.Lock()
 	workers.dead["near-2"] = true
 	workers.mutex.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	polled := make(chan struct{})
 	go func() {
-		teller.Poll(ctx, []string{"near-2"}, time.Nanosecond)
+		reporter.Poll(ctx, []string{"near-2"}, time.Nanosecond)
 		close(polled)
 	}()
 	cancel()
@@ -165,13 +165,13 @@
 	}
 }
 
-// TestPollAfterTheTellerEndedReturns polls through a teller whose loop does not run.
-func TestPollAfterTheTellerEndedReturns(t *testing.T) {
-	teller := NewReporter("front", &fleetWork{}, time.Now)
-	teller.workers["near"] = &workerState{}
+// TestPollAfterTheReporterEndedReturns polls through a reporter whose loop does not run.
+func TestPollAfterTheReporterEndedReturns(t *testing.T) {
+	reporter := NewReporter("front", &fleetWork{}, time.Now)
+	reporter.workers["near"] = &workerState{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	teller.PollOwnZone(ctx, time.Nanosecond)
+	reporter.PollOwnZone(ctx, time.Nanosecond)
 }
 
 // TestEachPaceIsReportedOnce receives paces of a runner at which this node has no requests. Each is reported once,
@@ -204,15 +204,15 @@
 // TestPaceIsReportedAfterTheRequestEnded has a node report a runner's pace without online requests there. After a
 // failed call the pace is reported again.
 func TestPaceIsReportedAfterTheRequestEnded(t *testing.T) {
-	teller, work, workers := startTeller(t)
+	reporter, work, workers := startReporter(t)
 	work.set("far", Count{Runner: "r", Pace: 3, PaceReceivedAt: time.Now()})
-	teller.Changed(false)
+	reporter.Changed(false)
 	eventually(t, func() bool { return len(workers.paces("far")) == 1 })
 	workers.mutex.Lock()
 	workers.dead["near-1"] = true
 	workers.mutex.Unlock()
 	work.set("near-1", Count{Runner: "n", Pace: 3, PaceReceivedAt: time.Now()})
-	teller.Changed(false)
+	reporter.Changed(false)
 	eventually(t, func() bool { return len(workers.paces("near-1")) == 1 })
 	workers.mutex.Lock()
 	workers.dead["near-1"] = false
--- a/internal/demand/teller.go
+++ b/internal/demand/reporter.go
@@ -67,7 +67,7 @@
 
 	tomb        *tomb.Tomb
 	incarnation int64
-	// createdAt is when the teller was created; it stands for the start of the process.
+	// createdAt is when the reporter was created; it stands for the start of the process.
 	createdAt time.Time
 	// started and ended are signalled when a request was sent to a runner, and when one ended.
 	started, ended chan struct{}
@@ -78,7 +78,7 @@
 	workers map[string]*workerState
 }
 
-// workerState is the state of the reports to one worker. The teller's mutex guards it.
+// workerState is the state of the reports to one worker. The reporter's mutex guards it.
 type workerState struct {
 	sequence int64
 	// changedDuringCall means that something may have changed since the call in flight was sent.
@@ -104,7 +104,7 @@
 	usesSentAt time.Time
 }
 
-// NewReporter returns a teller that is not started.
+// NewReporter returns a reporter that is not started.
 func NewReporter(node ident.Node, work Work, now func() time.Time) *Reporter {
 	createdAt := now()
 	return &Reporter{
@@ -219,7 +219,7 @@
 	return state
 }
 
-// startCall starts a call to a worker. The caller holds the mutex, and runs in the teller's loop.
+// startCall starts a call to a worker. The caller holds the mutex, and runs in the reporter's loop.
 func (t *Reporter) startCall(ctx context.Context, address string, state *workerState, owned OwnerDemand, now time.Time) {
 	report := state.nextReport(owned.Counts, now)
 	report.Uses = state.nextUses(owned.Uses, now)
--- a/internal/demand/teller_test.go
+++ b/internal/demand/reporter_test.go
@@ -60,12 +60,12 @@
 func TestAnswerReadAfterAFreezeCountsFromItsReport(t *testing.T) {
 	now := time.Unix(100, 0)
 	work := &answerTimes{}
-	teller := NewReporter(ident.Node("front"), work, func() time.Time { return now })
-	teller.Send = func(context.Context, string, *Report) (*Answer, error) {
+	reporter := NewReporter(ident.Node("front"), work, func() time.Time { return now })
+	reporter.Send = func(context.Context, string, *Report) (*Answer, error) {
 		now = now.Add(2 * Lifetime)
 		return &Answer{}, nil
 	}
-	teller.send(t.Context(), "w", &workerState{}, &Report{})
+	reporter.send(t.Context(), "w", &workerState{}, &Report{})
 	assert.Assert(t, now.Sub(work.asOf) >= 2*Lifetime, "the answer counts for another %v", Lifetime-now.Sub(work.asOf))
 }
 
@@ -73,10 +73,10 @@
 // need it, and omitted later to save bytes.
 func TestAgeIsReportedOnlyAfterStart(t *testing.T) {
 	began := time.Unix(100, 0)
-	teller := NewReporter(ident.Node("front"), &answerTimes{}, func() time.Time { return began })
-	assert.Equal(t, teller.age(began), int64(1))
-	assert.Equal(t, teller.age(began.Add(13*time.Second)), int64(13_000))
-	assert.Equal(t, teller.age(began.Add(16*time.Second)), int64(0))
+	reporter := NewReporter(ident.Node("front"), &answerTimes{}, func() time.Time { return began })
+	assert.Equal(t, reporter.age(began), int64(1))
+	assert.Equal(t, reporter.age(began.Add(13*time.Second)), int64(13_000))
+	assert.Equal(t, reporter.age(began.Add(16*time.Second)), int64(0))
 }
 
 // TestOldRequestsAreReportedUntilTheOwnerAnswers has a node report three times. The number of old requests grows
--- a/internal/demand/waiting_test.go
+++ b/internal/demand/waiting_test.go
@@ -43,7 +43,7 @@
 // slots. The worker is called again once waitingReportInterval is over, long before an idle report is due, and
 // again when nothing waits any more.
 func TestWaitingRequestsAreReportedSoon(t *testing.T) {
-	teller, work, workers := startTeller(t)
+	reporter, work, workers := startReporter(t)
 	lastWaiting := func() (waiting []Waiting, reports int) {
 		workers.mutex.Lock()
 		defer workers.mutex.Unlock()
@@ -57,7 +57,7 @@
 		work.online["near-1"] = owned
 		work.mutex.Unlock()
 		began := time.Now()
-		teller.Changed(true)
+		reporter.Changed(true)
 		eventually(t, func() bool { last, _ := lastWaiting(); return len(last) == len(waiting) })
 		assert.Assert(t, time.Since(began) < IdleRefreshInterval/2, "reported after %v", time.Since(began))
 	}
--- a/internal/demand/zones_test.go
+++ b/internal/demand/zones_test.go
@@ -15,7 +15,7 @@
 // rate stays within farCallsPerSecond.
 func TestIdleWorkersOfZonesArePolledInTurn(t *testing.T) {
 	online := map[string]OwnerDemand{}
-	teller := &Reporter{workers: map[string]*workerState{}}
+	reporter := &Reporter{workers: map[string]*workerState{}}
 	began := time.Unix(100, 0)
 	for index := range 6 {
 		zone := ident.Zone("big")
@@ -24,18 +24,18 @@
 		}
 		address := fmt.Sprint("w", index)
 		online[address] = OwnerDemand{Far: true, Zone: zone}
-		teller.workers[address] = &workerState{calledAt: began}
+		reporter.workers[address] = &workerState{calledAt: began}
 	}
 	lastCalls := map[ident.Zone]time.Time{}
 	calls := 0
 	const lasts = 10 * time.Second
 	for at := began; at.Before(began.Add(lasts)); at = at.Add(RefreshInterval) {
-		next := teller.nextFar(online, idleFarInterval(online), at)
+		next := reporter.nextFar(online, idleFarInterval(online), at)
 		if next == "" {
 			continue
 		}
 		calls++
-		teller.workers[next].calledAt = at
+		reporter.workers[next].calledAt = at
 		zone := online[next].Zone
 		if before := lastCalls[zone]; !before.IsZero() && zone == "big" {
 			assert.Assert(t, at.Sub(before) <= time.Second, "zone %v was not called for %v", zone, at.Sub(before))
@@ -52,28 +52,28 @@
 func TestUnresponsiveZoneIsPolledAtOnceAndThenInTurn(t *testing.T) {
 	now := time.Unix(100, 0)
 	online := map[string]OwnerDemand{}
-	teller := &Reporter{workers: map[string]*workerState{}}
+	reporter := &Reporter{workers: map[string]*workerState{}}
 	for index := range 3 {
 		address := fmt.Sprint("w", index)
 		online[address] = OwnerDemand{Far: true, Zone: "z", UnresponsiveSince: now}
-		teller.workers[address] = &workerState{calledAt: now.Add(-time.Duration(index+1) * time.Second)}
-		assert.Assert(t, teller.workers[address].unpolledSince(now), "%s is not due for a call", address)
-		teller.workers[address].calledAt = now.Add(time.Duration(index) * time.Millisecond)
-		assert.Assert(t, !teller.workers[address].unpolledSince(now))
+		reporter.workers[address] = &workerState{calledAt: now.Add(-time.Duration(index+1) * time.Second)}
+		assert.Assert(t, reporter.workers[address].unpolledSince(now), "%s is not due for a call", address)
+		reporter.workers[address].calledAt = now.Add(time.Duration(index) * time.Millisecond)
+		assert.Assert(t, !reporter.workers[address].unpolledSince(now))
 	}
 	many := map[string]OwnerDemand{}
 	for index := range 10 {
 		address := fmt.Sprint("m", index)
 		many[address] = OwnerDemand{Far: true, Zone: ident.Zone(address), UnresponsiveSince: now}
-		teller.workers[address] = &workerState{calledAt: now}
+		reporter.workers[address] = &workerState{calledAt: now}
 	}
-	assert.Assert(t, !teller.probesDue(many, now.Add(time.Second))["m0"], "ten zones are probed more than eight times a second")
-	assert.Assert(t, teller.probesDue(many, now.Add(1250*time.Millisecond))["m0"])
+	assert.Assert(t, !reporter.probesDue(many, now.Add(time.Second))["m0"], "ten zones are probed more than eight times a second")
+	assert.Assert(t, reporter.probesDue(many, now.Add(1250*time.Millisecond))["m0"])
 	for round := range 6 {
 		now = now.Add(probeInterval + 10*time.Millisecond)
-		probesDue := teller.probesDue(online, now)
+		probesDue := reporter.probesDue(online, now)
 		assert.DeepEqual(t, probesDue, map[string]bool{fmt.Sprint("w", round%3): true})
-		teller.workers[fmt.Sprint("w", round%3)].calledAt = now
-		assert.DeepEqual(t, teller.probesDue(online, now.Add(probeInterval/2)), map[string]bool{fmt.Sprint("w", (round+1)%3): false})
+		reporter.workers[fmt.Sprint("w", round%3)].calledAt = now
+		assert.DeepEqual(t, reporter.probesDue(online, now.Add(probeInterval/2)), map[string]bool{fmt.Sprint("w", (round+1)%3): false})
 	}
 }
--- a/internal/fairshare/local.go
+++ b/internal/fairshare/local.go
@@ -16,7 +16,7 @@
 )
 
 // LocalUsage is a node's use of the slots of one service, by tenant, and the bounds that the account holder set. The
-// zero Local is empty.
+// zero LocalUsage is empty.
 type LocalUsage struct {
 	// taken is the number of slots in use.
 	taken map[ident.Tenant]int
--- a/internal/fairshare/turns.go
+++ b/internal/fairshare/turns.go
@@ -13,7 +13,7 @@
 	consumed map[ident.Tenant]float64
 }
 
-// NewWeightedScheduler returns a Turns in which no tenant has received anything.
+// NewWeightedScheduler returns a WeightedScheduler in which no tenant has received anything.
 func NewWeightedScheduler(weight func(ident.Tenant) float64) *WeightedScheduler {
 	return &WeightedScheduler{weight: weight, consumed: map[ident.Tenant]float64{}}
 }
@@ -29,8 +29,8 @@
 }
 
 // Interleave returns elements in the order of their tenants' turns; those of one tenant keep the given order. amount
-// returns the cost of an element. If there is only one tenant, InTurn returns the given order and records nothing.
-func Interleave[T any](turns *WeightedScheduler, elements []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
+// returns the cost of an element. If there is only one tenant, Interleave returns the given order and records nothing.
+func Interleave[T any](scheduler *WeightedScheduler, elements []T, tenant func(T) ident.Tenant, amount func(T) int) []T {
 	byTenant := map[ident.Tenant][]T{}
 	var tenants []ident.Tenant
 	for _, element := range elements {
@@ -47,14 +47,14 @@
 	for len(tenants) > 0 {
 		next := 0
 		for index := range tenants {
-			if turns.Compare(tenants[index], tenants[next]) < 0 {
+			if scheduler.Compare(tenants[index], tenants[next]) < 0 {
 				next = index
 			}
 		}
 		name := tenants[next]
 		element := byTenant[name][0]
 		ordered = append(ordered, element)
-		turns.Charge(name, amount(element))
+		scheduler.Charge(name, amount(element))
 		if byTenant[name] = byTenant[name][1:]; len(byTenant[name]) == 0 {
 			tenants = append(tenants[:next], tenants[next+1:]...)
 		}
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -21,7 +21,7 @@
 // soon, workers are asked to store the job on their disks as well, and the first of the two to succeed decides. Both may
 // succeed: the store accepts a job only once.
 type acceptance struct {
-	desk       *Intake
+	intake     *Intake
 	route      *work.Route
 	submission *jobrecord.Submission
 	// attemptID distinguishes this acceptance from others of the same job. reservation is the queue capacity reserved for
@@ -43,7 +43,7 @@
 // run tries until the job is durable and returns false if it gives up. A job that exists already is left unchanged, so
 // any node may repeat any try.
 func (a *acceptance) run(ctx context.Context) bool {
-	if err := a.desk.Records.Check(a.submission); err != nil {
+	if err := a.intake.Records.Check(a.submission); err != nil {
 		a.recordFailure(tooLarge(err))
 		return false
 	}
@@ -72,7 +72,7 @@
 
 // reserve asks for queue capacity for the job until the answer is known. It returns false if there is none.
 func (a *acceptance) reserve(ctx context.Context) bool {
-	if a.admitted() || a.desk.Workers == nil {
+	if a.admitted() || a.intake.Workers == nil {
 		return true
 	}
 	a.requestReservation(ctx)
@@ -82,7 +82,7 @@
 		a.recordFailure(failure.New(failure.CodeShardUnavailable, "no worker tells what waits on the route").WithRetryAfter(retryAfter))
 		return false
 	case queueroom.Uncertain:
-		event.JobUnaccounted.Log(a.desk.Logger).Str("job", string(a.submission.ID)).Int("answers", count.Answers).Int("sure", count.Sure).Send()
+		event.JobUnaccounted.Log(a.intake.Logger).Str("job", string(a.submission.ID)).Int("answers", count.Answers).Int("sure", count.Sure).Send()
 	case queueroom.Full:
 		return a.refuse(ctx)
 	}
@@ -99,10 +99,10 @@
 
 // requestReservation asks the account holders for a reservation, and asks again while none of them can answer.
 func (a *acceptance) requestReservation(ctx context.Context) {
-	end := a.desk.now().Add(reserveRetryPeriod)
+	end := a.intake.now().Add(reserveRetryPeriod)
 	for {
-		a.reservation = a.desk.Workers.Reserve(ctx, a.route, a.submission, a.attemptID)
-		if a.reservation.Verdict != queueroom.NoAnswer || !a.desk.now().Before(end) || !pause(ctx, reserveRetryInterval) {
+		a.reservation = a.intake.Workers.Reserve(ctx, a.route, a.submission, a.attemptID)
+		if a.reservation.Verdict != queueroom.NoAnswer || !a.intake.now().Before(end) || !pause(ctx, reserveRetryInterval) {
 			return
 		}
 	}
@@ -110,7 +110,7 @@
 
 // refuse records that there is no capacity for the job. It returns true if the job was accepted before.
 func (a *acceptance) refuse(ctx context.Context) bool {
-	if a.desk.exists(ctx, a.submission.ID) {
+	if a.intake.exists(ctx, a.submission.ID) {
 		// The store has the job: writing it again changes nothing.
 		a.reservation.Verdict = queueroom.Fits
 		return true
@@ -196,13 +196,13 @@
 	a.submission.Hold()
 	new(tomb.Tomb).Go(func() error {
 		defer a.submission.LetGo()
-		waitingTokens, err := a.desk.accept(ctx, a)
+		waitingTokens, err := a.intake.accept(ctx, a)
 		results <- attemptResult{waitingTokens: waitingTokens, err: err}
 		return nil
 	})
-	hedge := time.NewTimer(a.desk.hedgeDelay(a.submission))
+	hedge := time.NewTimer(a.intake.hedgeDelay(a.submission))
 	defer hedge.Stop()
-	for inFlight, workersAsked := 1, a.desk.Workers == nil; inFlight > 0; {
+	for inFlight, workersAsked := 1, a.intake.Workers == nil; inFlight > 0; {
 		select {
 		case <-hedge.C:
 		case result := <-results:
@@ -219,7 +219,7 @@
 				continue
 			}
 			if !result.handedOff && !a.final() {
-				a.desk.suspectStore()
+				a.intake.suspectStore()
 			}
 		}
 		if !workersAsked && !a.final() {
@@ -228,7 +228,7 @@
 			a.submission.Hold()
 			new(tomb.Tomb).Go(func() error {
 				defer a.submission.LetGo()
-				results <- attemptResult{handedOff: true, err: a.desk.Workers.StoreHandoff(ctx, a.holderLimit(), a.submission)}
+				results <- attemptResult{handedOff: true, err: a.intake.Workers.StoreHandoff(ctx, a.holderLimit(), a.submission)}
 				return nil
 			})
 		}
--- a/internal/jobentry/assign_test.go
+++ b/internal/jobentry/assign_test.go
@@ -11,7 +11,7 @@
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 )
 
-// claims returns the holders of the claims of the open jobs.
+// claims returns the workers of the claims of the open jobs.
 func claims(t *testing.T, records *jobrecord.Records) map[ident.Job]ident.Node {
 	t.Helper()
 	live, err := records.ReadLive(context.Background())
@@ -21,16 +21,16 @@
 
 // TestJobGoesToAnIdleWorkerAtOnce has the job assigned to the worker that would start it first, and claimed for it.
 func TestJobGoesToAnIdleWorkerAtOnce(t *testing.T) {
-	holders := &fakeHolders{}
-	desk, store := newDesk(holders)
+	workers := &fakeWorkers{}
+	intake, store := newIntake(workers)
 	lease, err := store.Grant(context.Background(), time.Minute)
 	assert.NilError(t, err)
-	holders.assignee = jobrecord.Assignee{Node: "w", Lease: lease}
-	assert.NilError(t, submit(desk, "a", 10))
+	workers.assignee = jobrecord.Assignee{Node: "w", Lease: lease}
+	assert.NilError(t, submit(intake, "a", 10))
 	assignments := func() int {
-		holders.mutex.Lock()
-		defer holders.mutex.Unlock()
-		return len(holders.assigned)
+		workers.mutex.Lock()
+		defer workers.mutex.Unlock()
+		return len(workers.assigned)
 	}
 	for range 1000 {
 		if assignments() == 1 {
@@ -39,20 +39,20 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	assert.Equal(t, assignments(), 1)
-	assert.DeepEqual(t, claims(t, desk.Records), map[ident.Job]ident.Node{"a": "w"})
-	assert.NilError(t, submit(desk, "a", 10))
+	assert.DeepEqual(t, claims(t, intake.Records), map[ident.Job]ident.Node{"a": "w"})
+	assert.NilError(t, submit(intake, "a", 10))
 	assert.Equal(t, assignments(), 1, "a job that was sent again is not given out again")
 }
 
 // TestClaimOfAWorkerThatDoesNotRunTheJobIsGivenUp leaves the job to the other workers.
 func TestClaimOfAWorkerThatDoesNotRunTheJobIsGivenUp(t *testing.T) {
-	holders := &fakeHolders{refusesJobs: true}
-	desk, store := newDesk(holders)
+	workers := &fakeWorkers{refusesJobs: true}
+	intake, store := newIntake(workers)
 	lease, _ := store.Grant(context.Background(), time.Minute)
-	holders.assignee = jobrecord.Assignee{Node: "w", Lease: lease}
-	assert.NilError(t, submit(desk, "a", 10))
+	workers.assignee = jobrecord.Assignee{Node: "w", Lease: lease}
+	assert.NilError(t, submit(intake, "a", 10))
 	for range 1000 {
-		if len(claims(t, desk.Records)) == 0 {
+		if len(claims(t, intake.Records)) == 0 {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -62,12 +62,12 @@
 
 // TestJobIsTakenThoughTheWorkersLeaseIsOver writes the job without a claim.
 func TestJobIsTakenThoughTheWorkersLeaseIsOver(t *testing.T) {
-	holders := &fakeHolders{assignee: jobrecord.Assignee{Node: "w", Lease: 4711}}
-	desk, _ := newDesk(holders)
-	assert.NilError(t, submit(desk, "a", 10))
-	exists, err := desk.Records.Exists(context.Background(), "a")
+	workers := &fakeWorkers{assignee: jobrecord.Assignee{Node: "w", Lease: 4711}}
+	intake, _ := newIntake(workers)
+	assert.NilError(t, submit(intake, "a", 10))
+	exists, err := intake.Records.Exists(context.Background(), "a")
 	assert.NilError(t, err)
 	assert.Assert(t, exists)
-	assert.Equal(t, len(claims(t, desk.Records)), 0)
-	assert.Equal(t, len(holders.assigned), 0)
+	assert.Equal(t, len(claims(t, intake.Records)), 0)
+	assert.Equal(t, len(workers.assigned), 0)
 }
--- a/internal/jobentry/desk.go
+++ b/internal/jobentry/intake.go
@@ -101,7 +101,7 @@
 // *failure.Error; its outcome is NotRun only if the job was not written and never will be.
 func (d *Intake) Accept(ctx context.Context, route *work.Route, submission *jobrecord.Submission) error {
 	attempt := &acceptance{
-		desk: d, route: route, submission: submission, attemptID: strconv.FormatUint(rand.Uint64(), 36), jobOutcome: outcome.NotRun,
+		intake: d, route: route, submission: submission, attemptID: strconv.FormatUint(rand.Uint64(), 36), jobOutcome: outcome.NotRun,
 	}
 	submission.Hold()
 	defer submission.LetGo()
--- a/internal/jobentry/read_test.go
+++ b/internal/jobentry/read_test.go
@@ -42,9 +42,9 @@
 }
 
 // mustList reads results and checks them.
-func mustList(t *testing.T, desk *jobentry.Intake, tenant ident.Tenant, id ident.Job, from, finished int) {
+func mustList(t *testing.T, intake *jobentry.Intake, tenant ident.Tenant, id ident.Job, from, finished int) {
 	t.Helper()
-	listing, err := desk.Results(context.Background(), tenant, id, from, 0)
+	listing, err := intake.Results(context.Background(), tenant, id, from, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, listing.Total, recordedItems)
 	assert.Equal(t, len(listing.Results), max(finished-from, 0))
@@ -61,13 +61,13 @@
 func TestResultsThatNoWorkerHoldsAreReadInOneCall(t *testing.T) {
 	const jobs = 20
 	for from := range recordedItems + 1 {
-		desk, store := newDesk(&fakeHolders{})
+		intake, store := newIntake(&fakeWorkers{})
 		for job := range jobs {
-			recordJob(t, desk.Records, ident.Job(fmt.Sprint("job-", job)), "clinic", recordedItems)
+			recordJob(t, intake.Records, ident.Job(fmt.Sprint("job-", job)), "clinic", recordedItems)
 		}
 		before := store.Calls()
 		for job := range jobs {
-			mustList(t, desk, "clinic", ident.Job(fmt.Sprint("job-", job)), from, recordedItems)
+			mustList(t, intake, "clinic", ident.Job(fmt.Sprint("job-", job)), from, recordedItems)
 		}
 		calls := store.Calls() - before
 		assert.Assert(t, calls <= jobs, "%d calls for %d readings from %d", calls, jobs, from)
@@ -79,14 +79,14 @@
 func TestResultsTellOnlyTheirTenant(t *testing.T) {
 	for finished := range recordedItems + 1 {
 		for from := range recordedItems + 1 {
-			desk, _ := newDesk(&fakeHolders{})
-			recordJob(t, desk.Records, "job", "clinic", finished)
-			recordJob(t, desk.Records, "open-to-all", "", finished)
+			intake, _ := newIntake(&fakeWorkers{})
+			recordJob(t, intake.Records, "job", "clinic", finished)
+			recordJob(t, intake.Records, "open-to-all", "", finished)
 			for range 2 {
-				_, err := desk.Results(context.Background(), "school", "job", from, 0)
+				_, err := intake.Results(context.Background(), "school", "job", from, 0)
 				assert.Equal(t, failure.As(err).Code, failure.CodeNotFound)
-				mustList(t, desk, "clinic", "job", from, finished)
-				mustList(t, desk, "school", "open-to-all", from, finished)
+				mustList(t, intake, "clinic", "job", from, finished)
+				mustList(t, intake, "school", "open-to-all", from, finished)
 			}
 		}
 	}
@@ -113,13 +113,13 @@
 func TestResultsOfAnEarlierBuildAreRead(t *testing.T) {
 	for finished := range recordedItems + 1 {
 		for from := range recordedItems + 1 {
-			desk, store := newDesk(&fakeHolders{})
-			desk.Records.Store = &olderStore{Paged: store}
-			recordJob(t, desk.Records, "job", "clinic", finished)
+			intake, store := newIntake(&fakeWorkers{})
+			intake.Records.Store = &olderStore{Paged: store}
+			recordJob(t, intake.Records, "job", "clinic", finished)
 			for range 2 {
-				_, err := desk.Results(context.Background(), "school", "job", from, 0)
+				_, err := intake.Results(context.Background(), "school", "job", from, 0)
 				assert.Equal(t, failure.As(err).Code, failure.CodeNotFound)
-				mustList(t, desk, "clinic", "job", from, finished)
+				mustList(t, intake, "clinic", "job", from, finished)
 			}
 		}
 	}
@@ -140,11 +140,11 @@
 // TestLargeResultDoesNotHideTheNextOne reads from each position if a page fits only one result: an answer contains at
 // least one result if there is one.
 func TestLargeResultDoesNotHideTheNextOne(t *testing.T) {
-	desk, store := newDesk(&fakeHolders{})
-	recordJob(t, desk.Records, "job", "clinic", recordedItems)
-	desk.Records.Store = &singleResultStore{Paged: store}
+	intake, store := newIntake(&fakeWorkers{})
+	recordJob(t, intake.Records, "job", "clinic", recordedItems)
+	intake.Records.Store = &singleResultStore{Paged: store}
 	for from := range recordedItems {
-		listing, err := desk.Results(context.Background(), "clinic", "job", from, 0)
+		listing, err := intake.Results(context.Background(), "clinic", "job", from, 0)
 		assert.NilError(t, err)
 		assert.Equal(t, listing.Total, recordedItems)
 		assert.Equal(t, len(listing.Results), 1)
--- a/internal/jobpeer/compatibility_test.go
+++ b/internal/jobpeer/compatibility_test.go
@@ -70,10 +70,10 @@
 // results of an earlier computation and must not be adapted to the code.
 func TestRankingIsStableAcrossBuilds(t *testing.T) {
 	workers := fixedWorkers()
-	holders := newHolders(t, nil)
-	holders.UpdateWorkers(workers, time.Now())
+	client := newWorkerClient(t, nil)
+	client.UpdateWorkers(workers, time.Now())
 	for tenant, wanted := range map[ident.Tenant]string{"a": "w7", "b": "w1", "c": "w2"} {
-		owner, kept := holders.QuotaOwner(tenant)
+		owner, kept := client.QuotaOwner(tenant)
 		assert.Assert(t, kept)
 		assert.Equal(t, owner, wanted, "tenant %s", tenant)
 	}
--- a/internal/jobpeer/demand.go
+++ b/internal/jobpeer/demand.go
@@ -57,7 +57,7 @@
 	return owned
 }
 
-// Report sends a report for the demand.Teller and records whether the worker's zone answers.
+// Report sends a report for the demand.Reporter and records whether the worker's zone answers.
 func (o *OnlineWork) Report(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
 	asked := o.Now()
 	answer, err := o.Holders.ReportDemand(ctx, address, report)
--- a/internal/jobpeer/intake_test.go
+++ b/internal/jobpeer/intake_test.go
@@ -51,7 +51,7 @@
 	linkDelay = 2 * time.Millisecond
 )
 
-// intake is a site that accepts jobs in simulated time and without a network. Desks, the calls between nodes, workers, their
+// intake is a site that accepts jobs in simulated time and without a network. Intakes, the calls between nodes, workers, their
 // disks and the delivery from disk to store are the real ones. No job runs, so every accepted job remains queued.
 type intake struct {
 	t          *testing.T
@@ -77,8 +77,8 @@
 
 // intakeFront is a node that accepts client requests.
 type intakeFront struct {
-	desk  *jobentry.Intake
-	store *intakeStore
+	intake *jobentry.Intake
+	store  *intakeStore
 }
 
 // intakeWorker is a worker. While it is unresponsive or its process is stopped, calls from and to it fail.
@@ -323,8 +323,8 @@
 func (s *intake) newFront(zone ident.Zone) *intakeFront {
 	store := s.newStore()
 	records := s.newRecords(store)
-	holders := &jobpeer.WorkerClient{Records: records, Zone: zone, Connect: s.connect(nil), Copies: 2, Now: time.Now}
-	return &intakeFront{store: store, desk: &jobentry.Intake{Records: records, Workers: holders, Logger: zerolog.Nop(), Now: time.Now}}
+	client := &jobpeer.WorkerClient{Records: records, Zone: zone, Connect: s.connect(nil), Copies: 2, Now: time.Now}
+	return &intakeFront{store: store, intake: &jobentry.Intake{Records: records, Workers: client, Logger: zerolog.Nop(), Now: time.Now}}
 }
 
 // connect returns a node's connections to workers.
@@ -409,7 +409,7 @@
 			ID: ident.Request(fmt.Sprint(job.id, "-", index)), Path: "/p/x", Tokens: job.tokens / items, Body: []byte("body"),
 		})
 	}
-	err := front.desk.Accept(ctx, intakeRoute(), submission)
+	err := front.intake.Accept(ctx, intakeRoute(), submission)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.submitted[job.id] = true
--- a/internal/jobpeer/keep.go
+++ b/internal/jobpeer/keep.go
@@ -27,7 +27,7 @@
 func (h *WorkerClient) StoreHandoff(ctx context.Context, bound int, submission *jobrecord.Submission) error {
 	h.readWorkers(ctx)
 	keepOperation := &keepOperation{
-		holders: h, candidates: h.keepCandidates(), needed: h.Copies,
+		client: h, candidates: h.keepCandidates(), needed: h.Copies,
 		bound: bound, submission: submission, accepted: h.Now(), date: clock.Date(),
 	}
 	return keepOperation.run(ctx)
@@ -35,7 +35,7 @@
 
 // keepOperation is the state of writing one job to the disks of workers.
 type keepOperation struct {
-	holders    *WorkerClient
+	client     *WorkerClient
 	candidates []string
 	// needed is the number of workers that must have the job.
 	needed     int
@@ -83,7 +83,7 @@
 // Asking the remaining workers, each with the same timeout, would delay the answer up to the caller's deadline, while another
 // node may reach them.
 func (k *keepOperation) unanswered() bool {
-	return k.answered == 0 && k.holders.Now().Sub(k.accepted) >= keepTimeout+callSlack
+	return k.answered == 0 && k.client.Now().Sub(k.accepted) >= keepTimeout+callSlack
 }
 
 // ask sends the job to the next worker. Each call gets a new tomb, because a tomb whose goroutines have all ended accepts no
@@ -98,7 +98,7 @@
 			Entry: handoff.NewEntry(k.submission, k.date, turn), MaximumQueuedTokens: k.bound, Copies: k.needed + spareCandidates,
 		}
 		reply := &KeepReply{}
-		if !k.holders.ask(ctx, address, methodKeep, request, reply, keepTimeout) {
+		if !k.client.ask(ctx, address, methodKeep, request, reply, keepTimeout) {
 			reply = nil
 		}
 		replies <- reply
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -67,8 +67,8 @@
 	fullReply = jobpeer.KeepReply{Code: failure.CodeJobQuota, Message: "full", Outcome: outcome.NotRun, RetryAfterMs: 500}
 )
 
-// newHolders registers a worker in the given zone for each peer. Two of them must store a job.
-func newHolders(t *testing.T, zones []ident.Zone, peers ...*peer) *jobpeer.WorkerClient {
+// newWorkerClient registers a worker in the given zone for each peer. Two of them must store a job.
+func newWorkerClient(t *testing.T, zones []ident.Zone, peers ...*peer) *jobpeer.WorkerClient {
 	t.Helper()
 	store := kvtest.NewPaged(kvtest.NewData(time.Now))
 	records := &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Now: time.Now}
@@ -88,27 +88,27 @@
 	}
 }
 
-func keep(holders *jobpeer.WorkerClient) error {
+func keep(client *jobpeer.WorkerClient) error {
 	submission := &jobrecord.Submission{ID: "j", Route: "r", Items: []work.Item{{ID: "j-0", Path: "/p", Tokens: 1}}}
-	return holders.StoreHandoff(context.Background(), 0, submission)
+	return client.StoreHandoff(context.Background(), 0, submission)
 }
 
 var oneZone = []ident.Zone{"z", "z", "z", "z"}
 
 func TestEnoughWorkersMakeAJobDurable(t *testing.T) {
-	assert.NilError(t, keep(newHolders(t, oneZone, &peer{keep: keptReply}, &peer{unresponsive: true}, &peer{keep: keptReply})))
+	assert.NilError(t, keep(newWorkerClient(t, oneZone, &peer{keep: keptReply}, &peer{unresponsive: true}, &peer{keep: keptReply})))
 	// The fourth is asked once it is clear that the first three are not enough.
-	assert.NilError(t, keep(newHolders(t, oneZone,
+	assert.NilError(t, keep(newWorkerClient(t, oneZone,
 		&peer{keep: keptReply}, &peer{unresponsive: true}, &peer{keep: fullReply}, &peer{keep: keptReply})))
 }
 
 func TestTooFewCopiesGiveAnUnknownOutcome(t *testing.T) {
 	for name, second := range map[string]*peer{"silent": {unresponsive: true}, "full": {keep: fullReply}} {
-		err := keep(newHolders(t, oneZone, &peer{keep: keptReply}, second))
+		err := keep(newWorkerClient(t, oneZone, &peer{keep: keptReply}, second))
 		assert.Equal(t, failure.As(err).Outcome, outcome.Unknown, name)
 	}
 	// A worker that did not answer may have the job.
-	err := keep(newHolders(t, oneZone, &peer{unresponsive: true}, &peer{keep: fullReply}))
+	err := keep(newWorkerClient(t, oneZone, &peer{unresponsive: true}, &peer{keep: fullReply}))
 	assert.Equal(t, failure.As(err).Outcome, outcome.Unknown)
 }
 
@@ -129,14 +129,14 @@
 	for range workers {
 		zones, peers = append(zones, "z"), append(peers, &peer{unresponsive: true})
 	}
-	holders := newHolders(t, zones, peers...)
+	client := newWorkerClient(t, zones, peers...)
 	var since atomic.Int64
 	start := time.Now()
-	holders.Now = func() time.Time { return start.Add(time.Duration(since.Load())) }
+	client.Now = func() time.Time { return start.Add(time.Duration(since.Load())) }
 	for _, p := range peers {
 		p.delay = func() { since.Add(int64(delay)) }
 	}
-	err := keep(holders)
+	err := keep(client)
 	// The first workers are asked concurrently: one may have answered before another was asked.
 	synctest.Wait()
 	asked := 0
@@ -149,34 +149,34 @@
 }
 
 func TestJobThatNoWorkerHasIsRefused(t *testing.T) {
-	err := keep(newHolders(t, oneZone, &peer{keep: fullReply}, &peer{keep: fullReply}))
+	err := keep(newWorkerClient(t, oneZone, &peer{keep: fullReply}, &peer{keep: fullReply}))
 	assert.Equal(t, failure.As(err).Code, failure.CodeJobQuota)
 	assert.Equal(t, failure.As(err).Outcome, outcome.NotRun)
 
 	alone := &peer{keep: keptReply}
-	err = keep(newHolders(t, oneZone, alone))
+	err = keep(newWorkerClient(t, oneZone, alone))
 	assert.Equal(t, failure.As(err).Outcome, outcome.NotRun)
 	assert.Equal(t, len(alone.asked), 0, "a worker was asked to store a job that cannot become durable")
 }
 
 func TestCopiesLieInDifferentZones(t *testing.T) {
 	far := &peer{keep: keptReply}
-	holders := newHolders(t, []ident.Zone{"z", "z", "z", "y"}, &peer{keep: keptReply}, &peer{keep: keptReply}, &peer{keep: keptReply}, far)
-	assert.NilError(t, keep(holders))
+	client := newWorkerClient(t, []ident.Zone{"z", "z", "z", "y"}, &peer{keep: keptReply}, &peer{keep: keptReply}, &peer{keep: keptReply}, far)
+	assert.NilError(t, keep(client))
 	assert.Equal(t, (<-far.asked).Entry.Turn, 1)
 }
 
 func TestPendingIsOnlyDeniedForCertain(t *testing.T) {
 	ctx := context.Background()
-	pending, sure := newHolders(t, oneZone, &peer{}, &peer{pending: true}).Pending(ctx, "j")
+	pending, sure := newWorkerClient(t, oneZone, &peer{}, &peer{pending: true}).Pending(ctx, "j")
 	assert.Assert(t, pending && sure)
-	pending, sure = newHolders(t, oneZone, &peer{}, &peer{}).Pending(ctx, "j")
+	pending, sure = newWorkerClient(t, oneZone, &peer{}, &peer{}).Pending(ctx, "j")
 	assert.Assert(t, !pending && sure)
-	_, sure = newHolders(t, oneZone, &peer{}, &peer{unresponsive: true}).Pending(ctx, "j")
+	_, sure = newWorkerClient(t, oneZone, &peer{}, &peer{unresponsive: true}).Pending(ctx, "j")
 	assert.Assert(t, !sure)
-	_, sure = newHolders(t, oneZone).Pending(ctx, "j")
+	_, sure = newWorkerClient(t, oneZone).Pending(ctx, "j")
 	assert.Assert(t, !sure, "no worker was asked")
-	_, sure = newHolders(t, oneZone, &peer{}, &peer{doubt: true}).Pending(ctx, "j")
+	_, sure = newWorkerClient(t, oneZone, &peer{}, &peer{doubt: true}).Pending(ctx, "j")
 	assert.Assert(t, !sure, "a worker with the job may not be registered again yet")
 }
 
@@ -185,17 +185,17 @@
 func TestWorkerThatIsNotRegisteredAnyMoreIsStillAsked(t *testing.T) {
 	ctx := context.Background()
 	keeper := &peer{keep: keptReply, pending: true}
-	holders := newHolders(t, oneZone, &peer{keep: keptReply}, keeper)
-	assert.NilError(t, keep(holders))
-	other, err := holders.Records.Workers(ctx)
+	client := newWorkerClient(t, oneZone, &peer{keep: keptReply}, keeper)
+	assert.NilError(t, keep(client))
+	other, err := client.Records.Workers(ctx)
 	assert.NilError(t, err)
-	_, err = holders.Records.Store.Commit(ctx, nil, []kv.Write{{Key: "job/live/worker/b", Delete: true}})
+	_, err = client.Records.Store.Commit(ctx, nil, []kv.Write{{Key: "job/live/worker/b", Delete: true}})
 	assert.NilError(t, err)
-	remaining, err := holders.Records.Workers(ctx)
+	remaining, err := client.Records.Workers(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, len(remaining), len(other)-1)
-	holders.UpdateWorkers(remaining, holders.Now())
-	pending, _ := holders.Pending(ctx, "j")
+	client.UpdateWorkers(remaining, client.Now())
+	pending, _ := client.Pending(ctx, "j")
 	assert.Assert(t, pending)
 }
 
@@ -203,20 +203,20 @@
 // it are there enough workers to store a job.
 func TestFrontUsesWorkerListOfAWorker(t *testing.T) {
 	first := &peer{keep: keptReply}
-	holders := newHolders(t, oneZone, first)
-	assert.Assert(t, keep(holders) != nil)
-	source := &jobpeer.WorkerFeed{Holders: holders}
+	client := newWorkerClient(t, oneZone, first)
+	assert.Assert(t, keep(client) != nil)
+	source := &jobpeer.WorkerFeed{Holders: client}
 	first.feed = fleetfeed.Snapshot{
 		RunnersAgeMs: (5 * time.Second).Milliseconds(),
 		Workers:      []fleetfeed.Worker{{Node: "a", Zone: "z", Address: "a"}, {Node: "b", Zone: "z", Address: "a"}},
 	}
 	_, err := source.Next(context.Background(), &fleetfeed.Known{})
 	assert.NilError(t, err)
-	assert.Assert(t, keep(holders) != nil, "the list of a partitioned worker was used")
+	assert.Assert(t, keep(client) != nil, "the list of a partitioned worker was used")
 	first.feed.RunnersAgeMs = 200
 	_, err = source.Next(context.Background(), &fleetfeed.Known{})
 	assert.NilError(t, err)
-	assert.NilError(t, keep(holders))
+	assert.NilError(t, keep(client))
 }
 
 // TestUnchangedWorkerListIsReused has a worker send the list of workers with a read that is too old, and then only
@@ -224,8 +224,8 @@
 // another fingerprint stands for an unknown list.
 func TestUnchangedWorkerListIsReused(t *testing.T) {
 	first := &peer{keep: keptReply}
-	holders := newHolders(t, oneZone, first)
-	source := &jobpeer.WorkerFeed{Holders: holders}
+	client := newWorkerClient(t, oneZone, first)
+	source := &jobpeer.WorkerFeed{Holders: client}
 	known := &fleetfeed.Known{}
 	first.feed = fleetfeed.Snapshot{
 		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersPrint: 7,
@@ -235,7 +235,7 @@
 		first.feed = feed
 		_, err := source.Next(context.Background(), known)
 		assert.NilError(t, err)
-		assert.Assert(t, keep(holders) != nil)
+		assert.Assert(t, keep(client) != nil)
 	}
 	first.feed = fleetfeed.Snapshot{
 		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersPrint: 7,
@@ -246,17 +246,17 @@
 		_, err := source.Next(context.Background(), known)
 		assert.NilError(t, err)
 	}
-	assert.NilError(t, keep(holders))
+	assert.NilError(t, keep(client))
 }
 
 // TestOlderWorkerListIsIgnored checks that a list from another node does not replace a newer one.
 func TestOlderWorkerListIsIgnored(t *testing.T) {
-	holders := newHolders(t, oneZone, &peer{keep: keptReply}, &peer{keep: keptReply})
-	assert.NilError(t, keep(holders))
-	holders.UpdateWorkers(nil, holders.Now().Add(-time.Minute))
-	assert.NilError(t, keep(holders))
-	holders.UpdateWorkers(nil, holders.Now())
-	assert.Assert(t, keep(holders) != nil)
+	client := newWorkerClient(t, oneZone, &peer{keep: keptReply}, &peer{keep: keptReply})
+	assert.NilError(t, keep(client))
+	client.UpdateWorkers(nil, client.Now().Add(-time.Minute))
+	assert.NilError(t, keep(client))
+	client.UpdateWorkers(nil, client.Now())
+	assert.Assert(t, keep(client) != nil)
 }
 
 // TestFrontThatStartsAsksSeeds has a front without known workers call the seeds in turn, without reading the records, until
@@ -265,7 +265,7 @@
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	store := kvtest.NewPaged(kvtest.NewData(func() time.Time { return now }))
 	var asked []string
-	holders := &jobpeer.WorkerClient{
+	client := &jobpeer.WorkerClient{
 		Records: &jobrecord.Records{Store: store, ValueBytes: 1 << 20, Now: func() time.Time { return now }}, Zone: "z",
 		Connect: func(address string) (drpc.Conn, error) {
 			asked = append(asked, address)
@@ -273,7 +273,7 @@
 		},
 		Seeds: []string{"a", "b", "c"}, SeedsFor: time.Second, Now: func() time.Time { return now },
 	}
-	source := &jobpeer.WorkerFeed{Holders: holders}
+	source := &jobpeer.WorkerFeed{Holders: client}
 	for range 6 {
 		_, err := source.Next(context.Background(), &fleetfeed.Known{})
 		assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
@@ -284,7 +284,7 @@
 	_, err := source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, store.Calls(), 1, "seeds that do not answer are only called until SeedsFor has passed")
-	holders.UpdateWorkers([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
+	client.UpdateWorkers([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
 	_, err = source.Next(context.Background(), &fleetfeed.Known{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, asked[len(asked)-1], "w")
@@ -294,14 +294,14 @@
 // regular calls, and also the first worker that answers again.
 func TestCallsToWorkersUpdateReachability(t *testing.T) {
 	peers := []*peer{{unresponsive: true}, {unresponsive: true}, {unresponsive: true}, {unresponsive: true, keep: keptReply}}
-	holders := newHolders(t, oneZone, peers...)
-	holders.Copies, holders.Reach = 3, &reach.Watch{}
+	client := newWorkerClient(t, oneZone, peers...)
+	client.Copies, client.Reach = 3, &reach.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
-	assert.Assert(t, keep(holders) != nil)
-	assert.Assert(t, holders.Reach.Deaf(later()))
+	assert.Assert(t, keep(client) != nil)
+	assert.Assert(t, client.Reach.Deaf(later()))
 
 	peers[3].unresponsive = false
-	holders.Now = func() time.Time { return time.Now().Add(5 * time.Second) }
-	assert.Assert(t, keep(holders) != nil, "one of three copies is too few")
-	assert.Assert(t, !holders.Reach.Deaf(time.Now().Add(6*time.Second)))
+	client.Now = func() time.Time { return time.Now().Add(5 * time.Second) }
+	assert.Assert(t, keep(client) != nil, "one of three copies is too few")
+	assert.Assert(t, !client.Reach.Deaf(time.Now().Add(6*time.Second)))
 }
--- a/internal/jobpeer/message.go
+++ b/internal/jobpeer/message.go
@@ -52,7 +52,7 @@
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// ResultsReply is the answer to a Query: the state of the job at the worker.
+// ResultsReply is the answer to a ResultsQuery: the state of the job at the worker.
 type ResultsReply struct {
 	// Sure means that the worker has the latest state; the other fields are meaningless without it.
 	Sure bool `json:"sure"`
--- a/internal/jobpeer/newestconfig.go
+++ b/internal/jobpeer/newestconfig.go
@@ -62,7 +62,7 @@
 }
 
 // reader returns the address of the worker that reads for all nodes: the first by name that is not skipped, among the first
-// jobworker.ReadersInLine.
+// jobworker.MaxReaders.
 func (n *NewestConfiguration) reader() (string, bool) {
 	workers := n.Holders.knownWorkers()
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
--- a/internal/jobpeer/newestconfig_test.go
+++ b/internal/jobpeer/newestconfig_test.go
@@ -132,12 +132,12 @@
 	for range fronts {
 		front := f.newFollower()
 		front.Routes.Adopt(f.registry.catalog)
-		holders := &jobpeer.WorkerClient{
+		client := &jobpeer.WorkerClient{
 			Zone: "z", Now: time.Now, Connect: func(to string) (drpc.Conn, error) { return &keyConn{fleet: f, to: to}, nil },
 		}
-		holders.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
+		client.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
 		if asking {
-			front.Newest = (&jobpeer.NewestConfiguration{Holders: holders, Logger: zerolog.Nop()}).Catalog
+			front.Newest = (&jobpeer.NewestConfiguration{Holders: client, Logger: zerolog.Nop()}).Catalog
 		}
 		f.gates = append(f.gates, &access.Gate{Routes: front.Routes, Refresh: front.Refresh, Logger: zerolog.Nop(), Now: time.Now})
 	}
@@ -230,11 +230,11 @@
 		f := newKeyFleet(1, 2, true)
 		f.unresponsive["worker-00"], f.unresponsive["worker-01"] = true, true
 		starting := f.newFollower()
-		holders := &jobpeer.WorkerClient{
+		client := &jobpeer.WorkerClient{
 			Zone: "z", Now: time.Now, Connect: func(to string) (drpc.Conn, error) { return &keyConn{fleet: f, to: to}, nil },
 		}
-		holders.UpdateWorkers([]jobrecord.Worker{{Node: "worker-00", Zone: "z", Address: "worker-00"}}, time.Now())
-		starting.Newest = (&jobpeer.NewestConfiguration{Holders: holders, Logger: zerolog.Nop()}).Catalog
+		client.UpdateWorkers([]jobrecord.Worker{{Node: "worker-00", Zone: "z", Address: "worker-00"}}, time.Now())
+		starting.Newest = (&jobpeer.NewestConfiguration{Holders: client, Logger: zerolog.Nop()}).Catalog
 		began := time.Now()
 		assert.NilError(t, starting.Refresh(context.Background()))
 		assert.Assert(t, time.Since(began) <= atOnce, "%v", time.Since(began))
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -116,12 +116,12 @@
 func (f *endsFleet) startFront(name string, zone ident.Zone) *endsNode {
 	table := runnertable.New(zone)
 	watch := f.newWatch(name, table)
-	holders := &jobpeer.WorkerClient{Zone: zone, Connect: f.connect(name), Now: time.Now}
-	holders.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
-	teller := demand.NewReporter(ident.Node(name), &jobpeer.OnlineWork{Holders: holders, Runners: table, Ends: watch, Now: time.Now}, time.Now)
-	teller.Send = holders.ReportDemand
-	teller.Start(f.tomb)
-	holders.SendPoisonRecords(f.tomb, watch)
+	client := &jobpeer.WorkerClient{Zone: zone, Connect: f.connect(name), Now: time.Now}
+	client.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
+	reporter := demand.NewReporter(ident.Node(name), &jobpeer.OnlineWork{Holders: client, Runners: table, Ends: watch, Now: time.Now}, time.Now)
+	reporter.Send = client.ReportDemand
+	reporter.Start(f.tomb)
+	client.SendPoisonRecords(f.tomb, watch)
 	return f.nodes[len(f.nodes)-1]
 }
 
--- a/internal/jobpeer/queuecapacity.go
+++ b/internal/jobpeer/queuecapacity.go
@@ -36,7 +36,7 @@
 func (h *WorkerClient) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation {
 	h.awaitWorkers(ctx)
 	asking := &capacityRequest{
-		holders: h, workers: h.accountHolders(route.Name), question: &queueroom.CapacityRequest{
+		client: h, workers: h.accountHolders(route.Name), question: &queueroom.CapacityRequest{
 			Route: route.Name, Tenant: submission.Tenant, Attempt: attempt,
 			ReservedJob: queueroom.ReservedJob{Job: submission.ID, Tokens: submission.Tokens()},
 		},
@@ -65,7 +65,7 @@
 
 // capacityRequest is the state of one reservation.
 type capacityRequest struct {
-	holders  *WorkerClient
+	client   *WorkerClient
 	workers  []queueroom.Worker
 	question *queueroom.CapacityRequest
 }
@@ -110,7 +110,7 @@
 
 func (r *capacityRequest) ask(ctx context.Context, address string) capacityAnswer {
 	reply := &RoomReply{}
-	err := r.holders.callAccountHolder(ctx, address, &RoomRequest{Ask: r.question}, reply, callSlack)
+	err := r.client.callAccountHolder(ctx, address, &RoomRequest{Ask: r.question}, reply, callSlack)
 	return capacityAnswer{answer: reply.Answer, unsupported: err != nil && isUnknownCall(err)}
 }
 
@@ -120,7 +120,7 @@
 	for _, worker := range r.workers {
 		new(tomb.Tomb).Go(func() error {
 			// An account holder that is not reached releases the capacity when the reservation expires.
-			_ = r.holders.callAccountHolder(context.Background(), worker.Address, request, &RoomReply{}, releaseTimeout)
+			_ = r.client.callAccountHolder(context.Background(), worker.Address, request, &RoomReply{}, releaseTimeout)
 			return nil
 		})
 	}
--- a/internal/jobpeer/ration_test.go
+++ b/internal/jobpeer/ration_test.go
@@ -16,11 +16,11 @@
 // waitingRequests is a node with requests that wait for two services. It counts the grants that it is notified of.
 type waitingRequests struct{ granted int }
 
-func (w *waitingRequests) Waiting() []demand.Waiting {
+func (w *waitingRequests) WaitingReport() []demand.Waiting {
 	return []demand.Waiting{{Service: "other", OnTime: 1}, {Service: "s", OnTime: 2}}
 }
 
-func (w *waitingRequests) Granted() { w.granted++ }
+func (w *waitingRequests) SlotsGranted() { w.granted++ }
 
 // TestRationingWorkersReceiveWaitingRequests has up to one runner in each of two zones. A worker that rations a runner must receive
 // the requests waiting for that runner's service and no others; other workers receive none. A worker of another zone receives
@@ -40,11 +40,11 @@
 		"only another zone has a runner":         {runners: []work.Runner{far}, rationed: "far", reported: "2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			holders := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
-			holders.UpdateWorkers([]jobrecord.Worker{{Node: "1", Address: "1", Zone: "a"}, {Node: "2", Address: "2", Zone: "b"}}, now)
+			client := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
+			client.UpdateWorkers([]jobrecord.Worker{{Node: "1", Address: "1", Zone: "a"}, {Node: "2", Address: "2", Zone: "b"}}, now)
 			table, requests := runnertable.New("a"), &waitingRequests{}
 			table.Replace(c.runners, now, true)
-			online := &OnlineWork{Holders: holders, Runners: table, Waiters: requests, Now: holders.Now}
+			online := &OnlineWork{Holders: client, Runners: table, Waiters: requests, Now: client.Now}
 			online.Take("1", &demand.Answer{Shares: []demand.Share{{Runner: c.rationed, Rationed: true}}}, now)
 			assert.Equal(t, requests.granted, 0)
 			for address, owned := range online.Online() {
--- a/internal/jobpeer/refused_test.go
+++ b/internal/jobpeer/refused_test.go
@@ -173,9 +173,9 @@
 		f.start(name, source, f.feeds[name])
 	}
 	for index := range fronts {
-		holders := &jobpeer.WorkerClient{Zone: "z", Connect: f.connect, Now: time.Now}
-		holders.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
-		f.start(fmt.Sprintf("front-%02d", index), &jobpeer.WorkerFeed{Holders: holders, Index: uint64(index)}, nil)
+		client := &jobpeer.WorkerClient{Zone: "z", Connect: f.connect, Now: time.Now}
+		client.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
+		f.start(fmt.Sprintf("front-%02d", index), &jobpeer.WorkerFeed{Holders: client, Index: uint64(index)}, nil)
 	}
 	return f
 }
--- a/internal/jobpeer/slots_test.go
+++ b/internal/jobpeer/slots_test.go
@@ -18,9 +18,9 @@
 	learned []demand.Bound
 }
 
-func (t *tenantUses) Uses() []demand.Use { return t.uses }
+func (t *tenantUses) UsageReport() []demand.Use { return t.uses }
 
-func (t *tenantUses) Learn(bounds []demand.Bound, _ time.Time) { t.learned = bounds }
+func (t *tenantUses) ApplyBounds(bounds []demand.Bound, _ time.Time) { t.learned = bounds }
 
 // TestSlotUseIsReportedToOneAccountHolder has nodes that list the workers in different orders report a service to the same
 // worker, whether or not they have work at its runners, and to the next worker if that one does not answer.
--- a/internal/jobworker/borrow_test.go
+++ b/internal/jobworker/borrow_test.go
@@ -25,7 +25,7 @@
 	return worker.Lend(request), nil
 }
 
-func (m *localMirrors) TakeBack(_ context.Context, address string, recall lending.Recall) error {
+func (m *localMirrors) Recall(_ context.Context, address string, recall lending.Recall) error {
 	worker, err := m.at(address)
 	if err != nil {
 		return err
--- a/internal/jobworker/dispatch.go
+++ b/internal/jobworker/dispatch.go
@@ -365,8 +365,8 @@
 
 // start runs an item at a runner and reports whether it was started.
 func (w *Worker) start(item *itemRun, service string, route *work.Route, id ident.Incarnation, now time.Time) bool {
-	wish := runnertable.PickRequest{Service: service, Class: runnertable.Batch, Tokens: item.item.Tokens, Bytes: len(item.body)}
-	flight, err := w.Runners.StartAt(id, wish, now)
+	request := runnertable.PickRequest{Service: service, Class: runnertable.Batch, Tokens: item.item.Tokens, Bytes: len(item.body)}
+	flight, err := w.Runners.StartAt(id, request, now)
 	if err != nil {
 		return false
 	}
--- a/internal/jobworker/lend_test.go
+++ b/internal/jobworker/lend_test.go
@@ -27,7 +27,7 @@
 	return &lending.Reply{}, nil
 }
 
-func (l *recordingLenders) TakeBack(_ context.Context, address string, recall lending.Recall) error {
+func (l *recordingLenders) Recall(_ context.Context, address string, recall lending.Recall) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.recalled == nil {
--- a/internal/jobworker/mirror_test.go
+++ b/internal/jobworker/mirror_test.go
@@ -88,7 +88,7 @@
 	return worker.Mirror(updates), nil
 }
 
-func (m *localMirrors) Ask(_ context.Context, address string, job ident.Job) ([]progress.Output, error) {
+func (m *localMirrors) Fetch(_ context.Context, address string, job ident.Job) ([]progress.Output, error) {
 	worker, err := m.at(address)
 	if err != nil {
 		return nil, err
--- a/internal/jobworker/rationfleet_test.go
+++ b/internal/jobworker/rationfleet_test.go
@@ -106,10 +106,10 @@
 // messages are passed as JSON.
 func startFront(supervisor *tomb.Tomb, node ident.Node, owner *jobworker.Worker, caller work.Caller) *online.Forwarder {
 	forwarder := &online.Forwarder{Runners: restartedTable(), Caller: caller, Logger: zerolog.Nop(), Now: time.Now}
-	holders := &jobpeer.WorkerClient{Zone: "z", Now: time.Now}
-	holders.UpdateWorkers([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
+	client := &jobpeer.WorkerClient{Zone: "z", Now: time.Now}
+	client.UpdateWorkers([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
 	reporter := demand.NewReporter(node, &jobpeer.OnlineWork{
-		Holders: holders, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
+		Holders: client, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
 	}, time.Now)
 	reporter.Send = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
 		received, answer := &demand.Report{}, &demand.Answer{}
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -122,19 +122,19 @@
 // late reports whether the request can no longer be answered within its objective.
 func (e *exchange) late() bool { return e.forwarder.Now().After(e.waiter.OnTime) }
 
-// wish returns the criteria for choosing a runner. If waits is set, the request waits here rather than at a runner without a
-// free slot.
-func (e *exchange) wish(waits bool) runnertable.PickRequest {
-	wish := runnertable.PickRequest{
+// pickRequest returns the criteria for choosing a runner. If waits is set, the request waits here rather than at a runner
+// without a free slot.
+func (e *exchange) pickRequest(waits bool) runnertable.PickRequest {
+	pickRequest := runnertable.PickRequest{
 		Service: e.service, Class: runnertable.Online, Prefix: e.request.Prefix,
 		PromptTokens: e.request.PromptTokens, Tokens: e.request.PromptTokens + e.request.MaximumTokens, Bytes: len(e.request.Body),
 		Objective: e.route.Objective, Pause: e.route.Pause, Exclude: e.tried,
 	}
 	if waits {
-		wish.RefusedBy, wish.NoQueueing, wish.Late = e.full, e.queue.isYielding(e.waiter), e.late()
-		wish.Scarce = e.request.Tenant != "" && e.queue.scarce()
+		pickRequest.RefusedBy, pickRequest.NoQueueing, pickRequest.Late = e.full, e.queue.isYielding(e.waiter), e.late()
+		pickRequest.Scarce = e.request.Tenant != "" && e.queue.scarce()
 	}
-	return wish
+	return pickRequest
 }
 
 // guardSilence returns a guard that ends the attempt if no first event comes in time. It is nil if no further attempt is
--- a/internal/online/queue.go
+++ b/internal/online/queue.go
@@ -273,11 +273,11 @@
 // pickForRetry chooses a runner for a request that may have run.
 func (e *exchange) pickForRetry() (*runnertable.Flight, error) {
 	seed := rand.Uint64()
-	wish := e.forwarder.refreshRunners(e.ctx, e.wish(false), seed)
+	pickRequest := e.forwarder.refreshRunners(e.ctx, e.pickRequest(false), seed)
 	for {
 		// The request ignores the result, since it yields to none, but counts among its tenant's requests.
 		e.queue.beginPick(e.waiter)
-		flight, err := e.forwarder.Runners.Pick(wish, e.forwarder.Now(), newRandom(seed))
+		flight, err := e.forwarder.Runners.Pick(pickRequest, e.forwarder.Now(), newRandom(seed))
 		if err == nil {
 			e.queue.slotTaken(e.waiter, flight.Runner.ID, false, false)
 			return flight, nil
@@ -357,10 +357,10 @@
 		waited = true
 	}
 	seed := rand.Uint64()
-	wish := e.forwarder.refreshRunners(e.ctx, e.wish(true), seed)
+	pickRequest := e.forwarder.refreshRunners(e.ctx, e.pickRequest(true), seed)
 	for {
-		wish.NoQueueing = e.queue.beginPick(e.waiter)
-		flight, vacant, err := e.pickOrVacant(wish, seed)
+		pickRequest.NoQueueing = e.queue.beginPick(e.waiter)
+		flight, vacant, err := e.pickOrVacant(pickRequest, seed)
 		if err == nil {
 			e.queue.slotTaken(e.waiter, flight.Runner.ID, vacant, waited)
 			return flight, nil
@@ -374,22 +374,22 @@
 		}
 		waited = true
 		clear(e.full)
-		wish.Late = e.late()
+		pickRequest.Late = e.late()
 	}
 }
 
 // pickOrVacant chooses a runner. If all are full it chooses the one where a caller was cut off in favour of waiting requests,
 // if there is one, and vacant is true: the request adds no more work than the runner had with that caller.
-func (e *exchange) pickOrVacant(wish runnertable.PickRequest, seed uint64) (flight *runnertable.Flight, vacant bool, err error) {
-	flight, err = e.forwarder.Runners.Pick(wish, e.forwarder.Now(), newRandom(seed))
+func (e *exchange) pickOrVacant(pickRequest runnertable.PickRequest, seed uint64) (flight *runnertable.Flight, vacant bool, err error) {
+	flight, err = e.forwarder.Runners.Pick(pickRequest, e.forwarder.Now(), newRandom(seed))
 	if !errors.Is(err, runnertable.ErrFull) {
 		return flight, false, err
 	}
-	wish.FreedRunner, vacant = e.queue.takeVacancy()
+	pickRequest.FreedRunner, vacant = e.queue.takeVacancy()
 	if !vacant {
 		return nil, false, err
 	}
-	flight, err = e.forwarder.Runners.Pick(wish, e.forwarder.Now(), newRandom(seed))
+	flight, err = e.forwarder.Runners.Pick(pickRequest, e.forwarder.Now(), newRandom(seed))
 	return flight, true, err
 }
 
--- a/internal/online/refresh.go
+++ b/internal/online/refresh.go
@@ -37,21 +37,21 @@
 
 // refreshRunners updates this node's view of how slow and how full the candidate runners are, if runners report their pace. It
 // returns the criteria for the choice itself.
-func (f *Forwarder) refreshRunners(ctx context.Context, wish runnertable.PickRequest, seed uint64) runnertable.PickRequest {
-	if f.Owners == nil || !f.Runners.ReportsPace(wish.Service, f.Now()) {
-		return wish
+func (f *Forwarder) refreshRunners(ctx context.Context, request runnertable.PickRequest, seed uint64) runnertable.PickRequest {
+	if f.Owners == nil || !f.Runners.ReportsPace(request.Service, f.Now()) {
+		return request
 	}
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	f.Owners.QueryZone(ctx, maxZoneAge)
 	for range maxRounds {
-		candidates := f.Runners.Candidates(wish, maxCandidates, f.Now(), newRandom(seed))
+		candidates := f.Runners.Candidates(request, maxCandidates, f.Now(), newRandom(seed))
 		if !f.Owners.Query(ctx, f.runnersToRefresh(candidates), maxCandidateAge) {
 			break
 		}
 	}
-	wish.OwnersPolled = true
-	return wish
+	request.OwnersPolled = true
+	return request
 }
 
 // runnersToRefresh returns the runners whose owners are queried: only the best one if it is in this node's zone, since the
--- a/internal/online/refresh_test.go
+++ b/internal/online/refresh_test.go
@@ -27,14 +27,14 @@
 	asked []ident.Incarnation
 }
 
-func (o *scriptedOwners) AskNear(ctx context.Context, _ time.Duration) {
+func (o *scriptedOwners) QueryZone(ctx context.Context, _ time.Duration) {
 	o.near++
 	if o.dead {
 		<-ctx.Done()
 	}
 }
 
-func (o *scriptedOwners) Ask(ctx context.Context, runners []work.Runner, _ time.Duration) bool {
+func (o *scriptedOwners) Query(ctx context.Context, runners []work.Runner, _ time.Duration) bool {
 	queried := false
 	for _, runner := range runners {
 		share, known := o.shares[runner.ID]
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -80,7 +80,7 @@
 	return total
 }
 
-// Answer is an owner's reply to a Spending.
+// Answer is an owner's reply to a NodeReport.
 type Answer struct {
 	Credits []Credit `json:"credits,omitempty"`
 	// Nodes is the number of nodes that report to the owner.
--- a/internal/runnertable/flight.go
+++ b/internal/runnertable/flight.go
@@ -31,21 +31,21 @@
 }
 
 // start registers a new flight. The caller holds the mutex.
-func (t *Table) start(chosen *entry, wish PickRequest, uncached int, now time.Time) *Flight {
+func (t *Table) start(chosen *entry, request PickRequest, uncached int, now time.Time) *Flight {
 	flight := &Flight{
-		Runner: chosen.runner, table: t, entry: chosen, class: wish.Class, startedAt: now, uncached: uncached,
-		tokens: wish.memoryTokens(uncached), lastEvent: now, hasPrompt: uncached > 0 || len(wish.Prefix) > 0,
+		Runner: chosen.runner, table: t, entry: chosen, class: request.Class, startedAt: now, uncached: uncached,
+		tokens: request.memoryTokens(uncached), lastEvent: now, hasPrompt: uncached > 0 || len(request.Prefix) > 0,
 	}
-	chosen.own[wish.Class]++
-	if wish.Class == Online {
+	chosen.own[request.Class]++
+	if request.Class == Online {
 		chosen.online = append(chosen.online, flight)
 	}
-	chosen.tokens[wish.Class] += flight.tokens
-	chosen.countGrantUse(wish.Class, now)
-	t.notifyOnline(wish.Class, true)
+	chosen.tokens[request.Class] += flight.tokens
+	chosen.countGrantUse(request.Class, now)
+	t.notifyOnline(request.Class, true)
 	chosen.waiting[flight] = now
 	chosen.pendingTokens += uncached
-	chosen.prefixes.add(wish.Prefix, now)
+	chosen.prefixes.add(request.Prefix, now)
 	return flight
 }
 
--- a/internal/runnertable/orphans_test.go
+++ b/internal/runnertable/orphans_test.go
@@ -15,8 +15,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// queueableWish describes a request that may wait for a slot at the node.
-func queueableWish() runnertable.PickRequest {
+// queueableRequest describes a request that may wait for a slot at the node.
+func queueableRequest() runnertable.PickRequest {
 	return runnertable.PickRequest{Service: "s", Class: runnertable.Online, RefusedBy: map[ident.Incarnation]bool{}}
 }
 
@@ -38,14 +38,14 @@
 	table := runnertable.New("z")
 	table.Replace(eightSlotRunners("a"), now, true)
 	table.UpdateShares([]demand.Share{{Runner: "a", Orphans: 8}}, now)
-	_, err := table.Pick(queueableWish(), now, fixedRand())
+	_, err := table.Pick(queueableRequest(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 	table.UpdateShares([]demand.Share{{Runner: "a", Orphans: 6}}, now.Add(time.Millisecond))
 	for range 2 {
-		_, err = table.Pick(queueableWish(), now.Add(time.Millisecond), fixedRand())
+		_, err = table.Pick(queueableRequest(), now.Add(time.Millisecond), fixedRand())
 		assert.NilError(t, err)
 	}
-	_, err = table.Pick(queueableWish(), now.Add(time.Millisecond), fixedRand())
+	_, err = table.Pick(queueableRequest(), now.Add(time.Millisecond), fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 }
 
@@ -58,24 +58,24 @@
 	table.AssumeFullUntilReported()
 	table.Replace(nil, now, true)
 	table.Replace(eightSlotRunners("a", "b"), now, true)
-	_, err := table.Pick(queueableWish(), now, fixedRand())
+	_, err := table.Pick(queueableRequest(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 	_, err = table.Pick(runnertable.PickRequest{Service: "s", Class: runnertable.Online}, now, fixedRand())
 	assert.NilError(t, err)
 	table.UpdateShares([]demand.Share{{Runner: "b"}}, now)
 	for range 8 {
-		flight, err := table.Pick(queueableWish(), now, fixedRand())
+		flight, err := table.Pick(queueableRequest(), now, fixedRand())
 		assert.NilError(t, err)
 		assert.Equal(t, flight.Runner.ID, ident.Incarnation("b"))
 	}
 	later := now.Add(100 * time.Millisecond)
 	table.UpdateShares([]demand.Share{{Runner: "b", Others: 8}}, later)
-	flight, err := table.Pick(queueableWish(), later, fixedRand())
+	flight, err := table.Pick(queueableRequest(), later, fixedRand())
 	assert.NilError(t, err)
 	assert.Equal(t, flight.Runner.ID, ident.Incarnation("a"))
 	table.Replace(eightSlotRunners("a", "b", "c"), later, true)
 	table.UpdateShares([]demand.Share{{Runner: "a", Others: 8}, {Runner: "b", Others: 8}}, later)
-	flight, err = table.Pick(queueableWish(), later, fixedRand())
+	flight, err = table.Pick(queueableRequest(), later, fixedRand())
 	assert.NilError(t, err)
 	assert.Equal(t, flight.Runner.ID, ident.Incarnation("c"), "a runner that joins later is held back")
 }
@@ -104,7 +104,7 @@
 			var chosen [2]ident.Incarnation
 			for index, table := range []*runnertable.Table{fresh, restarted} {
 				table.UpdateShares(shares, now)
-				flight, err := table.Pick(queueableWish(), now, rand.New(rand.NewPCG(uint64(step), 0)))
+				flight, err := table.Pick(queueableRequest(), now, rand.New(rand.NewPCG(uint64(step), 0)))
 				if err != nil {
 					chosen[index] = ident.Incarnation(err.Error())
 					continue
@@ -124,7 +124,7 @@
 	table.Replace(eightSlotRunners("a"), now, true)
 	var flights []*runnertable.Flight
 	for _, sent := range []time.Duration{0, 0, 2 * time.Millisecond} {
-		flight, err := table.Pick(queueableWish(), now.Add(sent), fixedRand())
+		flight, err := table.Pick(queueableRequest(), now.Add(sent), fixedRand())
 		assert.NilError(t, err)
 		flights = append(flights, flight)
 	}
--- a/internal/runnertable/pace.go
+++ b/internal/runnertable/pace.go
@@ -73,15 +73,15 @@
 // paceCost is the additional delay of the first event that is expected from the runner's pace, in milliseconds, and
 // pauseCost if the runner can't keep the pause; zero at the typical pace. queuedMs is the time that a request spends
 // at the runner, at the typical pace, before its own work starts.
-func (t *Table) paceCost(candidate *entry, wish PickRequest, queuedMs float64, now time.Time) float64 {
+func (t *Table) paceCost(candidate *entry, request PickRequest, queuedMs float64, now time.Time) float64 {
 	at := candidate.pace.Current(now)
 	if at <= 1 {
 		return 0
 	}
-	timings := t.timingsOf(wish.Service)
-	first := timings.firstEventTime(wish.PromptTokens > 0).Or(defaultFirstEvent) + time.Duration(queuedMs*float64(time.Millisecond))
-	cost := milliseconds(pace.Cost(first, wish.Objective, at))
-	if !pace.MeetsPause(timings.gap.Or(0), wish.Pause, at) {
+	timings := t.timingsOf(request.Service)
+	first := timings.firstEventTime(request.PromptTokens > 0).Or(defaultFirstEvent) + time.Duration(queuedMs*float64(time.Millisecond))
+	cost := milliseconds(pace.Cost(first, request.Objective, at))
+	if !pace.MeetsPause(timings.gap.Or(0), request.Pause, at) {
 		cost += pauseCost
 	}
 	return cost
@@ -130,9 +130,9 @@
 }
 
 // countChoice updates the slow-phase counters for the log. The caller holds the mutex.
-func (t *Table) countChoice(chosen *entry, wish PickRequest, now time.Time) {
+func (t *Table) countChoice(chosen *entry, request PickRequest, now time.Time) {
 	slow := false
-	for _, candidate := range t.services[wish.Service] {
+	for _, candidate := range t.services[request.Service] {
 		slow = slow || candidate.pace.Current(now) >= pace.Slow
 	}
 	if !slow {
@@ -143,7 +143,7 @@
 	if at >= pace.Slow {
 		t.slowPhases.Slow++
 	}
-	if !pace.MeetsPause(t.timingsOf(wish.Service).gap.Or(0), wish.Pause, at) {
+	if !pace.MeetsPause(t.timingsOf(request.Service).gap.Or(0), request.Pause, at) {
 		t.slowPhases.PauseExceeded++
 	}
 }
@@ -163,26 +163,26 @@
 }
 
 // staleCost is the cost added for a runner whose owner was polled before the choice and has no recent report.
-func (e *entry) staleCost(wish PickRequest, now time.Time) float64 {
-	if wish.OwnersPolled && !e.share.Within(recentShareAge, now) {
+func (e *entry) staleCost(request PickRequest, now time.Time) float64 {
+	if request.OwnersPolled && !e.share.Within(recentShareAge, now) {
 		return staleShareCost
 	}
 	return 0
 }
 
 // Candidates returns up to most runners that Pick would choose, best first. It starts no flight.
-func (t *Table) Candidates(wish PickRequest, most int, now time.Time, random *rand.Rand) []work.Runner {
+func (t *Table) Candidates(request PickRequest, most int, now time.Time, random *rand.Rand) []work.Runner {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	type priced struct {
 		runner work.Runner
 		cost   float64
 	}
-	pick := t.newPickContext(wish, now, random)
+	pick := t.newPickContext(request, now, random)
 	var found []priced
-	for _, candidate := range t.services[wish.Service] {
-		if !pick.skips(candidate) && candidate.eligible(wish, now) && !candidate.full(wish, now) {
-			found = append(found, priced{candidate.runner, t.cost(candidate, wish, pick, now) + jitterCost*random.Float64()})
+	for _, candidate := range t.services[request.Service] {
+		if !pick.skips(candidate) && candidate.eligible(request, now) && !candidate.full(request, now) {
+			found = append(found, priced{candidate.runner, t.cost(candidate, request, pick, now) + jitterCost*random.Float64()})
 		}
 	}
 	slices.SortStableFunc(found, func(first, second priced) int { return cmp.Compare(first.cost, second.cost) })
--- a/internal/runnertable/pace_load_test.go
+++ b/internal/runnertable/pace_load_test.go
@@ -156,7 +156,7 @@
 
 // send chooses a runner for a request, polling the owners first as online.Forwarder does.
 func (f *slowFleet) send(t *testing.T, front *slowFront) {
-	wish := runnertable.PickRequest{
+	request := runnertable.PickRequest{
 		Service: "s", PromptTokens: 250, Bytes: 1500, Objective: slowObjective, Pause: slowPause, RefusedBy: map[ident.Incarnation]bool{},
 		Prefix: []work.Part{{ID: fmt.Sprint("own-", f.random.Uint64()), Tokens: 250}},
 	}
@@ -164,7 +164,7 @@
 	if front.table.ReportsPace("s", f.now) {
 		for range 2 {
 			polled := false
-			for _, best := range front.table.Candidates(wish, 3, f.now, rand.New(rand.NewPCG(seed, 0))) {
+			for _, best := range front.table.Candidates(request, 3, f.now, rand.New(rand.NewPCG(seed, 0))) {
 				if zone := f.byID[best.ID].zone; f.now.Sub(front.lastExchange[zone]) >= 20*time.Millisecond {
 					f.exchange(front, zone)
 					polled = true
@@ -174,10 +174,10 @@
 				break
 			}
 		}
-		wish.OwnersPolled = true
+		request.OwnersPolled = true
 	}
 	f.requests++
-	flight, err := front.table.Pick(wish, f.now, rand.New(rand.NewPCG(seed, 0)))
+	flight, err := front.table.Pick(request, f.now, rand.New(rand.NewPCG(seed, 0)))
 	if err != nil {
 		// The request would wait for a slot, and be late in most cases.
 		f.late++
--- a/internal/runnertable/pace_test.go
+++ b/internal/runnertable/pace_test.go
@@ -27,7 +27,7 @@
 }
 
 // costWithoutPace is the cost of a runner without any influence of its pace.
-func costWithoutPace(t *Table, candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
+func costWithoutPace(t *Table, candidate *entry, pickRequest PickRequest, pick pickContext, now time.Time) float64 {
 	slots := float64(max(candidate.runner.Slots, 1))
 	committed, preemptible := candidate.estimate(now)
 	load := float64(committed + 1)
@@ -38,8 +38,8 @@
 	case load+float64(preemptible) > slots:
 		cost += preemptCost
 	}
-	cost += float64(candidate.pendingTokens+candidate.uncached(wish, candidate == pick.prefixHome, now)) / tokensPerMillisecond
-	cost += t.zoneCost(candidate, wish, pick, now)
+	cost += float64(candidate.pendingTokens+candidate.uncached(pickRequest, candidate == pick.prefixHome, now)) / tokensPerMillisecond
+	cost += t.zoneCost(candidate, pickRequest, pick, now)
 	if candidate.unresponsiveFor(now) > unresponsiveAfter {
 		cost += unresponsiveCost
 	}
@@ -87,25 +87,25 @@
 				table.UpdateShares([]demand.Share{{Runner: id, Pace: 5, PaceAgeMs: 10_000}}, now)
 			}
 		}
-		wish := PickRequest{
+		pickRequest := PickRequest{
 			Service: "s", PromptTokens: 400, Bytes: 1500, Objective: 300 * time.Millisecond, Pause: time.Millisecond, RefusedBy: map[ident.Incarnation]bool{},
 		}
-		pick := table.newPickContext(wish, now, rand.New(rand.NewPCG(1, 1)))
+		pick := table.newPickContext(pickRequest, now, rand.New(rand.NewPCG(1, 1)))
 		for _, candidate := range table.runners {
-			assert.Equal(t, table.cost(candidate, wish, pick, now), costWithoutPace(table, candidate, wish, pick, now))
+			assert.Equal(t, table.cost(candidate, pickRequest, pick, now), costWithoutPace(table, candidate, pickRequest, pick, now))
 			committed, _ := candidate.estimate(now)
-			assert.Equal(t, candidate.full(wish, now), float64(committed+1) > float64(max(candidate.runner.Slots, 1))*(1+queueShare))
+			assert.Equal(t, candidate.full(pickRequest, now), float64(committed+1) > float64(max(candidate.runner.Slots, 1))*(1+queueShare))
 		}
 	})
 }
 
 // countPicks returns how many of 200 requests, each of which ends before the next, are sent to a runner.
-func countPicks(t *testing.T, table *Table, wish PickRequest, on ident.Incarnation, now time.Time) int {
+func countPicks(t *testing.T, table *Table, pickRequest PickRequest, on ident.Incarnation, now time.Time) int {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 1))
 	count := 0
 	for range 200 {
-		flight, err := table.Pick(wish, now, random)
+		flight, err := table.Pick(pickRequest, now, random)
 		assert.NilError(t, err)
 		if flight.Runner.ID == on {
 			count++
@@ -119,12 +119,12 @@
 // report expires, and half of them after the length of a long slow phase.
 func TestSlowRunnerTakesFewerRequestsAndIsNotForgotten(t *testing.T) {
 	table := pacedTable("a", "slow", "usual")
-	wish := PickRequest{Service: "s", PromptTokens: 300}
+	pickRequest := PickRequest{Service: "s", PromptTokens: 300}
 	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 2.5}}, start)
-	assert.Equal(t, countPicks(t, table, wish, "slow", start), 0, "a free runner of the typical pace was not chosen")
-	later := countPicks(t, table, wish, "slow", start.Add(1400*time.Millisecond))
+	assert.Equal(t, countPicks(t, table, pickRequest, "slow", start), 0, "a free runner of the typical pace was not chosen")
+	later := countPicks(t, table, pickRequest, "slow", start.Add(1400*time.Millisecond))
 	assert.Assert(t, later > 0 && later < 80, "%d of 200", later)
-	again := countPicks(t, table, wish, "slow", start.Add(2100*time.Millisecond))
+	again := countPicks(t, table, pickRequest, "slow", start.Add(2100*time.Millisecond))
 	assert.Assert(t, again > 80 && again < 120, "%d of 200", again)
 }
 
@@ -133,10 +133,10 @@
 func TestSlowRunnerWithFreeSlotBeatsQueue(t *testing.T) {
 	table := pacedTable("a", "slow", "usual")
 	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 2.5}, {Runner: "usual", Others: 4}}, start)
-	wish := PickRequest{Service: "s", PromptTokens: 300, Objective: 300 * time.Millisecond}
-	assert.Assert(t, countPicks(t, table, wish, "slow", start) > 150)
+	pickRequest := PickRequest{Service: "s", PromptTokens: 300, Objective: 300 * time.Millisecond}
+	assert.Assert(t, countPicks(t, table, pickRequest, "slow", start) > 150)
 	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 7.5}}, start.Add(time.Millisecond))
-	assert.Equal(t, countPicks(t, table, wish, "slow", start.Add(time.Millisecond)), 0, "the request would be late")
+	assert.Equal(t, countPicks(t, table, pickRequest, "slow", start.Add(time.Millisecond)), 0, "the request would be late")
 }
 
 // TestRunnerThatCannotKeepThePauseIsTheLast uses runners with a typical gap of 35 ms: 7.5 times that exceeds a pause
@@ -152,12 +152,12 @@
 	}
 	flight.End()
 	table.UpdateShares([]demand.Share{{Runner: "slow", Pace: 7.5}, {Runner: "usual", Others: 13}}, now)
-	wish := PickRequest{Service: "s", PromptTokens: 300, Pause: 250 * time.Millisecond}
-	assert.Equal(t, countPicks(t, table, wish, "slow", now), 0)
-	wish.Pause = 300 * time.Millisecond
-	assert.Assert(t, countPicks(t, table, wish, "slow", now) > 0, "the slow runner meets this pause")
-	wish.Pause, wish.Exclude = 250*time.Millisecond, map[ident.Incarnation]bool{"usual": true}
-	assert.Equal(t, countPicks(t, table, wish, "slow", now), 200)
+	pickRequest := PickRequest{Service: "s", PromptTokens: 300, Pause: 250 * time.Millisecond}
+	assert.Equal(t, countPicks(t, table, pickRequest, "slow", now), 0)
+	pickRequest.Pause = 300 * time.Millisecond
+	assert.Assert(t, countPicks(t, table, pickRequest, "slow", now) > 0, "the slow runner meets this pause")
+	pickRequest.Pause, pickRequest.Exclude = 250*time.Millisecond, map[ident.Incarnation]bool{"usual": true}
+	assert.Equal(t, countPicks(t, table, pickRequest, "slow", now), 200)
 	counted, slow := table.TakeSlowPhases(now)
 	assert.Equal(t, counted.Begun, 1)
 	assert.Assert(t, counted.Slow >= 200 && counted.PauseExceeded >= 200)
@@ -168,11 +168,11 @@
 // node: its slots take longer to become free, in proportion to its pace.
 func TestNothingWaitsBehindASlowRunner(t *testing.T) {
 	table := pacedTable("a", "r")
-	wish := PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
+	pickRequest := PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
 	table.UpdateShares([]demand.Share{{Runner: "r", Others: 4}}, start)
-	assert.Equal(t, countPicks(t, table, wish, "r", start), 200)
+	assert.Equal(t, countPicks(t, table, pickRequest, "r", start), 200)
 	table.UpdateShares([]demand.Share{{Runner: "r", Others: 4, Pace: 3}}, start.Add(time.Millisecond))
-	_, err := table.Pick(wish, start.Add(time.Millisecond), rand.New(rand.NewPCG(1, 1)))
+	_, err := table.Pick(pickRequest, start.Add(time.Millisecond), rand.New(rand.NewPCG(1, 1)))
 	assert.ErrorIs(t, err, ErrFull)
 }
 
--- a/internal/runnertable/peak_test.go
+++ b/internal/runnertable/peak_test.go
@@ -94,8 +94,8 @@
 func (p *peak) send(t *testing.T, node int) {
 	parts := []work.Part{{ID: fmt.Sprint("system-", p.random.IntN(16)), Tokens: 100},
 		{ID: fmt.Sprint("own-", p.random.Uint64()), Tokens: 350}}
-	wish := runnertable.PickRequest{Service: "s", Prefix: parts, PromptTokens: 450, Bytes: 1500, RefusedBy: map[ident.Incarnation]bool{}}
-	flight, err := p.tables[node].Pick(wish, p.now, p.random)
+	request := runnertable.PickRequest{Service: "s", Prefix: parts, PromptTokens: 450, Bytes: 1500, RefusedBy: map[ident.Incarnation]bool{}}
+	flight, err := p.tables[node].Pick(request, p.now, p.random)
 	assert.NilError(t, err)
 	sent := &peakFlight{flight: flight, node: node, sent: p.now}
 	p.flights[node] = append(p.flights[node], sent)
--- a/internal/runnertable/pick.go
+++ b/internal/runnertable/pick.go
@@ -90,34 +90,34 @@
 }
 
 // Pick chooses the runner with the least cost and starts a flight on it. The error wraps ErrFull or ErrNoRunner.
-func (t *Table) Pick(wish PickRequest, now time.Time, random *rand.Rand) (*Flight, error) {
+func (t *Table) Pick(pickRequest PickRequest, now time.Time, random *rand.Rand) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	pick := t.newPickContext(wish, now, random)
-	best := t.cheapest(wish, pick, now, random)
-	if best == nil && t.anyFull(wish, now) {
-		return nil, fmt.Errorf("%w: service %s", ErrFull, wish.Service)
+	pick := t.newPickContext(pickRequest, now, random)
+	best := t.cheapest(pickRequest, pick, now, random)
+	if best == nil && t.anyFull(pickRequest, now) {
+		return nil, fmt.Errorf("%w: service %s", ErrFull, pickRequest.Service)
 	}
 	if best == nil {
-		best = t.earliestReadmitted(wish)
+		best = t.earliestReadmitted(pickRequest)
 	}
 	if best == nil {
-		return nil, fmt.Errorf("%w: service %s", ErrNoRunner, wish.Service)
+		return nil, fmt.Errorf("%w: service %s", ErrNoRunner, pickRequest.Service)
 	}
-	t.countChoice(best, wish, now)
-	t.countDeparture(best, wish, pick.targetZone)
-	return t.start(best, wish, best.uncached(wish, best == pick.prefixHome, now), now), nil
+	t.countChoice(best, pickRequest, now)
+	t.countDeparture(best, pickRequest, pick.targetZone)
+	return t.start(best, pickRequest, best.uncached(pickRequest, best == pick.prefixHome, now), now), nil
 }
 
 // cheapest returns the eligible runner with the least cost that is not full, or nil.
-func (t *Table) cheapest(wish PickRequest, pick pickContext, now time.Time, random *rand.Rand) *entry {
+func (t *Table) cheapest(pickRequest PickRequest, pick pickContext, now time.Time, random *rand.Rand) *entry {
 	var best *entry
 	bestCost := 0.0
-	for _, candidate := range t.services[wish.Service] {
-		if pick.skips(candidate) || !candidate.eligible(wish, now) || candidate.full(wish, now) {
+	for _, candidate := range t.services[pickRequest.Service] {
+		if pick.skips(candidate) || !candidate.eligible(pickRequest, now) || candidate.full(pickRequest, now) {
 			continue
 		}
-		cost := t.cost(candidate, wish, pick, now) + jitterCost*random.Float64()
+		cost := t.cost(candidate, pickRequest, pick, now) + jitterCost*random.Float64()
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
 		}
@@ -126,9 +126,9 @@
 }
 
 // anyFull says whether a runner is eligible for the request but full.
-func (t *Table) anyFull(wish PickRequest, now time.Time) bool {
-	for _, candidate := range t.services[wish.Service] {
-		if candidate.eligible(wish, now) && candidate.full(wish, now) {
+func (t *Table) anyFull(pickRequest PickRequest, now time.Time) bool {
+	for _, candidate := range t.services[pickRequest.Service] {
+		if candidate.eligible(pickRequest, now) && candidate.full(pickRequest, now) {
 			return true
 		}
 	}
@@ -138,23 +138,23 @@
 // full says whether the runner can't take the request now: its memory lacks space, or, for a request that can wait for
 // a slot at the node, it would have to queue at the runner beyond the short queue or was refused there. A request that
 // can't wait at the node (nil Full) is limited by memory only.
-func (e *entry) full(wish PickRequest, now time.Time) bool {
+func (e *entry) full(pickRequest PickRequest, now time.Time) bool {
 	switch {
-	case !e.fits(wish, now):
+	case !e.fits(pickRequest, now):
 		return true
-	case wish.RefusedBy == nil:
+	case pickRequest.RefusedBy == nil:
 		return false
-	case wish.RefusedBy[e.runner.ID]:
+	case pickRequest.RefusedBy[e.runner.ID]:
 		return true
 	case e.rationed(now):
-		return !e.grants(wish, now)
-	case e.runner.ID == wish.FreedRunner:
+		return !e.grants(pickRequest, now)
+	case e.runner.ID == pickRequest.FreedRunner:
 		return false
 	}
 	slots := float64(max(e.runner.Slots, 1))
 	queue := queueShare / float64(e.pace.Current(now)) * max(slots-float64(e.orphans(now)), 0)
 	switch {
-	case !wish.NoQueueing:
+	case !pickRequest.NoQueueing:
 	case !e.knownFree(now):
 		return true
 	default:
@@ -165,10 +165,10 @@
 
 // earliestReadmitted returns the ejected runner whose ejection ends first. If every runner is ejected, the cause may
 // be this node itself, so trying one is better than refusing the request.
-func (t *Table) earliestReadmitted(wish PickRequest) *entry {
+func (t *Table) earliestReadmitted(pickRequest PickRequest) *entry {
 	var best *entry
-	for _, candidate := range t.services[wish.Service] {
-		if !candidate.allowed(wish) {
+	for _, candidate := range t.services[pickRequest.Service] {
+		if !candidate.allowed(pickRequest) {
 			continue
 		}
 		if best == nil || candidate.health.ejectedUntil.Before(best.health.ejectedUntil) {
@@ -179,39 +179,39 @@
 }
 
 // StartAt starts a flight at a runner that the caller chose.
-func (t *Table) StartAt(id ident.Incarnation, wish PickRequest, now time.Time) (*Flight, error) {
+func (t *Table) StartAt(id ident.Incarnation, pickRequest PickRequest, now time.Time) (*Flight, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	chosen := t.runners[id]
-	if chosen == nil || !chosen.eligible(wish, now) || !chosen.fits(wish, now) {
+	if chosen == nil || !chosen.eligible(pickRequest, now) || !chosen.fits(pickRequest, now) {
 		return nil, fmt.Errorf("%w: runner %s", ErrNoRunner, id)
 	}
-	return t.start(chosen, wish, chosen.uncached(wish, false, now), now), nil
+	return t.start(chosen, pickRequest, chosen.uncached(pickRequest, false, now), now), nil
 }
 
 // allowed excludes the runners that must never get the request.
-func (e *entry) allowed(wish PickRequest) bool {
-	return e.runner.State == work.Ready && !wish.Exclude[e.runner.ID] && !e.health.replaced
+func (e *entry) allowed(pickRequest PickRequest) bool {
+	return e.runner.State == work.Ready && !pickRequest.Exclude[e.runner.ID] && !e.health.replaced
 }
 
 // eligible also excludes ejected runners and those whose owner reports them as unresponsive.
-func (e *entry) eligible(wish PickRequest, now time.Time) bool {
+func (e *entry) eligible(pickRequest PickRequest, now time.Time) bool {
 	unresponsive := e.share.Value().unresponsive && e.share.Within(shareLifetime, now)
-	return e.allowed(wish) && !e.health.ejected(now) && !unresponsive
+	return e.allowed(pickRequest) && !e.health.ejected(now) && !unresponsive
 }
 
 // prefixHome returns the runner of the node's zone to which nodes send prompts with this shared prefix, or nil.
-func (t *Table) prefixHome(wish PickRequest, now time.Time) *entry {
-	if sharedTokens(wish.Prefix) < smallestSharedTokens {
+func (t *Table) prefixHome(pickRequest PickRequest, now time.Time) *entry {
+	if sharedTokens(pickRequest.Prefix) < smallestSharedTokens {
 		return nil
 	}
 	var best *entry
 	var bestRank uint64
-	for _, candidate := range t.services[wish.Service] {
-		if candidate.runner.Zone != t.zone || !candidate.eligible(wish, now) {
+	for _, candidate := range t.services[pickRequest.Service] {
+		if candidate.runner.Zone != t.zone || !candidate.eligible(pickRequest, now) {
 			continue
 		}
-		if rank := prefixRank(wish.Prefix, candidate.runner.ID); best == nil || rank > bestRank {
+		if rank := prefixRank(pickRequest.Prefix, candidate.runner.ID); best == nil || rank > bestRank {
 			best, bestRank = candidate, rank
 		}
 	}
@@ -219,7 +219,7 @@
 }
 
 // cost returns the expected delay of the first event, in milliseconds, plus the price of cross-zone traffic.
-func (t *Table) cost(candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
+func (t *Table) cost(candidate *entry, pickRequest PickRequest, pick pickContext, now time.Time) float64 {
 	slots := float64(max(candidate.runner.Slots, 1))
 	load, preemptible := float64(candidate.committed+1), float64(candidate.preemptible)
 	cost := loadCost * min((load+preemptible)/slots, 1)
@@ -229,10 +229,10 @@
 	case load+preemptible > slots:
 		cost += preemptCost
 	}
-	reading := float64(candidate.pendingTokens+candidate.uncached(wish, candidate == pick.prefixHome, now)) / tokensPerMillisecond
-	cost += reading + t.paceCost(candidate, wish, reading+queueCost*max(load-slots, 0), now)
-	cost += t.zoneCost(candidate, wish, pick, now)
-	if wish.Scarce && candidate.shareOverdue(now) {
+	reading := float64(candidate.pendingTokens+candidate.uncached(pickRequest, candidate == pick.prefixHome, now)) / tokensPerMillisecond
+	cost += reading + t.paceCost(candidate, pickRequest, reading+queueCost*max(load-slots, 0), now)
+	cost += t.zoneCost(candidate, pickRequest, pick, now)
+	if pickRequest.Scarce && candidate.shareOverdue(now) {
 		cost += staleShareCost
 	}
 	if candidate.unresponsiveFor(now) > unresponsiveAfter {
@@ -250,12 +250,12 @@
 
 // uncached returns the number of prompt tokens that the runner would have to read. At the prefix home another node may
 // have sent the prefix, so half of it is assumed to be cached.
-func (e *entry) uncached(wish PickRequest, isPrefixHome bool, now time.Time) int {
-	cached := e.prefixes.cached(wish.Prefix, now)
+func (e *entry) uncached(pickRequest PickRequest, isPrefixHome bool, now time.Time) int {
+	cached := e.prefixes.cached(pickRequest.Prefix, now)
 	if isPrefixHome {
-		cached = max(cached, sharedTokens(wish.Prefix)/2)
+		cached = max(cached, sharedTokens(pickRequest.Prefix)/2)
 	}
-	return max(wish.PromptTokens-cached, 0)
+	return max(pickRequest.PromptTokens-cached, 0)
 }
 
 // estimate returns the work estimated to be at the runner. preemptible is the number of batch items that can be
--- a/internal/runnertable/ration.go
+++ b/internal/runnertable/ration.go
@@ -23,9 +23,9 @@
 
 // grants says whether a request may be sent to a rationed runner. A slot that one of this node's requests frees is
 // granted again by the owner, not reused by this node.
-func (e *entry) grants(wish PickRequest, now time.Time) bool {
+func (e *entry) grants(request PickRequest, now time.Time) bool {
 	reported := e.share.Value()
-	if !e.share.Within(grantLifetime, now) || wish.Late && !reported.grantedLate {
+	if !e.share.Within(grantLifetime, now) || request.Late && !reported.grantedLate {
 		return false
 	}
 	return reported.granted > len(e.grantUses)
--- a/internal/runnertable/ration_test.go
+++ b/internal/runnertable/ration_test.go
@@ -27,16 +27,16 @@
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
 	assert.Assert(t, table.IsRationed("s", now) && !table.IsRationed("other", now))
 	assert.Equal(t, len(table.Rationed(now)), 1)
-	flight, err := table.Pick(queueableWish(), now, fixedRand())
+	flight, err := table.Pick(queueableRequest(), now, fixedRand())
 	assert.NilError(t, err)
-	_, err = table.Pick(queueableWish(), now, fixedRand())
+	_, err = table.Pick(queueableRequest(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 	flight.End()
-	_, err = table.Pick(queueableWish(), now, fixedRand())
+	_, err = table.Pick(queueableRequest(), now, fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull, "a slot that was freed is granted by the owner only")
 	now = now.Add(5 * time.Millisecond)
 	table.UpdateShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now)
-	_, err = table.Pick(queueableWish(), now, fixedRand())
+	_, err = table.Pick(queueableRequest(), now, fixedRand())
 	assert.NilError(t, err)
 }
 
@@ -45,10 +45,10 @@
 func TestRequestSinceTheQuestionUsesTheGrantOfItsAnswer(t *testing.T) {
 	now := time.Now()
 	table := rationedTable(now, demand.Share{Orphans: 1, Granted: 1})
-	_, err := table.Pick(queueableWish(), now.Add(2*time.Millisecond), fixedRand())
+	_, err := table.Pick(queueableRequest(), now.Add(2*time.Millisecond), fixedRand())
 	assert.NilError(t, err)
 	table.UpdateShares([]demand.Share{{Runner: "a", Rationed: true, Granted: 1}}, now.Add(time.Millisecond))
-	_, err = table.Pick(queueableWish(), now.Add(3*time.Millisecond), fixedRand())
+	_, err = table.Pick(queueableRequest(), now.Add(3*time.Millisecond), fixedRand())
 	assert.ErrorIs(t, err, runnertable.ErrFull)
 }
 
@@ -56,25 +56,25 @@
 // not reported for long, always one that may have run already, and a late one only if the grant allows it.
 func TestGrantsAndRationsEnd(t *testing.T) {
 	now := time.Now()
-	late := queueableWish()
+	late := queueableRequest()
 	late.Late = true
 	sentAnyway := runnertable.PickRequest{Service: "s", Class: runnertable.Online}
 	for name, c := range map[string]struct {
-		share demand.Share
-		wish  runnertable.PickRequest
-		after time.Duration
-		full  bool
+		share   demand.Share
+		request runnertable.PickRequest
+		after   time.Duration
+		full    bool
 	}{
-		"granted":                     {share: demand.Share{Granted: 1}, wish: queueableWish(), after: 79 * time.Millisecond},
-		"grant expired":               {share: demand.Share{Granted: 1}, wish: queueableWish(), after: 80 * time.Millisecond, full: true},
-		"no grant":                    {wish: queueableWish(), after: 599 * time.Millisecond, full: true},
-		"owner is gone":               {wish: queueableWish(), after: 600 * time.Millisecond},
-		"may have run already":        {wish: sentAnyway},
-		"late, grant is not for late": {share: demand.Share{Granted: 1}, wish: late, full: true},
-		"late, grant is for late":     {share: demand.Share{Granted: 1, GrantedLate: true}, wish: late},
+		"granted":                     {share: demand.Share{Granted: 1}, request: queueableRequest(), after: 79 * time.Millisecond},
+		"grant expired":               {share: demand.Share{Granted: 1}, request: queueableRequest(), after: 80 * time.Millisecond, full: true},
+		"no grant":                    {request: queueableRequest(), after: 599 * time.Millisecond, full: true},
+		"owner is gone":               {request: queueableRequest(), after: 600 * time.Millisecond},
+		"may have run already":        {request: sentAnyway},
+		"late, grant is not for late": {share: demand.Share{Granted: 1}, request: late, full: true},
+		"late, grant is for late":     {share: demand.Share{Granted: 1, GrantedLate: true}, request: late},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := rationedTable(now, c.share).Pick(c.wish, now.Add(c.after), fixedRand())
+			_, err := rationedTable(now, c.share).Pick(c.request, now.Add(c.after), fixedRand())
 			if c.full {
 				assert.ErrorIs(t, err, runnertable.ErrFull)
 				return
@@ -92,7 +92,7 @@
 		table := runnertable.New("z")
 		table.Replace(eightSlotRunners("a"), now, true)
 		table.UpdateShares([]demand.Share{{Runner: "a", Rationed: rationed, Granted: 1}}, now)
-		flight, err := table.Pick(queueableWish(), now, fixedRand())
+		flight, err := table.Pick(queueableRequest(), now, fixedRand())
 		assert.NilError(t, err)
 		var notified []bool
 		table.OnOnlineChanged(func(atOnce bool) { notified = append(notified, atOnce) })
--- a/internal/runnertable/scarce_test.go
+++ b/internal/runnertable/scarce_test.go
@@ -27,9 +27,9 @@
 	return table
 }
 
-func pickScarce(table *Table, wish PickRequest, now time.Time) (ident.Incarnation, error) {
-	wish.Service, wish.RefusedBy = "s", map[ident.Incarnation]bool{}
-	flight, err := table.Pick(wish, now, rand.New(rand.NewPCG(1, 2)))
+func pickScarce(table *Table, request PickRequest, now time.Time) (ident.Incarnation, error) {
+	request.Service, request.RefusedBy = "s", map[ident.Incarnation]bool{}
+	flight, err := table.Pick(request, now, rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		return "", err
 	}
--- a/internal/runnertable/table_test.go
+++ b/internal/runnertable/table_test.go
@@ -30,10 +30,10 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func pick(t *testing.T, table *runnertable.Table, now time.Time, wish runnertable.PickRequest) *runnertable.Flight {
+func pick(t *testing.T, table *runnertable.Table, now time.Time, pickRequest runnertable.PickRequest) *runnertable.Flight {
 	t.Helper()
-	wish.Service = "s"
-	flight, err := table.Pick(wish, now, random())
+	pickRequest.Service = "s"
+	flight, err := table.Pick(pickRequest, now, random())
 	assert.NilError(t, err)
 	return flight
 }
@@ -146,12 +146,12 @@
 	runners := []work.Runner{runner("1", "a"), runner("2", "a"), runner("3", "a"), runner("4", "a")}
 	used := map[ident.Incarnation]bool{}
 	for part := range 40 {
-		wish := runnertable.PickRequest{
+		pickRequest := runnertable.PickRequest{
 			PromptTokens: 9000,
 			Prefix:       []work.Part{{ID: "base", Tokens: 2500}, {ID: fmt.Sprint(part), Tokens: 3800}, {ID: "own", Tokens: 2700}},
 		}
-		first := pick(t, tableOf(runners...), start, wish).Runner.ID
-		second := pick(t, tableOf(runners...), start, wish).Runner.ID
+		first := pick(t, tableOf(runners...), start, pickRequest).Runner.ID
+		second := pick(t, tableOf(runners...), start, pickRequest).Runner.ID
 		assert.Equal(t, first, second)
 		used[first] = true
 	}
@@ -264,16 +264,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table := tableOf(runner("1", "a"), runner("2", "a"))
 		now := start
-		wish := runnertable.PickRequest{Service: "s"}
+		pickRequest := runnertable.PickRequest{Service: "s"}
 		for range rapid.IntRange(1, 30).Draw(t, "failures") {
-			flight, err := table.StartAt("1", wish, now)
+			flight, err := table.StartAt("1", pickRequest, now)
 			if err == nil {
 				flight.Failed(rapid.SampledFrom(kinds).Draw(t, "failure"), now)
 				flight.End()
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 		}
-		_, err := table.StartAt("1", wish, now.Add(longestEjection))
+		_, err := table.StartAt("1", pickRequest, now.Add(longestEjection))
 		assert.NilError(t, err, "the runner is not eligible %v after its last failure", longestEjection)
 	})
 }
@@ -288,10 +288,10 @@
 	} {
 		table := tableOf(runner("1", "a"))
 		report(table)
-		wish := runnertable.PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
-		_, err := table.Pick(wish, start.Add(time.Millisecond), random())
+		pickRequest := runnertable.PickRequest{Service: "s", RefusedBy: map[ident.Incarnation]bool{}}
+		_, err := table.Pick(pickRequest, start.Add(time.Millisecond), random())
 		assert.ErrorIs(t, err, runnertable.ErrFull, name)
-		_, err = table.Pick(wish, start.Add(expiresAfter), random())
+		_, err = table.Pick(pickRequest, start.Add(expiresAfter), random())
 		assert.NilError(t, err, name)
 	}
 }
--- a/internal/runnertable/tokens.go
+++ b/internal/runnertable/tokens.go
@@ -41,13 +41,13 @@
 
 // fits says whether a runner's memory has enough free space for a request, given all work it is known to hold. An idle
 // runner always fits: it refuses a request that is too large for it.
-func (e *entry) fits(wish PickRequest, now time.Time) bool {
+func (e *entry) fits(request PickRequest, now time.Time) bool {
 	held := e.tokens[Online] + e.tokens[Batch]
 	if e.share.Within(shareLifetime, now) {
 		held += e.share.Value().tokens
 	}
-	free := int(wish.maxMemoryShare()*float64(e.memory)) - held
-	return e.memory == 0 || held == 0 || wish.Tokens <= free || wish.memoryTokens(e.uncached(wish, false, now)) <= free
+	free := int(request.maxMemoryShare()*float64(e.memory)) - held
+	return e.memory == 0 || held == 0 || request.Tokens <= free || request.memoryTokens(e.uncached(request, false, now)) <= free
 }
 
 // maxMemoryShare returns the part of a runner's memory that may be in use with the request.
--- a/internal/runnertable/tokens_test.go
+++ b/internal/runnertable/tokens_test.go
@@ -33,9 +33,9 @@
 func pickLong(t *testing.T, table *runnertable.Table, now time.Time) map[ident.Incarnation][]*runnertable.Flight {
 	t.Helper()
 	picked := map[ident.Incarnation][]*runnertable.Flight{}
-	wish := runnertable.PickRequest{Service: "s", PromptTokens: longPrompt, Tokens: longPrompt, RefusedBy: map[ident.Incarnation]bool{}}
+	request := runnertable.PickRequest{Service: "s", PromptTokens: longPrompt, Tokens: longPrompt, RefusedBy: map[ident.Incarnation]bool{}}
 	for range 16 {
-		flight, err := table.Pick(wish, now, rand.New(rand.NewPCG(1, 1)))
+		flight, err := table.Pick(request, now, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
 			assert.ErrorIs(t, err, runnertable.ErrFull)
 			return picked
@@ -85,13 +85,13 @@
 	now := time.Unix(1000, 0)
 	table := twoRunners(now)
 	table.SetMemory("1", 45_000)
-	wish := runnertable.PickRequest{
+	request := runnertable.PickRequest{
 		Service: "s", PromptTokens: longPrompt, Tokens: longPrompt + 20,
 		Exclude: map[ident.Incarnation]bool{"2": true}, RefusedBy: map[ident.Incarnation]bool{},
 	}
 	for index := range 8 {
-		wish.Prefix = []work.Part{{ID: "shared", Tokens: longPrompt - 2000}, {ID: fmt.Sprint(index), Tokens: 2000}}
-		_, err := table.Pick(wish, now, rand.New(rand.NewPCG(1, 1)))
+		request.Prefix = []work.Part{{ID: "shared", Tokens: longPrompt - 2000}, {ID: fmt.Sprint(index), Tokens: 2000}}
+		_, err := table.Pick(request, now, rand.New(rand.NewPCG(1, 1)))
 		assert.NilError(t, err)
 	}
 }
--- a/internal/runnertable/zoneload.go
+++ b/internal/runnertable/zoneload.go
@@ -31,9 +31,9 @@
 }
 
 // newPickContext returns the context for choosing a runner. The caller holds the mutex.
-func (t *Table) newPickContext(wish PickRequest, now time.Time, random *rand.Rand) pickContext {
-	zones := t.summarizeZones(wish, now)
-	return pickContext{prefixHome: t.prefixHome(wish, now), zones: zones, targetZone: t.targetZone(wish, zones, random),
+func (t *Table) newPickContext(request PickRequest, now time.Time, random *rand.Rand) pickContext {
+	zones := t.summarizeZones(request, now)
+	return pickContext{prefixHome: t.prefixHome(request, now), zones: zones, targetZone: t.targetZone(request, zones, random),
 		skipUnreachable: skipUnreachable(zones)}
 }
 
@@ -56,12 +56,12 @@
 
 // summarizeZones summarizes each zone, and updates the typical load and the estimate of each runner of the service.
 // The caller holds the mutex.
-func (t *Table) summarizeZones(wish PickRequest, now time.Time) []zoneSummary {
+func (t *Table) summarizeZones(request PickRequest, now time.Time) []zoneSummary {
 	zones := make([]zoneSummary, len(t.zones.names))
 	for index, zone := range t.zones.names {
 		zones[index] = zoneSummary{load: zoneroom.ZoneLoad{Zone: zone}, state: t.zoneState(zone, now)}
 	}
-	entries := t.services[wish.Service]
+	entries := t.services[request.Service]
 	for _, known := range entries {
 		if known.share.Within(shareLifetime, now) {
 			age, slots := max(known.share.Age(now), 0), float64(max(known.runner.Slots, 1))
@@ -79,11 +79,11 @@
 			known.typicalOthers = summary.othersOnline / summary.slots * slots
 		}
 		known.committed, known.preemptible = known.estimate(now)
-		if !known.eligible(wish, now) {
+		if !known.eligible(request, now) {
 			continue
 		}
 		summary.eligible = true
-		if known.share.Within(t.loadMaxAge(known, wish), now) {
+		if known.share.Within(t.loadMaxAge(known, request), now) {
 			summary.load.Slots += slots
 			summary.load.Online += float64(known.committed)
 		}
@@ -94,8 +94,8 @@
 // loadMaxAge is the age up to which the report of a runner's owner counts towards the load of its zone. If the owners
 // of the best runners have just been polled, an old report from another zone means that its owner did not answer,
 // which is no reason to send requests there.
-func (t *Table) loadMaxAge(known *entry, wish PickRequest) time.Duration {
-	if wish.OwnersPolled && known.runner.Zone != t.zone {
+func (t *Table) loadMaxAge(known *entry, request PickRequest) time.Duration {
+	if request.OwnersPolled && known.runner.Zone != t.zone {
 		return recentShareAge
 	}
 	return shareLifetime
@@ -108,9 +108,9 @@
 }
 
 // targetZone returns the zone that a request should go to. The caller holds the mutex.
-func (t *Table) targetZone(wish PickRequest, zones []zoneSummary, random *rand.Rand) ident.Zone {
+func (t *Table) targetZone(request PickRequest, zones []zoneSummary, random *rand.Rand) ident.Zone {
 	own := slices.IndexFunc(zones, func(summary zoneSummary) bool { return summary.load.Zone == t.zone })
-	if wish.Class != Online || own < 0 || len(zones) < 2 {
+	if request.Class != Online || own < 0 || len(zones) < 2 {
 		return t.zone
 	}
 	var others []zoneroom.ZoneLoad
@@ -125,12 +125,12 @@
 	if t.zones.spillovers == nil {
 		t.zones.spillovers = map[string]*zoneroom.Spillover{}
 	}
-	spillover := t.zones.spillovers[wish.Service]
+	spillover := t.zones.spillovers[request.Service]
 	if spillover == nil {
 		spillover = &zoneroom.Spillover{}
-		t.zones.spillovers[wish.Service] = spillover
+		t.zones.spillovers[request.Service] = spillover
 	}
-	return spillover.Choose(zones[own].load, others, transferCost(wish), random.Float64())
+	return spillover.Choose(zones[own].load, others, transferCost(request), random.Float64())
 }
 
 // indexZones rebuilds the sorted list of zones and sets each runner's index into it. The caller holds the mutex.
--- a/internal/runnertable/zones.go
+++ b/internal/runnertable/zones.go
@@ -145,12 +145,12 @@
 }
 
 // transferCost is the cost of sending a request to another zone, in milliseconds.
-func transferCost(wish PickRequest) float64 {
-	return crossZoneCost + crossZoneCostPerKilobyte*float64(wish.Bytes)/1000
+func transferCost(request PickRequest) float64 {
+	return crossZoneCost + crossZoneCostPerKilobyte*float64(request.Bytes)/1000
 }
 
 // zoneCost is the part of a runner's cost that depends on its zone. The caller holds the mutex.
-func (t *Table) zoneCost(candidate *entry, wish PickRequest, pick pickContext, now time.Time) float64 {
+func (t *Table) zoneCost(candidate *entry, request PickRequest, pick pickContext, now time.Time) float64 {
 	zone := candidate.runner.Zone
 	if zone == t.zone {
 		if pick.targetZone != t.zone {
@@ -160,7 +160,7 @@
 	}
 	cost := 0.0
 	if zone != pick.targetZone {
-		cost += transferCost(wish)
+		cost += transferCost(request)
 	}
 	if pick.zones[candidate.zoneIndex].state != zoneroom.Reachable {
 		cost += unresponsiveCost
@@ -168,7 +168,7 @@
 	if !candidate.share.Within(shareLifetime, now) {
 		cost += unknownLoadCost
 	}
-	cost += candidate.staleCost(wish, now)
+	cost += candidate.staleCost(request, now)
 	slots := max(candidate.runner.Slots, 1)
 	if candidate.committed+1 > slots-slots/reservedDivisor {
 		cost += reservedSlotCost
@@ -177,8 +177,8 @@
 }
 
 // countDeparture counts a request that leaves its zone. The caller holds the mutex.
-func (t *Table) countDeparture(chosen *entry, wish PickRequest, targetZone ident.Zone) {
-	if wish.Class != Online || chosen.runner.Zone == t.zone {
+func (t *Table) countDeparture(chosen *entry, request PickRequest, targetZone ident.Zone) {
+	if request.Class != Online || chosen.runner.Zone == t.zone {
 		return
 	}
 	if t.zones.departures == nil {
--- a/internal/runnertable/zones_test.go
+++ b/internal/runnertable/zones_test.go
@@ -130,7 +130,7 @@
 	return one == other || !isPartitioned || (one != z.partitioned && other != z.partitioned)
 }
 
-// poll has a node poll the workers that are due, as demand.Teller does.
+// poll has a node poll the workers that are due, as demand.Reporter does.
 func (z *zoneSim) poll(node *simNode) {
 	online := node.table.Online(z.now)
 	for worker, owned := range z.owned {
@@ -193,8 +193,8 @@
 
 // try chooses a runner for a request, and says whether it found one or there is none for which the request could wait.
 func (z *zoneSim) try(request *simRequest) (done bool) {
-	wish := runnertable.PickRequest{Service: "s", PromptTokens: 450, Bytes: 1500, Exclude: request.tried, RefusedBy: map[ident.Incarnation]bool{}}
-	flight, err := request.node.table.Pick(wish, z.now, z.random)
+	pickRequest := runnertable.PickRequest{Service: "s", PromptTokens: 450, Bytes: 1500, Exclude: request.tried, RefusedBy: map[ident.Incarnation]bool{}}
+	flight, err := request.node.table.Pick(pickRequest, z.now, z.random)
 	if err != nil {
 		return !errors.Is(err, runnertable.ErrFull)
 	}
--- a/internal/waitline/late_test.go
+++ b/internal/waitline/late_test.go
@@ -12,7 +12,7 @@
 // TestRationedJoinIgnoresLocalSlotCount has a node with one slot, which becomes free in 200 ms. Where slots are granted by
 // others, ten requests must be accepted that would be rejected otherwise, but none for which every slot would be too late.
 func TestRationedJoinIgnoresLocalSlotCount(t *testing.T) {
-	queue := busyLine(1, 200*time.Millisecond)
+	queue := busyQueue(1, 200*time.Millisecond)
 	assert.Assert(t, queue.Join(arriving(start), start))
 	assert.Assert(t, !queue.Join(arriving(start), start))
 	for range 10 {
--- a/internal/waitline/waitline.go
+++ b/internal/waitline/waitline.go
@@ -44,7 +44,7 @@
 )
 
 // Queue is the queue of the requests without a slot at one node, for one service, with an estimate of how fast slots become
-// free. The zero Line is empty.
+// free. The zero Queue is empty.
 type Queue struct {
 	// Yields reports whether a request must wait behind those that don't yield; if nil, none yields. It is set before the
 	// queue is used.
--- a/internal/waitline/waitline_test.go
+++ b/internal/waitline/waitline_test.go
@@ -22,8 +22,8 @@
 	return &waitline.Waiter{OnTime: at.Add(objective), Latest: at.Add(patience)}
 }
 
-// busyLine returns the queue of a node whose requests use some slots, each for the time of a run.
-func busyLine(slots int, run time.Duration) *waitline.Queue {
+// busyQueue returns the queue of a node whose requests use some slots, each for the time of a run.
+func busyQueue(slots int, run time.Duration) *waitline.Queue {
 	queue := &waitline.Queue{}
 	for range slots {
 		queue.SlotTaken()
@@ -36,7 +36,7 @@
 // TestRequestsThatCannotBeOnTimeAreRejected has ten slots, each of which becomes free once in 200 ms. Fifteen requests can get
 // one within the objective, and no more may be accepted.
 func TestRequestsThatCannotBeOnTimeAreRejected(t *testing.T) {
-	queue := busyLine(10, 200*time.Millisecond)
+	queue := busyQueue(10, 200*time.Millisecond)
 	accepted := 0
 	for range 40 {
 		if queue.Join(arriving(start), start) {
@@ -50,7 +50,7 @@
 // TestLeastTimeLeftGoesFirst has requests arrive in another order than that of their deadlines, and one find no slot and be
 // put back.
 func TestLeastTimeLeftGoesFirst(t *testing.T) {
-	queue := busyLine(10, 200*time.Millisecond)
+	queue := busyQueue(10, 200*time.Millisecond)
 	second, first := arriving(start.Add(10*time.Millisecond)), arriving(start)
 	assert.Assert(t, queue.Join(second, start) && queue.Join(first, start))
 	assert.Equal(t, queue.Next(), first)
@@ -63,7 +63,7 @@
 // TestLateRequestWaitsBehindOthers has a request arrive that can't be on time any more. It must be accepted as long as a slot
 // becomes free while its caller waits.
 func TestLateRequestWaitsBehindOthers(t *testing.T) {
-	queue := busyLine(10, 200*time.Millisecond)
+	queue := busyQueue(10, 200*time.Millisecond)
 	late, onTime := arriving(start.Add(-time.Second)), arriving(start)
 	assert.Assert(t, queue.Join(late, start))
 	assert.Assert(t, queue.Join(onTime, start))
@@ -84,7 +84,7 @@
 // TestObservedWaitsRaiseExpectedWait has slots become free half as fast as the run times suggest: the expected wait must rise
 // accordingly.
 func TestObservedWaitsRaiseExpectedWait(t *testing.T) {
-	queue := busyLine(10, 200*time.Millisecond)
+	queue := busyQueue(10, 200*time.Millisecond)
 	before := queue.ExpectedWait()
 	for range 50 {
 		waiter := arriving(start)
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 30).Draw(t, "places")
 		run := time.Duration(rapid.IntRange(10, 250).Draw(t, "run")) * time.Millisecond
-		queue := busyLine(slots, run)
+		queue := busyQueue(slots, run)
 		each := run / time.Duration(slots)
 		nextFree := start.Add(each)
 		now := start
@@ -132,7 +132,7 @@
 		after           time.Duration
 		wronglyRejected int
 	}{{objective, 1}, {objective + 1, 0}} {
-		queue := busyLine(1, time.Second)
+		queue := busyQueue(1, time.Second)
 		for range 2 {
 			assert.Assert(t, !queue.Join(arriving(start), start))
 		}
@@ -182,7 +182,7 @@
 }
 
 // TestLineWithoutTenantsIsOrderedByTheTimeLeft draws requests of no tenant.
-func TestLineWithoutTenantsIsOrderedByTheTimeLeft(t *testing.T) {
+func TestQueueWithoutTenantsIsOrderedByTheTimeLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		queue := &waitline.Queue{}
--- a/internal/waitline/yield_test.go
+++ b/internal/waitline/yield_test.go
@@ -11,9 +11,9 @@
 	"mallowlatch.example/mallowlatch/internal/waitline"
 )
 
-// yieldingLine returns a queue in which the requests of one tenant yield.
-func yieldingLine(slots int, run time.Duration) *waitline.Queue {
-	queue := busyLine(slots, run)
+// yieldingQueue returns a queue in which the requests of one tenant yield.
+func yieldingQueue(slots int, run time.Duration) *waitline.Queue {
+	queue := busyQueue(slots, run)
 	queue.Yields = func(waiter *waitline.Waiter) bool { return waiter.Tenant == "hot" }
 	return queue
 }
@@ -27,7 +27,7 @@
 // TestYieldingRequestsWaitBehindOthers has requests of a tenant over its share wait, and one of another tenant arrive after
 // them. It must be served first, and wait no longer than if they were not there.
 func TestYieldingRequestsWaitBehindOthers(t *testing.T) {
-	queue := yieldingLine(10, 200*time.Millisecond)
+	queue := yieldingQueue(10, 200*time.Millisecond)
 	first, second := waiterOf("hot", 0, start), waiterOf("hot", 0, start)
 	assert.Assert(t, queue.Join(first, start) && queue.Join(second, start))
 	other := waiterOf("other", 0, start.Add(time.Millisecond))
@@ -41,7 +41,7 @@
 
 // TestMoreUrgentKindGoesFirstAmongYielding has the less urgent kind arrive first.
 func TestMoreUrgentKindGoesFirstAmongYielding(t *testing.T) {
-	queue := yieldingLine(10, 200*time.Millisecond)
+	queue := yieldingQueue(10, 200*time.Millisecond)
 	less, more := waiterOf("hot", 2, start), waiterOf("hot", 1, start.Add(time.Millisecond))
 	assert.Assert(t, queue.Join(less, start) && queue.Join(more, start.Add(time.Millisecond)))
 	assert.Equal(t, queue.Next(), more)
@@ -53,7 +53,7 @@
 func TestYieldsThatIsAlwaysFalseChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "places")
-		plain, asking := busyLine(slots, 100*time.Millisecond), busyLine(slots, 100*time.Millisecond)
+		plain, asking := busyQueue(slots, 100*time.Millisecond), busyQueue(slots, 100*time.Millisecond)
 		asking.Yields = func(*waitline.Waiter) bool { return false }
 		now, twins := start, map[*waitline.Waiter]*waitline.Waiter{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -85,7 +85,7 @@
 // checks.
 func TestExtraIsBoundedByNodesSlots(t *testing.T) {
 	for _, slots := range []int{0, 1, 4, 8, 100} {
-		queue := busyLine(max(slots, 1), 100*time.Millisecond)
+		queue := busyQueue(max(slots, 1), 100*time.Millisecond)
 		if slots == 0 {
 			queue.SlotFreed(100*time.Millisecond, start)
 		}
