--- a/cmd/mallowlatch-site/front.go
+++ b/cmd/mallowlatch-site/front.go
@@ -62,14 +62,14 @@
 	desk := &jobentry.Intake{
 		Records: records, Logger: process.logger, Workers: holders, LinkBytes: settings.Limits.LinkBytes(), Reachability: process.reachability,
 	}
-	newest := &jobpeer.NewestConfiguration{Holders: holders, Logger: process.logger}
+	newest := &jobpeer.NewestConfiguration{Client: holders, Logger: process.logger}
 	orders := &follower.Follower{
-		Source: &jobpeer.WorkerFeed{Holders: holders, Index: xxhash.Sum64String(settings.Node.Name)}, Newest: newest.Catalog,
+		Source: &jobpeer.WorkerFeed{Client: holders, Index: xxhash.Sum64String(settings.Node.Name)}, Newest: newest.Catalog,
 	}
 	process.follow(orders)
 	gate := &access.Gate{Routes: process.routes, Refresh: orders.Refresh, Logger: process.logger, Now: clock.Now}
 	reporter := process.startDemandReporter(holders, forwarder)
-	forwarder.Owners = &jobpeer.Owners{Holders: holders, Reporter: reporter}
+	forwarder.Owners = &jobpeer.Owners{Client: holders, Reporter: reporter}
 	forwarder.RequestSlots = func() { reporter.Changed(true) }
 	holders.SendPoisonRecords(process.tomb, process.ends)
 	jobs := platform.NewJobAPI(desk, ident.Zone(settings.Node.Zone), gate)
@@ -105,7 +105,7 @@
 // startDemandReporter starts reporting the online work of this node to the workers.
 func (p *process) startDemandReporter(holders *jobpeer.WorkerClient, forwarder *online.Forwarder) *demand.Reporter {
 	onlineWork := &jobpeer.OnlineWork{
-		Holders: holders, Runners: p.runners, Ends: p.ends, Tenants: forwarder, Waiters: forwarder, Logger: p.logger, Now: clock.Now,
+		Client: holders, Runners: p.runners, Ends: p.ends, Tenants: forwarder, Waiters: forwarder, Logger: p.logger, Now: clock.Now,
 	}
 	reporter := demand.NewReporter(ident.Node(p.settings.Node.Name), onlineWork, clock.Now)
 	reporter.Send = onlineWork.Report
--- a/internal/jobpeer/demand.go
+++ b/internal/jobpeer/demand.go
@@ -20,7 +20,7 @@
 
 // OnlineWork groups a node's online work by the workers that own the runners. It implements demand.Work.
 type OnlineWork struct {
-	Holders *WorkerClient
+	Client  *WorkerClient
 	Runners *runnertable.Table
 	// Ends receives the workers' records of poison requests; nil ignores them.
 	Ends *endwatch.Watch
@@ -40,10 +40,10 @@
 // Online implements demand.Work.
 func (o *OnlineWork) Online() map[string]demand.OwnerDemand {
 	o.logZones()
-	workers := o.zoneWorkers.workers(o.Holders.Zone, o.Holders.knownWorkers(), o.Now())
+	workers := o.zoneWorkers.workers(o.Client.Zone, o.Client.knownWorkers(), o.Now())
 	owned := make(map[string]demand.OwnerDemand, len(workers))
 	for _, worker := range workers {
-		owned[worker.Address] = demand.OwnerDemand{Far: worker.Zone != o.Holders.Zone, Zone: worker.Zone, UnresponsiveSince: o.Runners.ZoneSuspectedSince(worker.Zone)}
+		owned[worker.Address] = demand.OwnerDemand{Far: worker.Zone != o.Client.Zone, Zone: worker.Zone, UnresponsiveSince: o.Runners.ZoneSuspectedSince(worker.Zone)}
 	}
 	for runner, count := range o.Runners.Online(o.Now()) {
 		if owner, found := jobrecord.Owner(runner, workers); found {
@@ -60,8 +60,8 @@
 // Report sends a report for the demand.Reporter and records whether the worker's zone answers.
 func (o *OnlineWork) Report(ctx context.Context, address string, report *demand.Report) (*demand.Answer, error) {
 	asked := o.Now()
-	answer, err := o.Holders.ReportDemand(ctx, address, report)
-	zone, known := o.Holders.zoneOf(address)
+	answer, err := o.Client.ReportDemand(ctx, address, report)
+	zone, known := o.Client.zoneOf(address)
 	switch {
 	case !known, errors.Is(err, errSkipped):
 	case err == nil:
@@ -90,7 +90,7 @@
 	if o.Waiters != nil && slices.ContainsFunc(answer.Shares, func(share demand.Share) bool { return share.Granted > 0 }) {
 		o.Waiters.SlotsGranted()
 	}
-	o.Holders.recordBatch(address, answer.Batch, asOf)
+	o.Client.recordBatch(address, answer.Batch, asOf)
 	o.Ends.ApplyRecords(answer.Ends.Records, false)
 	if o.Tenants != nil && len(answer.Bounds) > 0 {
 		o.Tenants.ApplyBounds(answer.Bounds, asOf)
--- a/internal/jobpeer/feed.go
+++ b/internal/jobpeer/feed.go
@@ -16,7 +16,7 @@
 // WorkerFeed polls a worker, preferably of this zone, for the state it read from the registry, and updates the list of workers
 // from the answer. It implements follower.Source.
 type WorkerFeed struct {
-	Holders *WorkerClient
+	Client *WorkerClient
 	// Index selects the worker to poll, so that nodes spread over the workers.
 	Index uint64
 	// failed counts consecutive failed calls, so that each retry goes to the next worker or seed. passedOver counts the workers that
@@ -37,7 +37,7 @@
 
 // PassOver implements follower.Passing.
 func (w *WorkerFeed) PassOver() {
-	if now := w.Holders.Now(); now.Sub(w.passWindow) >= skipDuration {
+	if now := w.Client.Now(); now.Sub(w.passWindow) >= skipDuration {
 		w.passWindow, w.passedInWindow = now, 0
 	}
 	if w.passedInWindow < maxPassedOver {
@@ -48,27 +48,27 @@
 
 // Next implements follower.Source.
 func (w *WorkerFeed) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
-	address, connection, err := w.Holders.Nearest(ctx, w.Index+w.failed+w.passedOver)
+	address, connection, err := w.Client.Nearest(ctx, w.Index+w.failed+w.passedOver)
 	if err != nil {
 		w.failed++
 		return nil, err
 	}
-	sent := w.Holders.Now()
+	sent := w.Client.Now()
 	known.WorkersPrint = w.workersFingerprint
 	snapshot, err := fleetfeed.Ask(ctx, connection, known)
 	if err != nil {
 		w.failed++
-		w.Holders.skip(address)
+		w.Client.skip(address)
 		return nil, err
 	}
 	w.failed = 0
-	w.Holders.Reach.Answered()
+	w.Client.Reach.Answered()
 	// The polled worker follows the other workers itself. Its list is no older than this time, even if the answer was read
 	// late.
 	answeredAt := sent.Add(time.Duration(snapshot.HeldMs) * time.Millisecond)
 	read := answeredAt.Add(-time.Duration(snapshot.RunnersAgeMs) * time.Millisecond)
-	if workers := w.snapshotWorkers(snapshot); len(workers) > 0 && w.Holders.Now().Sub(read) < maxWorkerListAge {
-		w.Holders.UpdateWorkers(workersOf(workers), answeredAt)
+	if workers := w.snapshotWorkers(snapshot); len(workers) > 0 && w.Client.Now().Sub(read) < maxWorkerListAge {
+		w.Client.UpdateWorkers(workersOf(workers), answeredAt)
 	}
 	return snapshot, nil
 }
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -205,7 +205,7 @@
 	first := &peer{keep: keptReply}
 	client := newWorkerClient(t, oneZone, first)
 	assert.Assert(t, keep(client) != nil)
-	source := &jobpeer.WorkerFeed{Holders: client}
+	source := &jobpeer.WorkerFeed{Client: client}
 	first.feed = fleetfeed.Snapshot{
 		RunnersAgeMs: (5 * time.Second).Milliseconds(),
 		Workers:      []fleetfeed.Worker{{Node: "a", Zone: "z", Address: "a"}, {Node: "b", Zone: "z", Address: "a"}},
@@ -225,7 +225,7 @@
 func TestUnchangedWorkerListIsReused(t *testing.T) {
 	first := &peer{keep: keptReply}
 	client := newWorkerClient(t, oneZone, first)
-	source := &jobpeer.WorkerFeed{Holders: client}
+	source := &jobpeer.WorkerFeed{Client: client}
 	known := &fleetfeed.Known{}
 	first.feed = fleetfeed.Snapshot{
 		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersPrint: 7,
@@ -273,7 +273,7 @@
 		},
 		Seeds: []string{"a", "b", "c"}, SeedsFor: time.Second, Now: func() time.Time { return now },
 	}
-	source := &jobpeer.WorkerFeed{Holders: client}
+	source := &jobpeer.WorkerFeed{Client: client}
 	for range 6 {
 		_, err := source.Next(context.Background(), &fleetfeed.Known{})
 		assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
--- a/internal/jobpeer/newestconfig.go
+++ b/internal/jobpeer/newestconfig.go
@@ -34,8 +34,8 @@
 // NewestConfiguration has one worker read the configuration for all nodes, so that the load on the store does not grow with the number of
 // nodes that need a read. It is safe for concurrent use.
 type NewestConfiguration struct {
-	Holders *WorkerClient
-	Logger  zerolog.Logger
+	Client *WorkerClient
+	Logger zerolog.Logger
 
 	skippedAddresses skippedAddresses
 }
@@ -49,14 +49,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
 	defer cancel()
-	connection, err := n.Holders.Connect(address)
+	connection, err := n.Client.Connect(address)
 	if err == nil {
 		var catalog *work.Catalog
 		if catalog, err = fleetfeed.AskNewest(ctx, connection, version); err == nil {
 			return catalog, nil
 		}
 	}
-	n.skippedAddresses.skip(address, n.Holders.Now())
+	n.skippedAddresses.skip(address, n.Client.Now())
 	event.ReaderAvoided.Log(n.Logger).Str("address", address).Err(err).Send()
 	return nil, err
 }
@@ -64,10 +64,10 @@
 // reader returns the address of the worker that reads for all nodes: the first by name that is not skipped, among the first
 // jobworker.MaxReaders.
 func (n *NewestConfiguration) reader() (string, bool) {
-	workers := n.Holders.knownWorkers()
+	workers := n.Client.knownWorkers()
 	slices.SortFunc(workers, func(first, second jobrecord.Worker) int { return cmp.Compare(first.Node, second.Node) })
 	for _, worker := range workers[:min(len(workers), jobworker.MaxReaders)] {
-		if !n.skippedAddresses.skips(worker.Address, n.Holders.Now()) {
+		if !n.skippedAddresses.skips(worker.Address, n.Client.Now()) {
 			return worker.Address, true
 		}
 	}
--- a/internal/jobpeer/newestconfig_test.go
+++ b/internal/jobpeer/newestconfig_test.go
@@ -137,7 +137,7 @@
 		}
 		client.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
 		if asking {
-			front.Newest = (&jobpeer.NewestConfiguration{Holders: client, Logger: zerolog.Nop()}).Catalog
+			front.Newest = (&jobpeer.NewestConfiguration{Client: client, Logger: zerolog.Nop()}).Catalog
 		}
 		f.gates = append(f.gates, &access.Gate{Routes: front.Routes, Refresh: front.Refresh, Logger: zerolog.Nop(), Now: time.Now})
 	}
@@ -234,7 +234,7 @@
 			Zone: "z", Now: time.Now, Connect: func(to string) (drpc.Conn, error) { return &keyConn{fleet: f, to: to}, nil },
 		}
 		client.UpdateWorkers([]jobrecord.Worker{{Node: "worker-00", Zone: "z", Address: "worker-00"}}, time.Now())
-		starting.Newest = (&jobpeer.NewestConfiguration{Holders: client, Logger: zerolog.Nop()}).Catalog
+		starting.Newest = (&jobpeer.NewestConfiguration{Client: client, Logger: zerolog.Nop()}).Catalog
 		began := time.Now()
 		assert.NilError(t, starting.Refresh(context.Background()))
 		assert.Assert(t, time.Since(began) <= atOnce, "%v", time.Since(began))
--- a/internal/jobpeer/owners.go
+++ b/internal/jobpeer/owners.go
@@ -11,7 +11,7 @@
 
 // Owners requests runner state from the workers that own the runners. It implements online.Owners.
 type Owners struct {
-	Holders  *WorkerClient
+	Client   *WorkerClient
 	Reporter *demand.Reporter
 }
 
@@ -22,7 +22,7 @@
 
 // Query implements online.Owners.
 func (o *Owners) Query(ctx context.Context, runners []work.Runner, older time.Duration) bool {
-	workers := o.Holders.knownWorkers()
+	workers := o.Client.knownWorkers()
 	var addresses []string
 	for _, runner := range runners {
 		if owner, found := jobrecord.Owner(runner, workers); found {
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -118,7 +118,7 @@
 	watch := f.newWatch(name, table)
 	client := &jobpeer.WorkerClient{Zone: zone, Connect: f.connect(name), Now: time.Now}
 	client.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
-	reporter := demand.NewReporter(ident.Node(name), &jobpeer.OnlineWork{Holders: client, Runners: table, Ends: watch, Now: time.Now}, time.Now)
+	reporter := demand.NewReporter(ident.Node(name), &jobpeer.OnlineWork{Client: client, Runners: table, Ends: watch, Now: time.Now}, time.Now)
 	reporter.Send = client.ReportDemand
 	reporter.Start(f.tomb)
 	client.SendPoisonRecords(f.tomb, watch)
--- a/internal/jobpeer/ration.go
+++ b/internal/jobpeer/ration.go
@@ -45,7 +45,7 @@
 		if !found || slices.Contains(rationers[owner.Address], runner.Service) {
 			continue
 		}
-		if owner.Zone == o.Holders.Zone || !o.hasRunnerInZone(runner.Service) {
+		if owner.Zone == o.Client.Zone || !o.hasRunnerInZone(runner.Service) {
 			rationers[owner.Address] = append(rationers[owner.Address], runner.Service)
 		}
 	}
@@ -54,5 +54,5 @@
 
 // hasRunnerInZone reports whether this node's zone has runners of a service.
 func (o *OnlineWork) hasRunnerInZone(service string) bool {
-	return slices.ContainsFunc(o.Runners.ReadyRunners(service), func(runner work.Runner) bool { return runner.Zone == o.Holders.Zone })
+	return slices.ContainsFunc(o.Runners.ReadyRunners(service), func(runner work.Runner) bool { return runner.Zone == o.Client.Zone })
 }
--- a/internal/jobpeer/ration_test.go
+++ b/internal/jobpeer/ration_test.go
@@ -44,7 +44,7 @@
 			client.UpdateWorkers([]jobrecord.Worker{{Node: "1", Address: "1", Zone: "a"}, {Node: "2", Address: "2", Zone: "b"}}, now)
 			table, requests := runnertable.New("a"), &waitingRequests{}
 			table.Replace(c.runners, now, true)
-			online := &OnlineWork{Holders: client, Runners: table, Waiters: requests, Now: client.Now}
+			online := &OnlineWork{Client: client, Runners: table, Waiters: requests, Now: client.Now}
 			online.Take("1", &demand.Answer{Shares: []demand.Share{{Runner: c.rationed, Rationed: true}}}, now)
 			assert.Equal(t, requests.granted, 0)
 			for address, owned := range online.Online() {
--- a/internal/jobpeer/refused_test.go
+++ b/internal/jobpeer/refused_test.go
@@ -175,7 +175,7 @@
 	for index := range fronts {
 		client := &jobpeer.WorkerClient{Zone: "z", Connect: f.connect, Now: time.Now}
 		client.UpdateWorkers(append([]jobrecord.Worker(nil), list...), time.Now())
-		f.start(fmt.Sprintf("front-%02d", index), &jobpeer.WorkerFeed{Holders: client, Index: uint64(index)}, nil)
+		f.start(fmt.Sprintf("front-%02d", index), &jobpeer.WorkerFeed{Client: client, Index: uint64(index)}, nil)
 	}
 	return f
 }
--- a/internal/jobpeer/slots.go
+++ b/internal/jobpeer/slots.go
@@ -43,7 +43,7 @@
 		return
 	}
 	for _, use := range o.Tenants.UsageReport() {
-		address := o.Holders.slotsAccountHolder(use.Service)
+		address := o.Client.slotsAccountHolder(use.Service)
 		if address == "" {
 			continue
 		}
--- a/internal/jobpeer/slots_test.go
+++ b/internal/jobpeer/slots_test.go
@@ -48,7 +48,7 @@
 	for _, listed := range [][]jobrecord.Worker{workers, {workers[2], workers[0], workers[1]}} {
 		h := &WorkerClient{Zone: "a", Now: func() time.Time { return now }}
 		h.UpdateWorkers(listed, now)
-		work := &OnlineWork{Holders: h, Runners: runnertable.New("a"), Tenants: tenants, Now: h.Now}
+		work := &OnlineWork{Client: h, Runners: runnertable.New("a"), Tenants: tenants, Now: h.Now}
 		holder := reportedTo(work, "s")
 		assert.Assert(t, holder != "" && (first == "" || first == holder))
 		first = holder
@@ -65,7 +65,7 @@
 func TestBoundsInAnswersArePassedOn(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	tenants := &tenantUses{}
-	work := &OnlineWork{Holders: &WorkerClient{Now: func() time.Time { return now }}, Runners: runnertable.New("a"), Tenants: tenants}
+	work := &OnlineWork{Client: &WorkerClient{Now: func() time.Time { return now }}, Runners: runnertable.New("a"), Tenants: tenants}
 	bounds := []demand.Bound{{Service: "s", Tenant: ident.Tenant("hot"), Slots: 2}}
 	work.Take("1", &demand.Answer{Bounds: bounds}, now)
 	work.Take("2", &demand.Answer{}, now)
--- a/internal/jobpeer/zones_test.go
+++ b/internal/jobpeer/zones_test.go
@@ -65,7 +65,7 @@
 		table, logged := runnertable.New("z0"), &lines{}
 		client := &jobpeer.WorkerClient{Zone: "z0", Connect: f.connect("front"), Now: time.Now}
 		client.UpdateWorkers(append([]jobrecord.Worker(nil), f.list...), time.Now())
-		online := &jobpeer.OnlineWork{Holders: client, Runners: table, Logger: zerolog.New(logged), Now: time.Now}
+		online := &jobpeer.OnlineWork{Client: client, Runners: table, Logger: zerolog.New(logged), Now: time.Now}
 		teller := demand.NewReporter("front", online, time.Now)
 		teller.Send = online.Report
 		teller.Start(f.tomb)
--- a/internal/jobworker/rationfleet_test.go
+++ b/internal/jobworker/rationfleet_test.go
@@ -109,7 +109,7 @@
 	client := &jobpeer.WorkerClient{Zone: "z", Now: time.Now}
 	client.UpdateWorkers([]jobrecord.Worker{{Node: "w", Address: "w", Zone: "z"}}, time.Now())
 	reporter := demand.NewReporter(node, &jobpeer.OnlineWork{
-		Holders: client, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
+		Client: client, Runners: forwarder.Runners, Tenants: forwarder, Waiters: forwarder, Logger: zerolog.Nop(), Now: time.Now,
 	}, time.Now)
 	reporter.Send = func(_ context.Context, _ string, report *demand.Report) (*demand.Answer, error) {
 		received, answer := &demand.Report{}, &demand.Answer{}
