--- a/cmd/mallowlatch-site/front.go
+++ b/cmd/mallowlatch-site/front.go
@@ -49,14 +49,14 @@
 		process.runners.AssumeFullUntilReported()
 	}
 	forwarder := &online.Forwarder{
-		Runners: process.runners, Caller: process.caller, PoisonWatch: process.ends, MemoryBudget: process.heldBytes, Key: settings.Key(),
+		Runners: process.runners, Caller: process.caller, PoisonWatch: process.ends, MemoryBudget: process.heldBytes, Key: settings.RequestFingerprintKey(),
 		Logger: process.logger, Now: clock.Now,
 	}
 	pool := newPeerPool()
 	defer func() { _ = pool.Close() }()
 	records := process.records()
 	holders := &jobpeer.WorkerClient{
-		Records: records, Zone: ident.Zone(settings.Node.Zone), Connect: pool.ConnAddress, Copies: settings.Bounds.LostDisks + 1,
+		Records: records, Zone: ident.Zone(settings.Node.Zone), Connect: pool.ConnAddress, Copies: settings.Bounds.TolerableDiskLosses + 1,
 		Seeds: settings.Seeds, SeedsFor: process.startGrace(), Reach: process.reachability, Now: clock.Now,
 	}
 	desk := &jobentry.Intake{
--- a/cmd/mallowlatch-site/process.go
+++ b/cmd/mallowlatch-site/process.go
@@ -60,7 +60,7 @@
 	lifecycle    *site.Lifecycle
 	ends         *endwatch.Watch
 	// heldBytes limits the memory used for the requests and answers of clients.
-	heldBytes *heldbytes.OfNode
+	heldBytes *heldbytes.NodeBudget
 	// suspended is the total time the machine was suspended, as of the last check. Only closeExpiredConnections
 	// accesses it.
 	suspended time.Duration
@@ -73,7 +73,7 @@
 	logger := zerolog.New(logs).With().Timestamp().Str("node", settings.Node.Name).Logger()
 	event.SiteStarting.Log(logger).Str("role", role).Str("zone", settings.Node.Zone).Int("memory_mb", settings.Limits.MemoryMB).Send()
 	storePool := connpool.New(connpool.Options{
-		DialTimeout: storeDialTimeout, IdleTimeout: storeIdleTimeout, MaximumIdle: maxIdleStoreConnections,
+		DialTimeout: storeDialTimeout, IdleTimeout: storeIdleTimeout, MaxIdlePerAddress: maxIdleStoreConnections,
 	})
 	started := &process{
 		path: path, settings: settings, logs: logs, logger: logger, tomb: new(tomb.Tomb),
@@ -81,7 +81,7 @@
 		reachability: &reach.Watch{},
 		storePool:    storePool,
 		caller: &platform.RunnerCaller{Pool: connpool.New(connpool.Options{
-			DialTimeout: runnerDialTimeout, IdleTimeout: runnerIdleTimeout, MaximumIdle: maxIdleRunnerConnections,
+			DialTimeout: runnerDialTimeout, IdleTimeout: runnerIdleTimeout, MaxIdlePerAddress: maxIdleRunnerConnections,
 		})},
 		runners:   runnertable.New(ident.Zone(settings.Node.Zone)),
 		routes:    &routetable.Table{},
@@ -128,7 +128,7 @@
 
 // registry returns the reader of the runners and the operators' orders.
 func (p *process) registry() *platform.Registry {
-	return &platform.Registry{Store: p.store, Refusals: &refusal.Book{Tell: p.logRefusal}}
+	return &platform.Registry{Store: p.store, Refusals: &refusal.Tracker{OnChange: p.logRefusal}}
 }
 
 // logRefusal logs that a stored value cannot be read, or is readable again.
@@ -212,15 +212,15 @@
 
 // logHeldBytes logs the memory used for clients if it is large or if something was refused or cut off because of it.
 func (p *process) logHeldBytes() {
-	tally := p.heldBytes.Take()
-	if !tally.Telling() {
+	tally := p.heldBytes.TakeTally()
+	if !tally.Reportable() {
 		return
 	}
-	event.BytesHeld.Log(p.logger).Int64("held", tally.Held).Int64("most", tally.Most).Int64("of", tally.All).
+	event.BytesHeld.Log(p.logger).Int64("held", tally.Held).Int64("most", tally.Peak).Int64("of", tally.All).
 		Int("requests_refused", tally.Refused[heldbytes.Request]).Int("jobs_refused", tally.Refused[heldbytes.Submission]).
 		Int("results_refused", tally.Refused[heldbytes.Result]).Int("answers_refused", tally.Refused[heldbytes.Answer]).
 		Int("jobs_not_taken", tally.Refused[heldbytes.Job]).Int("results_not_kept", tally.Refused[heldbytes.Kept]).
-		Int("callers_cut", tally.Cut).Send()
+		Int("callers_cut", tally.Disconnected).Send()
 }
 
 // waitForStop returns when the process is asked to stop or a part of it failed. On SIGHUP it reloads the settings.
@@ -244,12 +244,12 @@
 func (p *process) reloadSettings() {
 	settings, err := sitesettings.Load(p.path)
 	if err != nil {
-		event.SettingsBad.Log(p.logger).Err(err).Send()
+		event.SettingsUnreadable.Log(p.logger).Err(err).Send()
 		return
 	}
 	site.ApplyLimits(settings.Limits)
 	p.heldBytes.SetLimits(heldbytes.LimitsOf(settings.Limits.MemoryBytes()))
-	event.SettingsAgain.Log(p.logger).Int("memory_mb", settings.Limits.MemoryMB).Send()
+	event.SettingsReloaded.Log(p.logger).Int("memory_mb", settings.Limits.MemoryMB).Send()
 }
 
 // shutdown stops the parts of the process and writes the remaining log lines.
--- a/cmd/mallowlatch-site/worker.go
+++ b/cmd/mallowlatch-site/worker.go
@@ -31,7 +31,7 @@
 	worker := &jobworker.Worker{
 		Node: ident.Node(settings.Node.Name), Zone: ident.Zone(settings.Node.Zone), Address: settings.Listen.Peers,
 		Records: process.records(), Store: process.store, Runners: process.runners, Routes: process.routes,
-		Caller: process.caller, PoisonWatch: process.ends, Key: settings.Key(), Registry: process.registry(),
+		Caller: process.caller, PoisonWatch: process.ends, Key: settings.RequestFingerprintKey(), Registry: process.registry(),
 		Options: options, Logger: process.logger, Now: clock.Now,
 	}
 	worker.Budget = process.heldBytes
@@ -48,7 +48,7 @@
 	defer func() { _ = pool.Close() }()
 	peers := &jobpeer.Peers{Connect: pool.ConnAddress, Now: clock.Now}
 	worker.Mirrors, worker.Lenders, worker.Readers, worker.Accounts = peers, peers, peers, peers
-	worker.Tolerance = settings.Bounds.LostDisks
+	worker.Tolerance = settings.Bounds.TolerableDiskLosses
 	worker.Seeds, worker.SeedPeriod = settings.Seeds, process.startGrace()
 	source := &jobpeer.LeaderFeed{Reader: worker.Reader, Eligible: worker.IsReader, Connect: pool.ConnAddress, Now: clock.Now}
 	worker.OnLiveChanged = source.Changed
@@ -62,7 +62,7 @@
 	feed := fleetfeed.New(clock.Now)
 	feed.Workers = jobpeer.FeedWorkers(worker)
 	orders := &follower.Follower{Retire: worker.Retire, Feed: feed, Source: source}
-	feed.Refresh = jobpeer.NewSharedReads(orders.Refresh, clock.Now).Fresh
+	feed.Refresh = jobpeer.NewSharedReads(orders.Refresh, clock.Now).AwaitFresh
 	process.follow(orders)
 	if err := process.servePeers(worker, feed); err != nil {
 		return err
--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		used += len(state.running)
-		free += max(0, state.granted.Sequences-len(state.running))
+		free += max(0, state.granted.MaxWhenStarting-len(state.running))
 	}
 	if free+used == 0 {
 		return 0
--- a/internal/batch/release.go
+++ b/internal/batch/release.go
@@ -34,7 +34,7 @@
 		if !chosen(state) || !w.usable(runner, now) {
 			continue
 		}
-		if view, known := w.config.Table.Runner(runner, now); known && view.Holds(model, adapter) {
+		if view, known := w.config.Table.Runner(runner, now); known && view.HasModel(model, adapter) {
 			return true
 		}
 	}
--- a/internal/batch/slots.go
+++ b/internal/batch/slots.go
@@ -85,7 +85,7 @@
 		if granted.view.Leaving {
 			continue
 		}
-		surplus := len(granted.state.running) - granted.credits.Hold
+		surplus := len(granted.state.running) - granted.credits.MaxRunning
 		if surplus <= 0 {
 			continue
 		}
@@ -124,12 +124,12 @@
 			w.fill(&granted, now)
 		}
 		granted.state.use = w.slotUse(&granted, now)
-		w.lookAgain(granted.state.controller.LookAt(now), now)
+		w.lookAgain(granted.state.controller.NextChange(now), now)
 	}
 }
 
 func (w *Worker) fill(granted *grant, now time.Time) {
-	for len(granted.state.running) < granted.credits.Sequences {
+	for len(granted.state.running) < granted.credits.MaxWhenStarting {
 		if !w.startOne(granted, now) {
 			return
 		}
@@ -158,7 +158,7 @@
 	if chosen == nil {
 		return false
 	}
-	granted.state.controller.Prefilling(chosen.request.PromptTokens, now)
+	granted.state.controller.RecordPrefill(chosen.request.PromptTokens, now)
 	w.launch(newExecution(chosen, granted.runner, target, granted.state.epoch), granted.state)
 	return true
 }
--- a/internal/batch/slotuse.go
+++ b/internal/batch/slotuse.go
@@ -32,9 +32,9 @@
 		return slotUse{}
 	}
 	use := slotUse{
-		online:  report.MaxSequences - granted.credits.Hold,
-		reserve: granted.credits.Hold - max(granted.credits.Sequences, len(state.running)),
-		idle:    max(0, granted.credits.Sequences-len(state.running)),
+		online:  report.MaxSequences - granted.credits.MaxRunning,
+		reserve: granted.credits.MaxRunning - max(granted.credits.MaxWhenStarting, len(state.running)),
+		idle:    max(0, granted.credits.MaxWhenStarting-len(state.running)),
 		idleFor: idleEmpty,
 	}
 	for running := range state.running {
--- a/internal/batch/steps.go
+++ b/internal/batch/steps.go
@@ -26,7 +26,7 @@
 func (w *Worker) watchSteps(state *runnerState) {
 	now := w.config.Now()
 	if state.steps.token(now) {
-		w.post(func() { state.controller.Stepped(now) })
+		w.post(func() { state.controller.RecordStep(now) })
 	}
 }
 
--- a/internal/batch/steps_test.go
+++ b/internal/batch/steps_test.go
@@ -68,13 +68,13 @@
 		worker.turn(at.Now())
 		return worker.book.queued() > 0
 	})
-	assert.Assert(t, state.granted.Sequences > 0)
+	assert.Assert(t, state.granted.MaxWhenStarting > 0)
 	assert.Equal(t, len(state.running), 0, "a prompt went out early in a step")
 	wait := worker.lookAt.Sub(at.Now())
 	assert.Assert(t, wait > 0 && wait < step, "the next look is in %s", wait)
 	at.Advance(wait)
 	worker.turn(at.Now())
-	assert.Equal(t, len(state.running), state.granted.Sequences)
+	assert.Equal(t, len(state.running), state.granted.MaxWhenStarting)
 	worker.cancelAll(errStopping)
 	assert.NilError(t, worker.Stop())
 }
--- a/internal/batch/worker.go
+++ b/internal/batch/worker.go
@@ -300,5 +300,5 @@
 
 // suits reports whether an item can run on a runner as it was last reported.
 func suits(view *dispatch.RunnerView, request *inference.Request) bool {
-	return view.Holds(request.Model, request.Adapter)
+	return view.HasModel(request.Model, request.Adapter)
 }
--- a/internal/batch/worker_test.go
+++ b/internal/batch/worker_test.go
@@ -48,7 +48,7 @@
 				held++
 			}
 		}
-		if held > state.granted.Hold {
+		if held > state.granted.MaxRunning {
 			return string(runner) + " holds more than its credits"
 		}
 	}
--- a/internal/connpool/call.go
+++ b/internal/connpool/call.go
@@ -85,13 +85,13 @@
 		if written == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return nil, fmt.Errorf("%w: writing: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: writing: %w", ErrNoResponse, err)
 	}
 	request := &http.Request{Method: call.Method}
 	for range maxStrayResponses + 1 {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, fmt.Errorf("%w: reading: %w", ErrNoAnswer, err)
+			return nil, fmt.Errorf("%w: reading: %w", ErrNoResponse, err)
 		}
 		if response.StatusCode >= http.StatusContinue && response.StatusCode < http.StatusOK {
 			continue
@@ -100,10 +100,10 @@
 			return response, nil
 		}
 		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBodyBytes); err != io.EOF || response.Close {
-			return nil, fmt.Errorf("%w: the answer belongs to another request", ErrNoAnswer)
+			return nil, fmt.Errorf("%w: the answer belongs to another request", ErrNoResponse)
 		}
 	}
-	return nil, fmt.Errorf("%w: only answers to other requests", ErrNoAnswer)
+	return nil, fmt.Errorf("%w: only answers to other requests", ErrNoResponse)
 }
 
 // encode returns the request as one byte slice, so that it is sent with one system call.
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -19,11 +19,11 @@
 const (
 	// ErrNotSent means that no byte of the request was sent, so the request was not executed.
 	ErrNotSent = failure.Kind("connection pool: request not sent")
-	// ErrNoAnswer means that the request was sent, completely or in part, and no response to it was received.
-	ErrNoAnswer = failure.Kind("connection pool: no answer")
-	// ErrNobodyListens is wrapped together with ErrNotSent if the connection was refused: the host is reachable, but
+	// ErrNoResponse means that the request was sent, completely or in part, and no response to it was received.
+	ErrNoResponse = failure.Kind("connection pool: no answer")
+	// ErrConnectionRefused is wrapped together with ErrNotSent if the connection was refused: the host is reachable, but
 	// no process listens at the address.
-	ErrNobodyListens = failure.Kind("connection pool: nobody listens")
+	ErrConnectionRefused = failure.Kind("connection pool: nobody listens")
 )
 
 // Options configure a pool.
@@ -32,8 +32,8 @@
 	DialTimeout time.Duration
 	// IdleTimeout is how long an idle connection is reused if the server does not announce a keep-alive timeout.
 	IdleTimeout time.Duration
-	// MaximumIdle is the maximum number of idle connections per address.
-	MaximumIdle int
+	// MaxIdlePerAddress is the maximum number of idle connections per address.
+	MaxIdlePerAddress int
 	// Now returns the monotonic time; nil is clock.Now.
 	Now func() time.Time
 }
@@ -106,7 +106,7 @@
 func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
 	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%w: %w: %w", ErrNotSent, ErrNobodyListens, err)
+		return nil, fmt.Errorf("%w: %w: %w", ErrNotSent, ErrConnectionRefused, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -127,7 +127,7 @@
 	returned.expires = p.options.Now().Add(idleTimeout)
 	p.mutex.Lock()
 	pooled := p.idle[returned.address]
-	full := len(pooled) >= p.options.MaximumIdle
+	full := len(pooled) >= p.options.MaxIdlePerAddress
 	if !full {
 		p.idle[returned.address] = append(pooled, returned)
 	}
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -65,7 +65,7 @@
 
 func newPool() (*connpool.Pool, *fakeClock) {
 	fakeTime := &fakeClock{}
-	return connpool.New(connpool.Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaximumIdle: 2, Now: fakeTime.now}), fakeTime
+	return connpool.New(connpool.Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaxIdlePerAddress: 2, Now: fakeTime.now}), fakeTime
 }
 
 func call(t *testing.T, pool *connpool.Pool, address string) (string, error) {
@@ -130,7 +130,7 @@
 	assert.ErrorIs(t, err, connpool.ErrNotSent)
 	address, _ := serve(t, func(net.Conn, *http.Request) bool { return false })
 	_, err = call(t, pool, address)
-	assert.ErrorIs(t, err, connpool.ErrNoAnswer)
+	assert.ErrorIs(t, err, connpool.ErrNoResponse)
 }
 
 // TestIdleConnectionsAreDroppedAfterATimeout makes all open connections unresponsive without a reset, while new ones
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := pool.Do(ctx, &connpool.Call{Address: address, Method: http.MethodGet, Target: "/", Host: "h"})
-	assert.ErrorIs(t, err, connpool.ErrNoAnswer)
+	assert.ErrorIs(t, err, connpool.ErrNoResponse)
 	ctx, cancel = context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	answer, err := pool.Do(ctx, &connpool.Call{Address: address, Method: http.MethodGet, Target: "/", Host: "h"})
--- a/internal/credit/credit.go
+++ b/internal/credit/credit.go
@@ -31,11 +31,11 @@
 //
 // Invariant: Sequences is at most Hold.
 type Credits struct {
-	// Hold limits the batch sequences that may stay in flight. The owner preempts those above it immediately.
-	Hold int
-	// Sequences limits the batch sequences in flight when another one is started. It leaves a reserve of free sequences, so
+	// MaxRunning limits the batch sequences that may stay in flight. The owner preempts those above it immediately.
+	MaxRunning int
+	// MaxWhenStarting limits the batch sequences in flight when another one is started. It leaves a reserve of free sequences, so
 	// that an online request can start without a preemption. The reserve is restored as batch sequences end.
-	Sequences int
+	MaxWhenStarting int
 	// PrefillTokens limits the prompt tokens of batch items that were sent and have not returned a token yet.
 	PrefillTokens int
 }
@@ -122,7 +122,7 @@
 	if report.MemoryUsed >= memoryFull {
 		sequences = min(sequences, input.RunningBatch)
 	}
-	return Credits{Hold: hold, Sequences: sequences, PrefillTokens: prefillLimit(online)}
+	return Credits{MaxRunning: hold, MaxWhenStarting: sequences, PrefillTokens: prefillLimit(online)}
 }
 
 // MayPrefill reports whether the prompt of another batch item may be sent now. Beside online work, batch prefill is kept
@@ -140,8 +140,8 @@
 	return !quiet && c.pacer.ready(now)
 }
 
-// Prefilling records that the prompt of a batch item, of the given number of tokens, was sent.
-func (c *Controller) Prefilling(tokens int, now time.Time) {
+// RecordPrefill records that the prompt of a batch item, of the given number of tokens, was sent.
+func (c *Controller) RecordPrefill(tokens int, now time.Time) {
 	c.lastPrefill = now
 	if c.steps.predictable(now) {
 		c.steps.spent += tokens
--- a/internal/credit/credit_test.go
+++ b/internal/credit/credit_test.go
@@ -38,22 +38,22 @@
 			}
 			leaving := rapid.IntRange(0, 5).Draw(t, "leaving") == 1
 			credits := controller.Decide(Input{KnownOnline: known, Report: report, RunningBatch: running, Leaving: leaving}, now)
-			assert.Assert(t, credits.Sequences >= 0 && credits.Sequences <= credits.Hold)
+			assert.Assert(t, credits.MaxWhenStarting >= 0 && credits.MaxWhenStarting <= credits.MaxRunning)
 			fresh := now.Sub(report.Measured) <= maxReportAge
 			if leaving || !fresh || known >= sequences {
-				assert.Equal(t, credits.Hold, 0)
+				assert.Equal(t, credits.MaxRunning, 0)
 				running = 0
 				continue
 			}
-			assert.Assert(t, known+credits.Hold <= sequences, "known %d hold %d of %d", known, credits.Hold, sequences)
-			assert.Assert(t, credits.Sequences == 0 || known+credits.Sequences < sequences, "known %d credits %d of %d", known, credits.Sequences, sequences)
+			assert.Assert(t, known+credits.MaxRunning <= sequences, "known %d hold %d of %d", known, credits.MaxRunning, sequences)
+			assert.Assert(t, credits.MaxWhenStarting == 0 || known+credits.MaxWhenStarting < sequences, "known %d credits %d of %d", known, credits.MaxWhenStarting, sequences)
 			if report.WaitingOnline > 0 && report.RunningOnline+report.RunningBatch == sequences {
-				assert.Assert(t, credits.Hold <= max(0, running-report.WaitingOnline), "online work waits for capacity")
+				assert.Assert(t, credits.MaxRunning <= max(0, running-report.WaitingOnline), "online work waits for capacity")
 			}
 			if report.MemoryUsed > memoryFull {
-				assert.Assert(t, credits.Sequences <= running, "batch grows although the memory is full")
+				assert.Assert(t, credits.MaxWhenStarting <= running, "batch grows although the memory is full")
 			}
-			running = max(min(running, credits.Hold), credits.Sequences)
+			running = max(min(running, credits.MaxRunning), credits.MaxWhenStarting)
 		}
 	})
 }
@@ -64,12 +64,12 @@
 	controller := NewController()
 	report := reportAt(begin, 64)
 	before := controller.Decide(Input{Report: report}, begin.Add(time.Millisecond))
-	assert.Assert(t, before.Sequences >= 60, "an idle runner gives %d of 64", before.Sequences)
-	after := controller.Decide(Input{KnownOnline: 64, Report: report, RunningBatch: before.Sequences}, begin.Add(2*time.Millisecond))
-	assert.Equal(t, after.Hold, 0)
+	assert.Assert(t, before.MaxWhenStarting >= 60, "an idle runner gives %d of 64", before.MaxWhenStarting)
+	after := controller.Decide(Input{KnownOnline: 64, Report: report, RunningBatch: before.MaxWhenStarting}, begin.Add(2*time.Millisecond))
+	assert.Equal(t, after.MaxRunning, 0)
 	half := controller.Decide(Input{KnownOnline: 32, Report: report}, begin.Add(3*time.Millisecond))
-	assert.Equal(t, half.Hold, 32)
-	assert.Assert(t, half.Sequences < 32)
+	assert.Equal(t, half.MaxRunning, 32)
+	assert.Assert(t, half.MaxWhenStarting < 32)
 }
 
 // TestOnlineArrivalUsesTheReserve checks that an online request that arrives on a runner full of batch work uses the
@@ -78,9 +78,9 @@
 	controller := NewController()
 	report := reportAt(begin, 64)
 	before := controller.Decide(Input{Report: report}, begin)
-	after := controller.Decide(Input{KnownOnline: 1, Report: report, RunningBatch: before.Sequences}, begin.Add(time.Millisecond))
-	assert.Assert(t, after.Hold >= before.Sequences, "the arrival preempts although a sequence was free")
-	assert.Assert(t, after.Sequences < before.Sequences, "the reserve is not restored")
+	after := controller.Decide(Input{KnownOnline: 1, Report: report, RunningBatch: before.MaxWhenStarting}, begin.Add(time.Millisecond))
+	assert.Assert(t, after.MaxRunning >= before.MaxWhenStarting, "the arrival preempts although a sequence was free")
+	assert.Assert(t, after.MaxWhenStarting < before.MaxWhenStarting, "the reserve is not restored")
 }
 
 // TestLaggingReportIsNotCountedTwice checks that known online work that has ended is not counted because a lagging report
@@ -94,12 +94,12 @@
 	now := begin.Add(300 * time.Millisecond)
 	credits := controller.Decide(Input{KnownOnline: 0, Report: lagging}, now)
 	idleAfter := controller.Decide(Input{KnownOnline: 0, Report: reportAt(now, 64)}, now)
-	assert.Equal(t, credits.Sequences, idleAfter.Sequences, "work that has ended still counts")
+	assert.Equal(t, credits.MaxWhenStarting, idleAfter.MaxWhenStarting, "work that has ended still counts")
 	later := now.Add(2 * reportTimeError)
 	unknown := reportAt(later, 64)
 	unknown.RunningOnline = 50
 	credits = controller.Decide(Input{KnownOnline: 0, Report: unknown}, later)
-	assert.Assert(t, credits.Sequences <= 14, "%d credits beside 50 online sequences that no peer reported", credits.Sequences)
+	assert.Assert(t, credits.MaxWhenStarting <= 14, "%d credits beside 50 online sequences that no peer reported", credits.MaxWhenStarting)
 }
 
 // TestSteadyLoadLeavesLittleUnused checks, at several levels of constant online work, that batch may use at least 95% of
@@ -115,7 +115,7 @@
 			report.RunningOnline = online
 			credits = controller.Decide(Input{KnownOnline: online, Report: report}, now)
 		}
-		share := float64(credits.Sequences) / float64(64-online)
+		share := float64(credits.MaxWhenStarting) / float64(64-online)
 		assert.Assert(t, share >= 0.95, "beside %d: %.3f of the idle sequences", online, share)
 	}
 }
@@ -127,7 +127,7 @@
 	report := reportAt(begin, 64)
 	report.RunningBatch, report.RunningOnline, report.WaitingOnline = 40, 5, 1
 	credits := controller.Decide(Input{KnownOnline: 6, Report: report, RunningBatch: 40}, begin)
-	assert.Assert(t, credits.Sequences >= 54, "%d credits", credits.Sequences)
+	assert.Assert(t, credits.MaxWhenStarting >= 54, "%d credits", credits.MaxWhenStarting)
 }
 
 // TestSlowStepsShrinkBatchOnlyBesideOnline checks that long steps reduce batch only while online work is on the runner.
@@ -143,7 +143,7 @@
 			report.StepTime = 2 * stepTarget
 			credits = controller.Decide(Input{KnownOnline: online, Report: report}, now)
 		}
-		return credits.Sequences
+		return credits.MaxWhenStarting
 	}
 	assert.Assert(t, decide(1) < 20)
 	assert.Assert(t, decide(0) >= 60)
@@ -162,11 +162,11 @@
 		}
 		bounded, unset := decide(share), decide(0)
 		assert.Equal(t, decide(1), unset)
-		assert.Equal(t, bounded.Hold, unset.Hold)
+		assert.Equal(t, bounded.MaxRunning, unset.MaxRunning)
 		if online == 0 {
 			assert.Equal(t, bounded, unset)
 			return
 		}
-		assert.Equal(t, bounded.Sequences, min(unset.Sequences, max(1, int(share*float64(sequences)))))
+		assert.Equal(t, bounded.MaxWhenStarting, min(unset.MaxWhenStarting, max(1, int(share*float64(sequences)))))
 	})
 }
--- a/internal/credit/pace_test.go
+++ b/internal/credit/pace_test.go
@@ -22,7 +22,7 @@
 			now = now.Add(tick)
 			for controller.MayPrefill(now) {
 				prompt := rapid.IntRange(1, 600).Draw(t, "prompt")
-				controller.Prefilling(prompt, now)
+				controller.RecordPrefill(prompt, now)
 				total += prompt
 				largest = max(largest, prompt)
 			}
@@ -42,7 +42,7 @@
 	controller.Decide(Input{Report: report}, begin)
 	for range 30 {
 		assert.Assert(t, controller.MayPrefill(begin))
-		controller.Prefilling(128, begin)
+		controller.RecordPrefill(128, begin)
 	}
 	controller.Decide(Input{KnownOnline: 1, Report: report}, begin)
 	assert.Assert(t, !controller.MayPrefill(begin))
@@ -57,7 +57,7 @@
 	now := begin.Add(time.Second)
 	controller.Decide(Input{KnownOnline: 1, Report: report}, begin)
 	assert.Assert(t, controller.MayPrefill(now))
-	controller.Prefilling(1, now)
+	controller.RecordPrefill(1, now)
 	controller.Decide(Input{KnownOnline: 2, Report: report}, now)
 	assert.Assert(t, !controller.MayPrefill(now.Add(quietTime-time.Millisecond)), "batch prefill did not pause after an arrival")
 	assert.Assert(t, controller.MayPrefill(now.Add(quietTime)))
--- a/internal/credit/steps.go
+++ b/internal/credit/steps.go
@@ -87,9 +87,9 @@
 // fits reports whether a prompt fits the budget of the next step beside those already sent for it.
 func (s *stepClock) fits(tokens int) bool { return s.spent == 0 || s.spent+tokens <= s.budget }
 
-// Stepped records that the runner's engine ended a step and started the next one, as shown by tokens of its batch
+// RecordStep records that the runner's engine ended a step and started the next one, as shown by tokens of its batch
 // sequences. Tokens that arrive within StepGap of the first tokens of a step belong to the same step.
-func (c *Controller) Stepped(now time.Time) { c.steps.stepEnded(now) }
+func (c *Controller) RecordStep(now time.Time) { c.steps.stepEnded(now) }
 
 // StepGap returns the time within which tokens count as belonging to one step, or 0 while no step time is known.
 func (c *Controller) StepGap() time.Duration { return max(c.steps.expected, c.steps.reported) / 2 }
@@ -99,8 +99,8 @@
 	return !c.onlinePresent || !c.steps.predictable(now) || c.steps.fits(tokens)
 }
 
-// LookAt returns the time at which the result of MayPrefill may change without any other event, or the zero time.
-func (c *Controller) LookAt(now time.Time) time.Time {
+// NextChange returns the time at which the result of MayPrefill may change without any other event, or the zero time.
+func (c *Controller) NextChange(now time.Time) time.Time {
 	if !c.onlinePresent || !c.steps.predictable(now) || !now.Before(c.steps.sendAt()) {
 		return time.Time{}
 	}
--- a/internal/credit/steps_test.go
+++ b/internal/credit/steps_test.go
@@ -26,7 +26,7 @@
 	for range 1500 {
 		now = now.Add(time.Millisecond)
 		if !now.Before(stepEnd) {
-			controller.Stepped(now)
+			controller.RecordStep(now)
 			steps = append(steps, now)
 			stepEnd = now.Add(time.Duration(rapid.SampledFrom([]int{20, 20, 22, 26, 39}).Draw(t, "step")) * time.Millisecond)
 		}
@@ -42,7 +42,7 @@
 			if !controller.Fits(tokens, now) {
 				break
 			}
-			controller.Prefilling(tokens, now)
+			controller.RecordPrefill(tokens, now)
 			sends = append(sends, steppedSend{at: now, step: len(steps), tokens: tokens})
 		}
 	}
@@ -88,16 +88,16 @@
 	for range 50 {
 		now = now.Add(step)
 		controller.Decide(Input{KnownOnline: 1, Report: reportAt(now, 32)}, now)
-		controller.Stepped(now)
+		controller.RecordStep(now)
 	}
 	assert.Assert(t, !controller.MayPrefill(now))
-	at := controller.LookAt(now)
+	at := controller.NextChange(now)
 	assert.Assert(t, at.After(now.Add(step-2*sendLead)) && at.Before(now.Add(step)), "%s after the step started", at.Sub(now))
 	assert.Assert(t, !controller.MayPrefill(at.Add(-time.Nanosecond)))
 	assert.Assert(t, controller.MayPrefill(at))
-	assert.Assert(t, controller.LookAt(at).IsZero())
+	assert.Assert(t, controller.NextChange(at).IsZero())
 	silent := now.Add(silentSteps * step)
-	assert.Assert(t, controller.LookAt(silent).IsZero(), "steps are predicted without a token")
+	assert.Assert(t, controller.NextChange(silent).IsZero(), "steps are predicted without a token")
 	assert.Assert(t, controller.MayPrefill(silent), "the pace allows it")
 }
 
@@ -109,10 +109,10 @@
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
 		controller.Decide(Input{KnownOnline: 1, Report: reportAt(now, 32)}, now)
-		controller.Stepped(now)
+		controller.RecordStep(now)
 	}
 	assert.Assert(t, controller.StepGap() >= 10*time.Millisecond, "%s", controller.StepGap())
-	sendAfter := controller.LookAt(now).Sub(now)
+	sendAfter := controller.NextChange(now).Sub(now)
 	minimum := time.Duration(minReportedShare*float64(20*time.Millisecond)) - sendLead
 	assert.Assert(t, sendAfter >= minimum, "prompts are sent %s after a step started", sendAfter)
 }
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -157,9 +157,9 @@
 // that the node has not read yet of the list of requests that terminate their runners. Nodes report to the workers
 // of their own zone at least twice a second, so that such an entry reaches them within half a second.
 type Answer struct {
-	Shares []Share     `json:"shares"`
-	Batch  Batch       `json:"batch"`
-	Ends   poison.News `json:"ends,omitzero"`
+	Shares []Share        `json:"shares"`
+	Batch  Batch          `json:"batch"`
+	Ends   poison.Changes `json:"ends,omitzero"`
 	// Bounds are the bounds of the tenants that exceed their share of scarce slots. Tenants that are not listed
 	// are unbounded.
 	Bounds []Bound `json:"bounds,omitempty"`
--- a/internal/dispatch/counthistory_test.go
+++ b/internal/dispatch/counthistory_test.go
@@ -41,7 +41,7 @@
 	}
 	view, _ := table.Runner("r", now)
 	assert.Equal(t, view.SinceReport, -4)
-	shared := view.Shared()
+	shared := view.ReportToShare()
 	assert.Equal(t, shared.WaitingOnline, 0)
 	assert.Equal(t, shared.RunningOnline, 6)
 	snapshot := table.Snapshot("", nil, "m", nil, now)
--- a/internal/dispatch/exchange/shareplan.go
+++ b/internal/dispatch/exchange/shareplan.go
@@ -67,7 +67,7 @@
 
 // summaryOf returns the summary of a view that has a report, as it is shared.
 func summaryOf(view *dispatch.RunnerView) summary {
-	report := view.Shared()
+	report := view.ReportToShare()
 	return summary{
 		loaded: loadedHash(&report),
 		load:   float64(report.RunningOnline+report.WaitingOnline) / float64(max(1, report.MaxSequences)),
--- a/internal/dispatch/exchange/state.go
+++ b/internal/dispatch/exchange/state.go
@@ -12,7 +12,7 @@
 
 // encodeState encodes a view that has a report.
 func encodeState(view *dispatch.RunnerView) *dispatchpb.RunnerState {
-	report := view.Shared()
+	report := view.ReportToShare()
 	state := &dispatchpb.RunnerState{
 		Runner:             string(view.ID),
 		AgeMilliseconds:    uint32(view.ReportAge.Milliseconds()),
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -175,14 +175,14 @@
 	return view
 }
 
-// Holds reports whether the last report lists the model as loaded, and the adapter unless it is empty.
-func (v *RunnerView) Holds(model, adapter string) bool {
+// HasModel reports whether the last report lists the model as loaded, and the adapter unless it is empty.
+func (v *RunnerView) HasModel(model, adapter string) bool {
 	return hasModel(v.Report, model) && (adapter == "" || slices.Contains(v.Report.Adapters, adapter))
 }
 
-// Shared returns the report as the owner of a runner sends it to peers, with its online requests updated to the current
+// ReportToShare returns the report as the owner of a runner sends it to peers, with its online requests updated to the current
 // count. Requests that ended are subtracted from the waiting ones first; new requests are counted as running.
-func (v *RunnerView) Shared() engine.LoadReport {
+func (v *RunnerView) ReportToShare() engine.LoadReport {
 	report := *v.Report
 	before := report.RunningOnline + report.WaitingOnline
 	online := max(v.OwnInFlight+v.PeersInFlight, before+v.SinceReport)
--- a/internal/endwatch/persist.go
+++ b/internal/endwatch/persist.go
@@ -28,7 +28,7 @@
 func (w *Watch) Persist(path string) {
 	records, err := readRecords(path)
 	if err != nil {
-		event.EndsNotKept.Log(w.Logger).Err(err).Send()
+		event.EndsNotStored.Log(w.Logger).Err(err).Send()
 	}
 	w.ApplyRecords(records, false)
 	w.Tomb.Go(func() error {
@@ -39,7 +39,7 @@
 			case <-w.Book.Changed():
 			}
 			if err := writeRecords(path, w.Book.All(w.Now())); err != nil {
-				event.EndsNotKept.Log(w.Logger).Err(err).Send()
+				event.EndsNotStored.Log(w.Logger).Err(err).Send()
 			}
 			if !w.pause(writeInterval) {
 				return nil
--- a/internal/endwatch/verdict.go
+++ b/internal/endwatch/verdict.go
@@ -26,7 +26,7 @@
 	switch {
 	case err == nil:
 		return alive
-	case errors.Is(err, connpool.ErrNobodyListens), errors.Is(err, work.ErrOtherIncarnation):
+	case errors.Is(err, connpool.ErrConnectionRefused), errors.Is(err, work.ErrOtherIncarnation):
 		return ended
 	}
 	return unknown
--- a/internal/endwatch/watch.go
+++ b/internal/endwatch/watch.go
@@ -53,14 +53,14 @@
 type investigation struct {
 	runner work.Runner
 	// fingerprints are the requests whose answers broke off there; startedAt is when the first one did.
-	fingerprints []poison.Print
+	fingerprints []poison.Fingerprint
 	startedAt    time.Time
 	// ended is true if the runner was found to have ended.
 	ended bool
 }
 
 // Refused reports whether a request must not be run any more.
-func (w *Watch) Refused(fingerprint poison.Print) bool {
+func (w *Watch) Refused(fingerprint poison.Fingerprint) bool {
 	return w != nil && w.Book.Refused(fingerprint)
 }
 
@@ -68,11 +68,11 @@
 func (w *Watch) Idle() bool { return w == nil || w.Book.Empty() }
 
 // RecordCompleted records that a runner completed a request.
-func (w *Watch) RecordCompleted(fingerprint poison.Print) { w.Book.Well(fingerprint) }
+func (w *Watch) RecordCompleted(fingerprint poison.Fingerprint) { w.Book.Completed(fingerprint) }
 
 // RecordBroken records that a runner's answer to a request broke off or did not come. Unless the runner is known to be leaving,
 // it is probed.
-func (w *Watch) RecordBroken(runner work.Runner, fingerprint poison.Print) {
+func (w *Watch) RecordBroken(runner work.Runner, fingerprint poison.Fingerprint) {
 	if w == nil || w.Runners.Leaving(runner.ID) {
 		return
 	}
@@ -81,7 +81,7 @@
 	current := w.investigations[runner.ID]
 	if current != nil && current.ended {
 		w.mutex.Unlock()
-		w.recordEnd(current, []poison.Print{fingerprint}, now)
+		w.recordEnd(current, []poison.Fingerprint{fingerprint}, now)
 		return
 	}
 	defer w.mutex.Unlock()
@@ -147,9 +147,9 @@
 }
 
 // recordEnd records the end of a runner for its requests.
-func (w *Watch) recordEnd(current *investigation, fingerprints []poison.Print, now time.Time) {
+func (w *Watch) recordEnd(current *investigation, fingerprints []poison.Fingerprint, now time.Time) {
 	event.RunnerEnded.Log(w.Logger).Str("runner", string(current.runner.ID)).Int("requests", len(fingerprints)).Send()
-	w.logRefused(w.Book.Ended(current.runner.ID, fingerprints, current.startedAt, now))
+	w.logRefused(w.Book.RecordCrash(current.runner.ID, fingerprints, current.startedAt, now))
 }
 
 // ApplyRecords applies records from another node. If passOn is set, this node passes them on to others.
@@ -160,9 +160,9 @@
 }
 
 // logRefused logs each request that is refused from now on.
-func (w *Watch) logRefused(fingerprints []poison.Print) {
+func (w *Watch) logRefused(fingerprints []poison.Fingerprint) {
 	for _, fingerprint := range fingerprints {
-		ends, _ := w.Book.Ends(fingerprint)
+		ends, _ := w.Book.Crashes(fingerprint)
 		event.RequestsRefused.Log(w.Logger).Str("print", string(fingerprint)).Int("ends", ends).Send()
 	}
 }
--- a/internal/endwatch/watch_test.go
+++ b/internal/endwatch/watch_test.go
@@ -24,7 +24,7 @@
 )
 
 var (
-	errGone     = fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrNobodyListens)
+	errGone     = fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrConnectionRefused)
 	errCutOff   = fmt.Errorf("%w: no route", connpool.ErrNotSent)
 	errReplaced = fmt.Errorf("%w: r", work.ErrOtherIncarnation)
 )
@@ -74,8 +74,8 @@
 		"its process is gone":                       {[]error{errGone}, 1, 1},
 		"another incarnation has its address":       {[]error{errReplaced}, 1, 1},
 		"only its connections were reset":           {[]error{nil}, 0, 1},
-		"it closes its address a moment later":      {[]error{connpool.ErrNoAnswer, errGone}, 1, 2},
-		"it is unresponsive for a moment":           {[]error{connpool.ErrNoAnswer, connpool.ErrNoAnswer, nil}, 0, 3},
+		"it closes its address a moment later":      {[]error{connpool.ErrNoResponse, errGone}, 1, 2},
+		"it is unresponsive for a moment":           {[]error{connpool.ErrNoResponse, connpool.ErrNoResponse, nil}, 0, 3},
 		"this node or the runner is partitioned":    {[]error{errCutOff}, 0, 8},
 		"it is partitioned, and another came since": {[]error{errCutOff, errCutOff, errCutOff, errCutOff, errReplaced}, 1, 5},
 	} {
@@ -87,8 +87,8 @@
 				watch.RecordBroken(broken, "one")
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
-				for _, fingerprint := range []poison.Print{"one", "other"} {
-					ends, _ := watch.Book.Ends(fingerprint)
+				for _, fingerprint := range []poison.Fingerprint{"one", "other"} {
+					ends, _ := watch.Book.Crashes(fingerprint)
 					assert.Equal(t, ends, c.ends)
 				}
 				assert.Equal(t, probes.probes.Load(), c.probes)
@@ -119,13 +119,13 @@
 // expires.
 func TestRunnerThatTheListDropsHasEnded(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
-		watch, _ := newWatch(t, connpool.ErrNoAnswer)
+		watch, _ := newWatch(t, connpool.ErrNoResponse)
 		watch.RecordBroken(broken, "one")
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, watch.Idle())
 		watch.Runners.Replace(nil, time.Now(), true)
 		time.Sleep(2 * time.Second)
-		ends, _ := watch.Book.Ends("one")
+		ends, _ := watch.Book.Crashes("one")
 		assert.Equal(t, ends, 1)
 	})
 }
@@ -138,7 +138,7 @@
 		watch.RecordBroken(broken, "one")
 		time.Sleep(time.Second)
 		watch.RecordBroken(broken, "late")
-		ends, _ := watch.Book.Ends("late")
+		ends, _ := watch.Book.Crashes("late")
 		assert.Equal(t, ends, 1)
 		assert.Equal(t, probes.probes.Load(), int32(1))
 	})
@@ -155,7 +155,7 @@
 		watch, _ := newWatch(t, errGone)
 		watch.Persist(path)
 		for _, runner := range []ident.Incarnation{"a", "b", "c"} {
-			watch.Book.Ended(runner, []poison.Print{"bad"}, time.Now(), time.Now())
+			watch.Book.RecordCrash(runner, []poison.Fingerprint{"bad"}, time.Now(), time.Now())
 		}
 		written := func() bool {
 			later, _ := newWatch(t, errGone)
--- a/internal/fleetfeed/changes.go
+++ b/internal/fleetfeed/changes.go
@@ -124,31 +124,31 @@
 	return applied
 }
 
-// Copy is a node's copy of the runner list of a feed. The zero Copy has no list.
-type Copy struct {
+// RunnerListCopy is a node's copy of the runner list of a feed. The zero Copy has no list.
+type RunnerListCopy struct {
 	incarnation, reading int64
 	runners              []work.Runner
 }
 
-// Tell states in a request which list the node has, so that the answer contains only the changes to it.
-func (c *Copy) Tell(known *Known) {
+// SetKnown states in a request which list the node has, so that the answer contains only the changes to it.
+func (c *RunnerListCopy) SetKnown(known *SnapshotRequest) {
 	known.ListOf, known.List, known.Unpacks = c.incarnation, c.reading, true
 }
 
 // Complete restores the full runner list in a snapshot and stores it. After an error, which wraps ErrGap or
 // jsoncall.ErrDamaged, the copy is empty, so that the next answer contains the full list.
-func (c *Copy) Complete(snapshot *Snapshot) error {
+func (c *RunnerListCopy) Complete(snapshot *Snapshot) error {
 	fullList, err := c.fullList(snapshot)
 	if err != nil {
-		*c = Copy{}
+		*c = RunnerListCopy{}
 		return err
 	}
 	snapshot.Runners = fullList
-	*c = Copy{incarnation: snapshot.Incarnation, reading: snapshot.Reading, runners: fullList}
+	*c = RunnerListCopy{incarnation: snapshot.Incarnation, reading: snapshot.Reading, runners: fullList}
 	return nil
 }
 
-func (c *Copy) fullList(snapshot *Snapshot) ([]work.Runner, error) {
+func (c *RunnerListCopy) fullList(snapshot *Snapshot) ([]work.Runner, error) {
 	switch {
 	case len(snapshot.Packed) > 0:
 		return decompress(snapshot.Packed)
--- a/internal/fleetfeed/changes_test.go
+++ b/internal/fleetfeed/changes_test.go
@@ -27,21 +27,21 @@
 
 // testNode is a node that requests snapshots from feeds.
 type testNode struct {
-	list    fleetfeed.Copy
+	list    fleetfeed.RunnerListCopy
 	workers uint64
 }
 
 // fetch requests a snapshot, and returns the node's runner list after it and the size of the answer.
 func (n *testNode) fetch(t assert.TestingT, feed *fleetfeed.Feed) ([]work.Runner, int) {
-	known := &fleetfeed.Known{}
-	n.list.Tell(known)
-	known.WorkersPrint = n.workers
+	known := &fleetfeed.SnapshotRequest{}
+	n.list.SetKnown(known)
+	known.WorkersFingerprint = n.workers
 	known, _ = roundTrip(t, known)
 	snapshot, err := feed.Snapshot(context.Background(), known)
 	assert.NilError(t, err)
 	snapshot, bytes := roundTrip(t, snapshot)
 	assert.NilError(t, n.list.Complete(snapshot))
-	n.workers = snapshot.WorkersPrint
+	n.workers = snapshot.WorkersFingerprint
 	return snapshot.Runners, bytes
 }
 
@@ -75,7 +75,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "starts anew") == 0 {
 				feeds[which] = newFeed()
 			}
-			feeds[which].Read(list, now.Unix(), now)
+			feeds[which].RecordRunners(list, now.Unix(), now)
 			if rapid.Bool().Draw(t, "heard") {
 				got, _ := node.fetch(t, feeds[which])
 				assert.Equal(t, len(got), len(list))
@@ -126,13 +126,13 @@
 		})
 	}
 	feed.Workers = func() []fleetfeed.Worker { return workers }
-	feed.Read(list, 1, now)
+	feed.RecordRunners(list, 1, now)
 	_, whole := node.fetch(t, feed)
 	for reading := range 20 {
 		now = now.Add(time.Second)
 		list = append([]work.Runner{}, list...)
 		list[reading*40].State = work.Draining
-		feed.Read(list, int64(2+reading), now)
+		feed.RecordRunners(list, int64(2+reading), now)
 		got, bytes := node.fetch(t, feed)
 		assert.DeepEqual(t, got, list)
 		assert.Assert(t, bytes < 500, "%d bytes", bytes)
@@ -150,7 +150,7 @@
 func TestWorkersAreSentWhenTheyChange(t *testing.T) {
 	now := time.Unix(100, 0)
 	feed := fleetfeed.New(func() time.Time { return now })
-	feed.Read(fleet(2), 1, now)
+	feed.RecordRunners(fleet(2), 1, now)
 	first, second := fleetfeed.Worker{Node: "a", Zone: "z", Address: "1"}, fleetfeed.Worker{Node: "b", Zone: "z", Address: "2"}
 	moved := fleetfeed.Worker{Node: "b", Zone: "z", Address: "3"}
 	fingerprint := uint64(0)
@@ -162,11 +162,11 @@
 		{[]fleetfeed.Worker{first, moved}, 2}, {nil, 0},
 	} {
 		feed.Workers = func() []fleetfeed.Worker { return step.workers }
-		snapshot, err := feed.Snapshot(t.Context(), &fleetfeed.Known{WorkersPrint: fingerprint})
+		snapshot, err := feed.Snapshot(t.Context(), &fleetfeed.SnapshotRequest{WorkersFingerprint: fingerprint})
 		assert.NilError(t, err)
 		assert.Equal(t, len(snapshot.Workers), step.sent)
-		assert.Equal(t, snapshot.WorkersPrint == 0, len(step.workers) == 0)
-		fingerprint = snapshot.WorkersPrint
+		assert.Equal(t, snapshot.WorkersFingerprint == 0, len(step.workers) == 0)
+		fingerprint = snapshot.WorkersFingerprint
 	}
 }
 
@@ -174,11 +174,11 @@
 func TestNodeOfAnOlderVersionReceivesTheFullList(t *testing.T) {
 	now := time.Unix(100, 0)
 	feed := fleetfeed.New(func() time.Time { return now })
-	feed.Read(fleet(880), 1, now)
+	feed.RecordRunners(fleet(880), 1, now)
 	for range 2 {
 		now = now.Add(time.Second)
-		feed.Read(fleet(881), now.Unix(), now)
-		snapshot, err := feed.Snapshot(t.Context(), &fleetfeed.Known{})
+		feed.RecordRunners(fleet(881), now.Unix(), now)
+		snapshot, err := feed.Snapshot(t.Context(), &fleetfeed.SnapshotRequest{})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, snapshot.Runners, fleet(881))
 		assert.Assert(t, snapshot.Since == 0 && snapshot.Packed == nil)
@@ -198,7 +198,7 @@
 		{{ID: "i-1", Address: "c"}},
 	} {
 		now = now.Add(time.Second)
-		feed.Read(list, now.Unix(), now)
+		feed.RecordRunners(list, now.Unix(), now)
 		got, _ := node.fetch(t, feed)
 		assert.DeepEqual(t, got, list)
 	}
@@ -207,12 +207,12 @@
 // TestChangesToAnotherListAreAGap gives a node changes to a list that it does not have, and a truncated compressed
 // list. The node must report an error and then request the full list.
 func TestChangesToAnotherListAreAGap(t *testing.T) {
-	nodeCopy := &fleetfeed.Copy{}
+	nodeCopy := &fleetfeed.RunnerListCopy{}
 	assert.NilError(t, nodeCopy.Complete(&fleetfeed.Snapshot{Incarnation: 1, Reading: 3, Runners: fleet(2)}))
 	assert.ErrorIs(t, nodeCopy.Complete(&fleetfeed.Snapshot{Incarnation: 1, Reading: 5, Since: 4}), fleetfeed.ErrGap)
-	known := &fleetfeed.Known{}
-	nodeCopy.Tell(known)
-	assert.DeepEqual(t, known, &fleetfeed.Known{Unpacks: true})
+	known := &fleetfeed.SnapshotRequest{}
+	nodeCopy.SetKnown(known)
+	assert.DeepEqual(t, known, &fleetfeed.SnapshotRequest{Unpacks: true})
 	assert.NilError(t, nodeCopy.Complete(&fleetfeed.Snapshot{Incarnation: 1, Reading: 3, Runners: fleet(2)}))
 	assert.ErrorIs(t, nodeCopy.Complete(&fleetfeed.Snapshot{Incarnation: 2, Reading: 5, Since: 3}), fleetfeed.ErrGap)
 	assert.NilError(t, nodeCopy.Complete(&fleetfeed.Snapshot{Incarnation: 1, Reading: 3, Runners: fleet(2)}))
--- a/internal/fleetfeed/feed.go
+++ b/internal/fleetfeed/feed.go
@@ -22,8 +22,8 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Known is a request: it states what the node already has.
-type Known struct {
+// SnapshotRequest is a request: it states what the node already has.
+type SnapshotRequest struct {
 	// Reading is the number of the feed's reading that the node has; zero if it has none.
 	Reading int64 `json:"reading"`
 	// Incarnation identifies the process of the feed. Reading numbers of different processes are not comparable.
@@ -38,8 +38,8 @@
 	ListOf  int64 `json:"list_of,omitempty"`
 	List    int64 `json:"list,omitempty"`
 	Unpacks bool  `json:"unpacks,omitempty"`
-	// WorkersPrint is the fingerprint of the workers that the node received last; zero if it received none.
-	WorkersPrint uint64 `json:"workers_print,omitempty"`
+	// WorkersFingerprint is the fingerprint of the workers that the node received last; zero if it received none.
+	WorkersFingerprint uint64 `json:"workers_print,omitempty"`
 }
 
 // Snapshot holds the newest readings of the feed.
@@ -67,8 +67,8 @@
 	Retire []work.Retirement `json:"retire,omitempty"`
 	// Workers are the workers last seen by the feeding node. The list is empty if the feed does not know them, or if
 	// the requesting node already has the list with this fingerprint. WorkersPrint is its fingerprint.
-	Workers      []Worker `json:"workers,omitempty"`
-	WorkersPrint uint64   `json:"workers_print,omitempty"`
+	Workers            []Worker `json:"workers,omitempty"`
+	WorkersFingerprint uint64   `json:"workers_print,omitempty"`
 	// HeldMs is how long the feed delayed the answer. The rest of the call's duration is transmission time.
 	HeldMs int64 `json:"held_ms"`
 }
@@ -112,8 +112,8 @@
 	return &Feed{Now: now, incarnation: rand.Int64N(math.MaxInt64) + 1, changed: make(chan struct{})}
 }
 
-// Read stores a reading of the runners that began at the given time. A reading older than the newest one is ignored.
-func (f *Feed) Read(runners []work.Runner, revision int64, began time.Time) {
+// RecordRunners stores a reading of the runners that began at the given time. A reading older than the newest one is ignored.
+func (f *Feed) RecordRunners(runners []work.Runner, revision int64, began time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if revision < f.revision || began.Before(f.readAt) {
@@ -125,8 +125,8 @@
 	f.notifyWaiters()
 }
 
-// Orders stores an answer about the orders, as of the given time.
-func (f *Feed) Orders(orders work.Orders, answered time.Time) {
+// RecordOrders stores an answer about the orders, as of the given time.
+func (f *Feed) RecordOrders(orders work.Orders, answered time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if answered.After(f.ordersAt) {
@@ -153,7 +153,7 @@
 
 // Snapshot answers a node: at once if the feed has something newer, otherwise at the next change or when the wait
 // time is over.
-func (f *Feed) Snapshot(ctx context.Context, known *Known) (*Snapshot, error) {
+func (f *Feed) Snapshot(ctx context.Context, known *SnapshotRequest) (*Snapshot, error) {
 	began := f.Now()
 	timer := time.NewTimer(min(time.Duration(known.WaitMs)*time.Millisecond, maxHold))
 	defer timer.Stop()
@@ -185,7 +185,7 @@
 
 // compare returns the snapshot as of now if the feed has something newer or answerNow is set, otherwise nil. It also
 // returns a channel that is closed at the next change.
-func (f *Feed) compare(known *Known, now time.Time, answerNow bool) (*Snapshot, <-chan struct{}, error) {
+func (f *Feed) compare(known *SnapshotRequest, now time.Time, answerNow bool) (*Snapshot, <-chan struct{}, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	newCatalog := f.catalog != nil && f.catalog.Version > known.CatalogVersion
@@ -205,13 +205,13 @@
 }
 
 // addWorkers adds the workers to a snapshot if they differ from those that the node received last.
-func (f *Feed) addWorkers(snapshot *Snapshot, known *Known) {
+func (f *Feed) addWorkers(snapshot *Snapshot, known *SnapshotRequest) {
 	if f.Workers == nil {
 		return
 	}
 	workers := f.Workers()
-	snapshot.WorkersPrint = workersFingerprint(workers)
-	if snapshot.WorkersPrint != known.WorkersPrint {
+	snapshot.WorkersFingerprint = workersFingerprint(workers)
+	if snapshot.WorkersFingerprint != known.WorkersFingerprint {
 		snapshot.Workers = workers
 	}
 }
@@ -228,7 +228,7 @@
 
 // addRunners adds the runner list to a snapshot: as changes, compressed or as it is, depending on what the node
 // accepts. The caller holds the mutex.
-func (f *Feed) addRunners(snapshot *Snapshot, known *Known) (err error) {
+func (f *Feed) addRunners(snapshot *Snapshot, known *SnapshotRequest) (err error) {
 	if known.ListOf == f.incarnation && known.List > 0 {
 		merged, available := f.history.since(known.List)
 		if available && merged.len() <= len(f.runners)/2 {
@@ -247,16 +247,16 @@
 	return err
 }
 
-// LongestAge is the maximum age in a snapshot, and the age of a reading that was never made. It is older than any
+// MaxAge is the maximum age in a snapshot, and the age of a reading that was never made. It is older than any
 // reading that is used, and can be added to without overflow, unlike the time since the zero time.
-const LongestAge = 24 * time.Hour
+const MaxAge = 24 * time.Hour
 
 // ageMs returns the time since a reading in milliseconds, at most LongestAge.
 func ageMs(at, now time.Time) int64 {
 	if at.IsZero() {
-		return LongestAge.Milliseconds()
+		return MaxAge.Milliseconds()
 	}
-	return min(now.Sub(at), LongestAge).Milliseconds()
+	return min(now.Sub(at), MaxAge).Milliseconds()
 }
 
 // Newest is the result of reading the configuration on behalf of another node.
@@ -267,11 +267,11 @@
 	Unread string `json:"unread,omitempty"`
 }
 
-// ErrUnread means that a node could not read the configuration on behalf of another node.
-const ErrUnread = failure.Kind("fleet feed: the configuration could not be read")
+// ErrCatalogUnreadable means that a node could not read the configuration on behalf of another node.
+const ErrCatalogUnreadable = failure.Kind("fleet feed: the configuration could not be read")
 
 // Newest answers a node that must not rely on anything read before its request: it reads the configuration anew.
-func (f *Feed) Newest(ctx context.Context, known *Known) (*Newest, error) {
+func (f *Feed) Newest(ctx context.Context, known *SnapshotRequest) (*Newest, error) {
 	if f.Refresh == nil {
 		return &Newest{Unread: "this node reads for no other"}, nil
 	}
@@ -288,8 +288,8 @@
 
 // Server serves snapshots and the configuration to other nodes.
 type Server interface {
-	Snapshot(ctx context.Context, known *Known) (*Snapshot, error)
-	Newest(ctx context.Context, known *Known) (*Newest, error)
+	Snapshot(ctx context.Context, known *SnapshotRequest) (*Snapshot, error)
+	Newest(ctx context.Context, known *SnapshotRequest) (*Newest, error)
 }
 
 const (
@@ -315,15 +315,15 @@
 }
 
 func receiveSnapshot(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
-	return server.(Server).Snapshot(ctx, in.(*Known))
+	return server.(Server).Snapshot(ctx, in.(*SnapshotRequest))
 }
 
 func receiveNewest(server any, ctx context.Context, in, _ any) (drpc.Message, error) {
-	return server.(Server).Newest(ctx, in.(*Known))
+	return server.(Server).Newest(ctx, in.(*SnapshotRequest))
 }
 
-// Ask requests a snapshot from the feed behind a connection.
-func Ask(ctx context.Context, connection drpc.Conn, known *Known) (*Snapshot, error) {
+// FetchSnapshot requests a snapshot from the feed behind a connection.
+func FetchSnapshot(ctx context.Context, connection drpc.Conn, known *SnapshotRequest) (*Snapshot, error) {
 	snapshot := &Snapshot{}
 	if err := connection.Invoke(ctx, methodSnapshot, jsoncall.Encoding{}, known, snapshot); err != nil {
 		return nil, fmt.Errorf("asking a feed: %w", err)
@@ -331,15 +331,15 @@
 	return snapshot, nil
 }
 
-// AskNewest requests that the node behind a connection read the configuration anew, and returns it if its version is
+// FetchNewestCatalog requests that the node behind a connection read the configuration anew, and returns it if its version is
 // newer than the given one.
-func AskNewest(ctx context.Context, connection drpc.Conn, version int64) (*work.Catalog, error) {
+func FetchNewestCatalog(ctx context.Context, connection drpc.Conn, version int64) (*work.Catalog, error) {
 	newest := &Newest{}
-	if err := connection.Invoke(ctx, methodNewest, jsoncall.Encoding{}, &Known{CatalogVersion: version}, newest); err != nil {
+	if err := connection.Invoke(ctx, methodNewest, jsoncall.Encoding{}, &SnapshotRequest{CatalogVersion: version}, newest); err != nil {
 		return nil, fmt.Errorf("asking a feed for the newest configuration: %w", err)
 	}
 	if newest.Unread != "" {
-		return nil, fmt.Errorf("%w: %s", ErrUnread, newest.Unread)
+		return nil, fmt.Errorf("%w: %s", ErrCatalogUnreadable, newest.Unread)
 	}
 	return newest.Catalog, nil
 }
--- a/internal/fleetfeed/feed_test.go
+++ b/internal/fleetfeed/feed_test.go
@@ -17,17 +17,17 @@
 	now := time.Unix(100, 0)
 	feed := fleetfeed.New(func() time.Time { return now })
 	ctx := context.Background()
-	feed.Orders(work.Orders{Catalog: &work.Catalog{Version: 4}}, now)
-	feed.Read([]work.Runner{{ID: "i-1"}}, 7, now)
+	feed.RecordOrders(work.Orders{Catalog: &work.Catalog{Version: 4}}, now)
+	feed.RecordRunners([]work.Runner{{ID: "i-1"}}, 7, now)
 	now = now.Add(300 * time.Millisecond)
-	first, err := feed.Snapshot(ctx, &fleetfeed.Known{WaitMs: 5000})
+	first, err := feed.Snapshot(ctx, &fleetfeed.SnapshotRequest{WaitMs: 5000})
 	assert.NilError(t, err)
 	assert.Equal(t, len(first.Runners), 1)
 	assert.Equal(t, first.Revision, int64(7))
 	assert.Equal(t, first.RunnersAgeMs, int64(300))
 	assert.Equal(t, first.Catalog.Version, int64(4))
 
-	known := &fleetfeed.Known{Incarnation: first.Incarnation, Reading: first.Reading, CatalogVersion: 4, WaitMs: 1}
+	known := &fleetfeed.SnapshotRequest{Incarnation: first.Incarnation, Reading: first.Reading, CatalogVersion: 4, WaitMs: 1}
 	same, err := feed.Snapshot(ctx, known)
 	assert.NilError(t, err)
 	assert.Equal(t, same.Reading, first.Reading)
@@ -39,8 +39,8 @@
 		snapshot, _ := feed.Snapshot(ctx, known)
 		answered <- snapshot
 	}()
-	feed.Orders(work.Orders{Catalog: &work.Catalog{Version: 3}}, now)
-	feed.Orders(work.Orders{Catalog: &work.Catalog{Version: 6}}, now)
+	feed.RecordOrders(work.Orders{Catalog: &work.Catalog{Version: 3}}, now)
+	feed.RecordOrders(work.Orders{Catalog: &work.Catalog{Version: 6}}, now)
 	assert.Equal(t, (<-answered).Catalog.Version, int64(6))
 }
 
@@ -50,14 +50,14 @@
 	const clockReadsBeforeTheFreeze = 2
 	now, clockReads := time.Unix(100, 0), 0
 	feed := fleetfeed.New(func() time.Time { return now })
-	feed.Read([]work.Runner{{ID: "i-1"}}, 1, now)
+	feed.RecordRunners([]work.Runner{{ID: "i-1"}}, 1, now)
 	feed.Now = func() time.Time {
 		if clockReads++; clockReads > clockReadsBeforeTheFreeze {
 			return now.Add(6 * time.Second)
 		}
 		return now
 	}
-	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.Known{})
+	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.SnapshotRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, snapshot.RunnersAgeMs, snapshot.HeldMs, "the freeze is counted in one of the two durations only")
 }
@@ -67,7 +67,7 @@
 	feed := fleetfeed.New(time.Now)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := feed.Snapshot(ctx, &fleetfeed.Known{WaitMs: 60_000})
+	_, err := feed.Snapshot(ctx, &fleetfeed.SnapshotRequest{WaitMs: 60_000})
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
@@ -75,7 +75,7 @@
 // older than any reading that is used, and small enough to be added to.
 func TestFeedWithoutAReadingReportsTheLongestAge(t *testing.T) {
 	feed := fleetfeed.New(time.Now)
-	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.Known{WaitMs: 1})
+	snapshot, err := feed.Snapshot(context.Background(), &fleetfeed.SnapshotRequest{WaitMs: 1})
 	assert.NilError(t, err)
 	for _, age := range []int64{snapshot.RunnersAgeMs, snapshot.OrdersAgeMs} {
 		assert.Assert(t, age >= time.Hour.Milliseconds() && age <= 365*24*time.Hour.Milliseconds(), "%d ms", age)
--- a/internal/follower/age_test.go
+++ b/internal/follower/age_test.go
@@ -19,7 +19,7 @@
 // agedSource returns readings of given ages after a delay.
 type agedSource struct{ runnersAgeMs, ordersAgeMs int64 }
 
-func (s agedSource) Next(context.Context, *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (s agedSource) Next(context.Context, *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	time.Sleep(5 * time.Millisecond)
 	return &fleetfeed.Snapshot{
 		Incarnation: 1, Reading: 1, Runners: []work.Runner{{ID: "i-1", Service: "s", Slots: 1}}, Revision: 5,
@@ -38,10 +38,10 @@
 				Options: OptionsFor(3*time.Second, heartbeat), Logger: zerolog.Nop(), Now: time.Now,
 			}
 			f.absence = f.Options.absence()
-			assert.Equal(t, f.relay(t.Context(), &fleetfeed.Known{}), sourceStale, "%+v", source)
+			assert.Equal(t, f.relay(t.Context(), &fleetfeed.SnapshotRequest{}), sourceStale, "%+v", source)
 			until := f.relayedUntil()
 			assert.Assert(t, !until.orders.After(time.Now()) && !until.runners.After(time.Now()), "%+v", source)
-			passedOn, err := f.Feed.Snapshot(t.Context(), &fleetfeed.Known{WaitMs: 1})
+			passedOn, err := f.Feed.Snapshot(t.Context(), &fleetfeed.SnapshotRequest{WaitMs: 1})
 			assert.NilError(t, err)
 			assert.Assert(t, passedOn.OrdersAgeMs >= 0 && passedOn.RunnersAgeMs >= 0, "relayed with a negative age: %+v", passedOn)
 		})
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -96,7 +96,7 @@
 	// relaying means that the last call of the source returned fresh data; copy is this node's copy of the source's list. Only
 	// followSource uses them.
 	relaying bool
-	copy     fleetfeed.Copy
+	copy     fleetfeed.RunnerListCopy
 
 	mutex sync.Mutex
 	fresh freshness
@@ -229,7 +229,7 @@
 	}
 	f.applyRunners(listed, revision, began)
 	if f.Feed != nil {
-		f.Feed.Read(listed, revision, began)
+		f.Feed.RecordRunners(listed, revision, began)
 	}
 	return nil
 }
@@ -343,14 +343,14 @@
 // apply applies orders that this node read itself, and relays them.
 func (f *Follower) apply(orders work.Orders) {
 	if f.Feed != nil {
-		f.Feed.Orders(orders, f.Now())
+		f.Feed.RecordOrders(orders, f.Now())
 	}
 	f.adopt(orders.Catalog, false)
 	f.notifyRetirements(orders.Retire)
 }
 
-// ErrRegistryAway means that the registry is known to be unresponsive.
-const ErrRegistryAway = failure.Kind("follower: the registry does not answer")
+// ErrRegistryUnreachable means that the registry is known to be unresponsive.
+const ErrRegistryUnreachable = failure.Kind("follower: the registry does not answer")
 
 // Refresh applies the newest configuration, from a reading that begins after the call, for callers that must not use an older one. It has
 // another node read the registry if possible. Otherwise this node reads it, and fails at once if the registry is known to be unresponsive.
@@ -363,7 +363,7 @@
 	away := f.lost && !f.answering
 	f.mutex.Unlock()
 	if away {
-		return ErrRegistryAway
+		return ErrRegistryUnreachable
 	}
 	_, err := f.nextOrders(ctx, 0)
 	return err
@@ -393,7 +393,7 @@
 	}
 	if f.Feed != nil {
 		// The source sends it only once, possibly with a list that is too old to be relayed.
-		f.Feed.Orders(work.Orders{Catalog: catalog}, time.Time{})
+		f.Feed.RecordOrders(work.Orders{Catalog: catalog}, time.Time{})
 	}
 	before := f.Routes.Catalog()
 	if !f.Routes.Adopt(catalog) {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -91,7 +91,7 @@
 	cut  chan struct{}
 }
 
-func (s *feedSource) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (s *feedSource) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	select {
 	case <-s.cut:
 		return nil, kv.ErrUnavailable
@@ -170,7 +170,7 @@
 	eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		defer cancel()
-		_, err := feed.Snapshot(ctx, &fleetfeed.Known{})
+		_, err := feed.Snapshot(ctx, &fleetfeed.SnapshotRequest{})
 		return err == nil
 	})
 	own := &fakeRegistry{down: true}
@@ -193,8 +193,8 @@
 func TestWorkerRelaysWhatItReceived(t *testing.T) {
 	first := fleetfeed.New(time.Now)
 	read := time.Now().Add(-200 * time.Millisecond)
-	first.Orders(work.Orders{Catalog: &work.Catalog{Form: work.CatalogForm, Version: 3}, Retire: []work.Retirement{{Node: "w-2", Within: time.Second}}}, read)
-	first.Read([]work.Runner{{ID: "i-1"}}, 1, read)
+	first.RecordOrders(work.Orders{Catalog: &work.Catalog{Form: work.CatalogForm, Version: 3}, Retire: []work.Retirement{{Node: "w-2", Within: time.Second}}}, read)
+	first.RecordRunners([]work.Runner{{ID: "i-1"}}, 1, read)
 
 	var mutex sync.Mutex
 	var received []work.Retirement
@@ -211,12 +211,12 @@
 
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	snapshot, err := second.Snapshot(ctx, &fleetfeed.Known{WaitMs: 30_000})
+	snapshot, err := second.Snapshot(ctx, &fleetfeed.SnapshotRequest{WaitMs: 30_000})
 	assert.NilError(t, err)
 	assert.Equal(t, len(snapshot.Runners), 1)
 	assert.Assert(t, snapshot.RunnersAgeMs >= 200, "the age is %d ms", snapshot.RunnersAgeMs)
 	eventually(t, func() bool {
-		snapshot, err = second.Snapshot(ctx, &fleetfeed.Known{})
+		snapshot, err = second.Snapshot(ctx, &fleetfeed.SnapshotRequest{})
 		return err == nil && snapshot.Catalog != nil && len(snapshot.Retire) == 1
 	})
 	assert.Equal(t, snapshot.Catalog.Version, int64(3))
--- a/internal/follower/olderbuild_test.go
+++ b/internal/follower/olderbuild_test.go
@@ -35,8 +35,8 @@
 		supervisor := new(tomb.Tomb)
 		version := int64(1)
 		send := func() {
-			feed.Read(runners, 5, time.Now())
-			feed.Orders(work.Orders{Catalog: &work.Catalog{Version: version}}, time.Now())
+			feed.RecordRunners(runners, 5, time.Now())
+			feed.RecordOrders(work.Orders{Catalog: &work.Catalog{Version: version}}, time.Now())
 		}
 		send()
 		f.Start(supervisor)
--- a/internal/follower/relay.go
+++ b/internal/follower/relay.go
@@ -15,17 +15,17 @@
 // reads the registry itself.
 type Source interface {
 	// Next returns a snapshot newer than the known one, or the present one after the wait in known.
-	Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error)
+	Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error)
 }
 
-// Passing is a Source that can switch to another node.
-type Passing interface {
-	// PassOver reports that the data of the last node was too old to be used.
-	PassOver()
+// SwitchableSource is a Source that can switch to another node.
+type SwitchableSource interface {
+	// SwitchNode reports that the data of the last node was too old to be used.
+	SwitchNode()
 }
 
-// ErrReadAlone means that there is no other node to ask: this node must read the registry itself at once.
-const ErrReadAlone = failure.Kind("follower: no other node reads")
+// ErrNoSource means that there is no other node to ask: this node must read the registry itself at once.
+const ErrNoSource = failure.Kind("follower: no other node reads")
 
 // freshness is the time until which relayed readings may be used.
 type freshness struct {
@@ -46,7 +46,7 @@
 
 // followSource applies what the source read, as long as it is fresh.
 func (f *Follower) followSource(ctx context.Context) error {
-	known := &fleetfeed.Known{WaitMs: f.maxListAge().Milliseconds()}
+	known := &fleetfeed.SnapshotRequest{WaitMs: f.maxListAge().Milliseconds()}
 	for ctx.Err() == nil {
 		outcome := f.relay(ctx, known)
 		f.setRelaying(outcome == sourceFresh)
@@ -66,8 +66,8 @@
 
 // switchSource switches the source to another node if it supports that: the present node may be the only one that the registry refuses.
 func (f *Follower) switchSource() {
-	if source, passes := f.Source.(Passing); passes {
-		source.PassOver()
+	if source, passes := f.Source.(SwitchableSource); passes {
+		source.SwitchNode()
 	}
 }
 
@@ -175,16 +175,16 @@
 }
 
 // relay calls the source once and applies its answer.
-func (f *Follower) relay(ctx context.Context, known *fleetfeed.Known) outcome {
+func (f *Follower) relay(ctx context.Context, known *fleetfeed.SnapshotRequest) outcome {
 	ctx, cancel := context.WithTimeout(ctx, f.maxListAge()+relaySlack)
 	defer cancel()
 	if catalog := f.Routes.Catalog(); catalog != nil {
 		known.CatalogVersion = catalog.Version
 	}
-	f.copy.Tell(known)
+	f.copy.SetKnown(known)
 	began := f.Now()
 	snapshot, err := f.Source.Next(ctx, known)
-	if errors.Is(err, ErrReadAlone) {
+	if errors.Is(err, ErrNoSource) {
 		f.readAlone()
 	}
 	f.setSourceAnswers(err == nil)
@@ -214,7 +214,7 @@
 }
 
 // processSnapshot applies the parts of a snapshot that are recent enough.
-func (f *Follower) processSnapshot(snapshot *fleetfeed.Snapshot, known *fleetfeed.Known, ages snapshotAges) outcome {
+func (f *Follower) processSnapshot(snapshot *fleetfeed.Snapshot, known *fleetfeed.SnapshotRequest, ages snapshotAges) outcome {
 	listFresh, ordersFresh := ages.runners <= f.maxListAge(), ages.orders <= f.maxOrdersAge()
 	if !listFresh || ordersFresh {
 		known.Incarnation, known.Reading = snapshot.Incarnation, snapshot.Reading
@@ -241,8 +241,8 @@
 	f.applyRunners(snapshot.Runners, snapshot.Revision, read)
 	f.notifyRetirements(snapshot.Retire)
 	if f.Feed != nil {
-		f.Feed.Read(snapshot.Runners, snapshot.Revision, read)
-		f.Feed.Orders(work.Orders{Catalog: snapshot.Catalog, Retire: snapshot.Retire}, ages.received.Add(-ages.orders))
+		f.Feed.RecordRunners(snapshot.Runners, snapshot.Revision, read)
+		f.Feed.RecordOrders(work.Orders{Catalog: snapshot.Catalog, Retire: snapshot.Retire}, ages.received.Add(-ages.orders))
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -251,8 +251,8 @@
 
 // receivedAge converts an age sent by another node. An age outside the valid range stands for a reading that was never made.
 func receivedAge(ms int64) time.Duration {
-	if ms < 0 || ms > fleetfeed.LongestAge.Milliseconds() {
-		return fleetfeed.LongestAge
+	if ms < 0 || ms > fleetfeed.MaxAge.Milliseconds() {
+		return fleetfeed.MaxAge
 	}
 	return time.Duration(ms) * time.Millisecond
 }
--- a/internal/follower/simulation_test.go
+++ b/internal/follower/simulation_test.go
@@ -263,7 +263,7 @@
 }
 
 // Next implements follower.Source.
-func (s *partitionedSource) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (s *partitionedSource) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	if !s.registry.scenario.fault.outage && s.registry.cut {
 		if err := s.registry.call(ctx, 0); err != nil {
 			return nil, err
--- a/internal/follower/start_test.go
+++ b/internal/follower/start_test.go
@@ -25,7 +25,7 @@
 	feed  *fleetfeed.Feed
 }
 
-func (s *lateSource) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (s *lateSource) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	if time.Now().Before(s.from) {
 		return nil, s.until
 	}
@@ -47,7 +47,7 @@
 	}{
 		{"answer in time", 400 * time.Millisecond, kv.ErrUnavailable, 400 * time.Millisecond, 500 * time.Millisecond, false},
 		{"no answer", time.Hour, kv.ErrUnavailable, grace, grace + 100*time.Millisecond, true},
-		{"no other node", time.Hour, follower.ErrReadAlone, 0, 100 * time.Millisecond, true},
+		{"no other node", time.Hour, follower.ErrNoSource, 0, 100 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulated.Test(t, func(t *testing.T) {
@@ -64,8 +64,8 @@
 				supervisor := new(tomb.Tomb)
 				f.Start(supervisor)
 				for f.Runners.Count() == 0 && time.Since(began) < time.Minute {
-					feed.Read(runners, 5, time.Now())
-					feed.Orders(work.Orders{Catalog: registry.catalog}, time.Now())
+					feed.RecordRunners(runners, 5, time.Now())
+					feed.RecordOrders(work.Orders{Catalog: registry.catalog}, time.Now())
 					time.Sleep(10 * time.Millisecond)
 				}
 				known := time.Since(began)
@@ -84,9 +84,9 @@
 	turn time.Time
 }
 
-func (s *turnSource) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (s *turnSource) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	if !time.Now().Before(s.turn) {
-		return nil, follower.ErrReadAlone
+		return nil, follower.ErrNoSource
 	}
 	return s.lateSource.Next(ctx, known)
 }
@@ -105,11 +105,11 @@
 			Now: time.Now, Options: follower.OptionsFor(longDrain, siteHeartbeat),
 		}
 		f.Options.StartGrace = time.Second
-		feed.Read(runners, 5, began)
-		feed.Orders(work.Orders{Catalog: registry.catalog}, began)
+		feed.RecordRunners(runners, 5, began)
+		feed.RecordOrders(work.Orders{Catalog: registry.catalog}, began)
 		supervisor := new(tomb.Tomb)
 		f.Start(supervisor)
-		time.AfterFunc(100*time.Millisecond, func() { feed.Read(runners, 5, time.Now()) })
+		time.AfterFunc(100*time.Millisecond, func() { feed.RecordRunners(runners, 5, time.Now()) })
 		time.Sleep(700 * time.Millisecond)
 		assert.Assert(t, registry.read() > 0, "nothing was read while the received data was fresh")
 		supervisor.Kill(nil)
@@ -143,8 +143,8 @@
 				Now: time.Now, Options: follower.OptionsFor(longDrain, siteHeartbeat),
 			}
 			f.Options.StartGrace = time.Second
-			feed.Read(runners, 5, time.Now())
-			feed.Orders(work.Orders{Catalog: registry.catalog}, time.Now())
+			feed.RecordRunners(runners, 5, time.Now())
+			feed.RecordOrders(work.Orders{Catalog: registry.catalog}, time.Now())
 			supervisor := new(tomb.Tomb)
 			f.Start(supervisor)
 			registry.set(func(r *fakeRegistry) { r.down = true })
@@ -159,9 +159,9 @@
 			})
 			if !dies {
 				time.Sleep(120 * time.Millisecond)
-				feed.Read(registry.runners, 6, time.Now())
+				feed.RecordRunners(registry.runners, 6, time.Now())
 				time.Sleep(ordersAfter)
-				feed.Orders(work.Orders{Catalog: registry.catalog}, time.Now())
+				feed.RecordOrders(work.Orders{Catalog: registry.catalog}, time.Now())
 			}
 			for f.Runners.Count() < 2 && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
--- a/internal/handoff/deliver.go
+++ b/internal/handoff/deliver.go
@@ -44,7 +44,7 @@
 	Now           func() time.Time
 	// MemoryBudget accounts for the memory of the entry being delivered; nil accounts for nothing. It does not refuse an entry: a
 	// job that was accepted must reach the store.
-	MemoryBudget *heldbytes.OfNode
+	MemoryBudget *heldbytes.NodeBudget
 
 	mutex sync.Mutex
 	// rounds counts for each entry the rounds since it was added or since the last failed call, whichever was later: an
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -18,7 +18,7 @@
 // countedStore records how many bytes are accounted for while a job is delivered.
 type countedStore struct {
 	handoff.Store
-	budget  *heldbytes.OfNode
+	budget  *heldbytes.NodeBudget
 	maxHeld int64
 }
 
--- a/internal/handoff/log.go
+++ b/internal/handoff/log.go
@@ -172,7 +172,7 @@
 	defer l.mutex.Unlock()
 	tokens := 0
 	for _, entry := range l.entries {
-		if queue.Has(entry.Route, entry.Tenant) {
+		if queue.Contains(entry.Route, entry.Tenant) {
 			tokens += entry.Tokens
 		}
 	}
--- a/internal/heldbytes/budget.go
+++ b/internal/heldbytes/budget.go
@@ -13,18 +13,18 @@
 )
 
 type (
-	// OfNode is the budget of a node. Connections are named by the address of their other end.
-	OfNode = Budget[ident.Tenant, string]
+	// NodeBudget is the budget of a node. Connections are named by the address of their other end.
+	NodeBudget = Budget[ident.Tenant, string]
 	// Held is a reservation in a node's budget, Whose the owner of a reservation.
 	Held  = Reservation[ident.Tenant, string]
 	Whose = Owner[ident.Tenant, string]
 )
 
-// ErrOver means that a reservation exceeds the budget. Nothing was reserved.
-const ErrOver = failure.Kind("held bytes: memory budget exceeded")
+// ErrBudgetExceeded means that a reservation exceeds the budget. Nothing was reserved.
+const ErrBudgetExceeded = failure.Kind("held bytes: memory budget exceeded")
 
-// ErrShare means that a reservation exceeds the limit of one tenant or connection. It is always wrapped together with ErrOver.
-const ErrShare = failure.Kind("held bytes: limit of one tenant or connection exceeded")
+// ErrOwnerLimit means that a reservation exceeds the limit of one tenant or connection. It is always wrapped together with ErrOver.
+const ErrOwnerLimit = failure.Kind("held bytes: limit of one tenant or connection exceeded")
 
 // Kind is the purpose of a reservation. The kinds that a front uses come first, in order of rising urgency, then those that a worker
 // uses.
@@ -106,16 +106,16 @@
 
 // Tally is the use of a budget since the previous call of Take.
 type Tally struct {
-	// Held is the current total, Most the peak since the previous call of Take, and All the limit, in bytes.
-	Held, Most, All int64
+	// Held is the current total, Peak the peak since the previous call of Take, and All the limit, in bytes.
+	Held, Peak, All int64
 	// Refused counts the refused reservations and growths, by kind.
 	Refused [kindCount]int
-	// Cut counts the clients that were disconnected because they read too slowly.
-	Cut int
+	// Disconnected counts the clients that were disconnected because they read too slowly.
+	Disconnected int
 }
 
-// RefusedInAll returns the number of refusals of all kinds.
-func (t Tally) RefusedInAll() int {
+// TotalRefused returns the number of refusals of all kinds.
+func (t Tally) TotalRefused() int {
 	sum := 0
 	for _, refused := range t.Refused {
 		sum += refused
@@ -126,10 +126,10 @@
 // reportShare is the fraction of the budget from which on the use is reported even without a refusal.
 const reportShare = 0.25
 
-// Telling reports whether the tally is worth a log line: something was refused, a client was disconnected, or the peak exceeded
+// Reportable reports whether the tally is worth a log line: something was refused, a client was disconnected, or the peak exceeded
 // reportShare of the budget.
-func (t Tally) Telling() bool {
-	return t.RefusedInAll() > 0 || t.Cut > 0 || float64(t.Most) > reportShare*float64(t.All)
+func (t Tally) Reportable() bool {
+	return t.TotalRefused() > 0 || t.Disconnected > 0 || float64(t.Peak) > reportShare*float64(t.All)
 }
 
 // New returns an empty budget.
@@ -164,28 +164,28 @@
 	return &Reservation[T, C]{budget: b, owner: owner, kind: kind}
 }
 
-// Take returns the tally and starts a new one.
-func (b *Budget[T, C]) Take() Tally {
+// TakeTally returns the tally and starts a new one.
+func (b *Budget[T, C]) TakeTally() Tally {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	taken := b.tally
 	taken.Held, taken.All = b.held, b.limits.All
-	b.tally = Tally{Most: b.held}
+	b.tally = Tally{Peak: b.held}
 	return taken
 }
 
-// NoteCut counts a client that was disconnected because it read too slowly.
-func (b *Budget[T, C]) NoteCut() {
+// CountDisconnected counts a client that was disconnected because it read too slowly.
+func (b *Budget[T, C]) CountDisconnected() {
 	if b == nil {
 		return
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tally.Cut++
+	b.tally.Disconnected++
 }
 
-// Over reports whether the total exceeds the limit up to which reservations of a kind are admitted.
-func (b *Budget[T, C]) Over(kind Kind) bool {
+// Exceeds reports whether the total exceeds the limit up to which reservations of a kind are admitted.
+func (b *Budget[T, C]) Exceeds(kind Kind) bool {
 	if b == nil {
 		return false
 	}
@@ -210,11 +210,11 @@
 	var noConnection C
 	switch {
 	case bytes < 0, b.held+bytes > b.limits.Kinds[kind]:
-		return ErrOver
+		return ErrBudgetExceeded
 	case owner.Tenant != noTenant && b.tenants[owner.Tenant]+bytes > b.limits.Tenant:
-		return fmt.Errorf("%w: %w", ErrOver, ErrShare)
+		return fmt.Errorf("%w: %w", ErrBudgetExceeded, ErrOwnerLimit)
 	case owner.Connection != noConnection && b.connections[owner.Connection]+bytes > b.limits.Connection:
-		return fmt.Errorf("%w: %w", ErrOver, ErrShare)
+		return fmt.Errorf("%w: %w", ErrBudgetExceeded, ErrOwnerLimit)
 	}
 	return nil
 }
@@ -251,7 +251,7 @@
 	var noTenant T
 	var noConnection C
 	b.held += bytes
-	b.tally.Most = max(b.tally.Most, b.held)
+	b.tally.Peak = max(b.tally.Peak, b.held)
 	if owner.Tenant != noTenant {
 		addTo(b.tenants, owner.Tenant, bytes)
 	}
@@ -289,7 +289,7 @@
 	defer r.budget.mutex.Unlock()
 	err := r.budget.checkAdmission(r.kind, r.owner, bytes)
 	if r.released {
-		err = ErrOver
+		err = ErrBudgetExceeded
 	}
 	if err != nil {
 		r.budget.tally.Refused[r.kind]++
@@ -335,8 +335,8 @@
 // minimumRetryAfter is the shortest retry delay after a refusal: requests end within a few hundred milliseconds and free memory.
 const minimumRetryAfter = 300 * time.Millisecond
 
-// ReturnAfter returns the retry delay of a refused client, given a random number from 0 to 1. Clients that were refused at the same time
+// RetryAfter returns the retry delay of a refused client, given a random number from 0 to 1. Clients that were refused at the same time
 // retry between minimumRetryAfter and twice that.
-func ReturnAfter(random float64) time.Duration {
+func RetryAfter(random float64) time.Duration {
 	return minimumRetryAfter + time.Duration(random*float64(minimumRetryAfter))
 }
--- a/internal/heldbytes/budget_test.go
+++ b/internal/heldbytes/budget_test.go
@@ -51,9 +51,9 @@
 	for request := range 1435 {
 		mustReserve(t, held, heldbytes.Request, owner{Connection: 1000 + request}, 4*kilobyte)
 	}
-	tally := held.Take()
-	assert.Equal(t, tally.RefusedInAll(), 100-taken)
-	assert.Assert(t, tally.Most <= smallFront/5, "%d bytes were held", tally.Most)
+	tally := held.TakeTally()
+	assert.Equal(t, tally.TotalRefused(), 100-taken)
+	assert.Assert(t, tally.Peak <= smallFront/5, "%d bytes were held", tally.Peak)
 }
 
 // TestAnswersFitBesideRequests fills a front with requests: a quarter of the budget must be left for answers to requests that have run.
@@ -61,7 +61,7 @@
 	held := newBudget(smallFront)
 	for connection := 1; ; connection++ {
 		if _, err := held.Reserve(heldbytes.Request, owner{Connection: connection}, megabyte); err != nil {
-			assert.ErrorIs(t, err, heldbytes.ErrOver)
+			assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 			break
 		}
 	}
@@ -108,10 +108,10 @@
 	first.Release()
 	first.Release()
 	first.Shrink(5)
-	assert.ErrorIs(t, first.Grow(1), heldbytes.ErrOver)
-	assert.Equal(t, held.Take().Held, int64(10))
+	assert.ErrorIs(t, first.Grow(1), heldbytes.ErrBudgetExceeded)
+	assert.Equal(t, held.TakeTally().Held, int64(10))
 	second.Shrink(20)
-	assert.Equal(t, held.Take().Held, int64(0))
+	assert.Equal(t, held.TakeTally().Held, int64(0))
 }
 
 // TestLoweredLimitsRefuseUntilReservationsFit lowers the limits below the current total, as when settings are reloaded with less memory.
@@ -120,7 +120,7 @@
 	large := mustReserve(t, held, heldbytes.Request, owner{Connection: 1}, 4*megabyte)
 	held.SetLimits(heldbytes.LimitsOf(megabyte))
 	_, err := held.Reserve(heldbytes.Request, owner{Connection: 2}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrOver)
+	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 	large.Release()
 	mustReserve(t, held, heldbytes.Request, owner{Connection: 2}, 1)
 }
@@ -133,7 +133,7 @@
 	assert.NilError(t, made.Grow(1<<60))
 	made.Shrink(1)
 	made.Release()
-	none.NoteCut()
+	none.CountDisconnected()
 }
 
 // model is a reference implementation that sums up all reservations for every check.
@@ -193,7 +193,7 @@
 			} else {
 				changeRandom(t, limits, reference, order, step, bytes)
 			}
-			if got, want := held.Take().Held, reference.sum(func(owner) bool { return true }); got != want {
+			if got, want := held.TakeTally().Held, reference.sum(func(owner) bool { return true }); got != want {
 				t.Fatalf("%d bytes are held, want %d", got, want)
 			}
 		}
@@ -208,7 +208,7 @@
 	case 1:
 		fits := !one.released && reference.allows(limits, one.kind, one.whose, bytes)
 		err := chosen.Grow(bytes)
-		if fits != (err == nil) || (err != nil && !errors.Is(err, heldbytes.ErrOver)) {
+		if fits != (err == nil) || (err != nil && !errors.Is(err, heldbytes.ErrBudgetExceeded)) {
 			t.Fatalf("growing %v by %d: fits %v, %v", one, bytes, fits, err)
 		}
 		if err == nil {
@@ -241,9 +241,9 @@
 		})
 	}
 	running.Wait()
-	tally := held.Take()
+	tally := held.TakeTally()
 	assert.Equal(t, tally.Held, int64(0))
-	assert.Assert(t, tally.Most <= megabyte/5, "%d bytes were held", tally.Most)
+	assert.Assert(t, tally.Peak <= megabyte/5, "%d bytes were held", tally.Peak)
 }
 
 // TestOnlyJobIsAdmittedWhateverItsSize has a worker with the smallest memory reserve 6 MiB jobs: it must not admit more of them than fit
@@ -252,7 +252,7 @@
 	held := newBudget(smallFront)
 	first := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 100*megabyte)
 	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "b"}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrOver)
+	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 	first.Release()
 	taken := 0
 	for ; ; taken++ {
@@ -260,10 +260,10 @@
 			break
 		}
 	}
-	assert.ErrorIs(t, err, heldbytes.ErrOver)
+	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 	assert.Assert(t, taken >= 2, "%d jobs were taken", taken)
-	assert.Assert(t, held.Take().Most >= 100*megabyte)
-	assert.Assert(t, held.Take().Held <= smallFront/5*3/4)
+	assert.Assert(t, held.TakeTally().Peak >= 100*megabyte)
+	assert.Assert(t, held.TakeTally().Held <= smallFront/5*3/4)
 }
 
 // TestTenantLimitIsDistinguishedFromTotal has the jobs of one tenant refused while those of another still fit: only the refusal by the
@@ -272,11 +272,11 @@
 	held := newBudget(smallFront)
 	mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 12*megabyte)
 	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "a"}, 6*megabyte)
-	assert.ErrorIs(t, err, heldbytes.ErrShare)
-	assert.ErrorIs(t, err, heldbytes.ErrOver)
+	assert.ErrorIs(t, err, heldbytes.ErrOwnerLimit)
+	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 	mustReserve(t, held, heldbytes.Job, owner{Tenant: "b"}, 6*megabyte)
 	_, err = held.Reserve(heldbytes.Job, owner{Tenant: "c"}, 6*megabyte)
-	assert.Assert(t, errors.Is(err, heldbytes.ErrOver) && !errors.Is(err, heldbytes.ErrShare), err)
+	assert.Assert(t, errors.Is(err, heldbytes.ErrBudgetExceeded) && !errors.Is(err, heldbytes.ErrOwnerLimit), err)
 }
 
 // TestOutputOfJobsIsCountedBeyondTheLimits has the output of a job exceed the budget: it must be counted, because the memory is in use.
@@ -284,11 +284,11 @@
 	held := newBudget(smallFront)
 	job := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, megabyte)
 	job.Set(smallFront)
-	assert.Assert(t, held.Over(heldbytes.Job) && held.Over(heldbytes.Kept))
+	assert.Assert(t, held.Exceeds(heldbytes.Job) && held.Exceeds(heldbytes.Kept))
 	_, err := held.Reserve(heldbytes.Kept, owner{}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrOver)
+	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
 	job.Set(kilobyte)
-	assert.Assert(t, !held.Over(heldbytes.Kept))
+	assert.Assert(t, !held.Exceeds(heldbytes.Kept))
 	job.Release()
 	job.Set(megabyte)
 	now, all := held.Load()
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -193,9 +193,9 @@
 func (a *acceptance) try(ctx context.Context) bool {
 	results := make(chan attemptResult, 2)
 	// Each call has its own tomb: a tomb whose goroutines have all ended accepts no more.
-	a.submission.Hold()
+	a.submission.Retain()
 	new(tomb.Tomb).Go(func() error {
-		defer a.submission.LetGo()
+		defer a.submission.Release()
 		waitingTokens, err := a.intake.accept(ctx, a)
 		results <- attemptResult{waitingTokens: waitingTokens, err: err}
 		return nil
@@ -225,9 +225,9 @@
 		if !workersAsked && !a.final() {
 			workersAsked = true
 			inFlight++
-			a.submission.Hold()
+			a.submission.Retain()
 			new(tomb.Tomb).Go(func() error {
-				defer a.submission.LetGo()
+				defer a.submission.Release()
 				results <- attemptResult{handedOff: true, err: a.intake.Workers.StoreHandoff(ctx, a.holderLimit(), a.submission)}
 				return nil
 			})
@@ -252,7 +252,7 @@
 func (a *acceptance) final() bool {
 	var typed *failure.Error
 	if !errors.As(a.last, &typed) {
-		return errors.Is(a.last, jobrecord.ErrOthersJob)
+		return errors.Is(a.last, jobrecord.ErrOtherTenant)
 	}
 	return typed.Code == failure.CodeJobQuota || typed.Code == failure.CodeBodyTooLarge
 }
--- a/internal/jobentry/intake.go
+++ b/internal/jobentry/intake.go
@@ -103,8 +103,8 @@
 	attempt := &acceptance{
 		intake: d, route: route, submission: submission, attemptID: strconv.FormatUint(rand.Uint64(), 36), jobOutcome: outcome.NotRun,
 	}
-	submission.Hold()
-	defer submission.LetGo()
+	submission.Retain()
+	defer submission.Release()
 	if d.unreachable() {
 		return d.refuseUnreachable(submission)
 	}
@@ -123,7 +123,7 @@
 const ErrUnreachable = failure.Kind("job entry: nobody answers this node")
 
 // unreachable reports whether this node can neither accept nor read jobs.
-func (d *Intake) unreachable() bool { return d.Reachability.Deaf(d.now()) }
+func (d *Intake) unreachable() bool { return d.Reachability.Partitioned(d.now()) }
 
 // refuseUnreachable refuses a job without sending it anywhere: another node can accept it now, while this one would hold
 // it until the caller gave up.
@@ -161,7 +161,7 @@
 		return final
 	case errors.As(last, &final) && final.Code == failure.CodeBodyTooLarge:
 		return final
-	case errors.Is(last, jobrecord.ErrOthersJob):
+	case errors.Is(last, jobrecord.ErrOtherTenant):
 		return failure.New(failure.CodeConflict, "another job has this id").WithCause(last)
 	case jobOutcome != outcome.NotRun:
 		return failure.New(failure.CodeOutcomeUnknown, "the job may have been taken; send it again").WithOutcome(jobOutcome).WithCause(last)
--- a/internal/jobpeer/feed.go
+++ b/internal/jobpeer/feed.go
@@ -47,15 +47,15 @@
 }
 
 // Next implements follower.Source.
-func (w *WorkerFeed) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (w *WorkerFeed) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	address, connection, err := w.Client.Nearest(ctx, w.Index+w.failed+w.passedOver)
 	if err != nil {
 		w.failed++
 		return nil, err
 	}
 	sent := w.Client.Now()
-	known.WorkersPrint = w.workersFingerprint
-	snapshot, err := fleetfeed.Ask(ctx, connection, known)
+	known.WorkersFingerprint = w.workersFingerprint
+	snapshot, err := fleetfeed.FetchSnapshot(ctx, connection, known)
 	if err != nil {
 		w.failed++
 		w.Client.skip(address)
@@ -76,8 +76,8 @@
 // snapshotWorkers returns the workers of a snapshot. A snapshot without workers but with the fingerprint of the previous list
 // stands for that list.
 func (w *WorkerFeed) snapshotWorkers(snapshot *fleetfeed.Snapshot) []fleetfeed.Worker {
-	if len(snapshot.Workers) > 0 || snapshot.WorkersPrint == 0 || snapshot.WorkersPrint != w.workersFingerprint {
-		w.workers, w.workersFingerprint = snapshot.Workers, snapshot.WorkersPrint
+	if len(snapshot.Workers) > 0 || snapshot.WorkersFingerprint == 0 || snapshot.WorkersFingerprint != w.workersFingerprint {
+		w.workers, w.workersFingerprint = snapshot.Workers, snapshot.WorkersFingerprint
 	}
 	return w.workers
 }
--- a/internal/jobpeer/formats_test.go
+++ b/internal/jobpeer/formats_test.go
@@ -58,7 +58,7 @@
 		"quota-reply":      &quota.Answer{},
 		"room":             &jobpeer.RoomRequest{},
 		"room-reply":       &jobpeer.RoomReply{},
-		"feed":             &fleetfeed.Known{},
+		"feed":             &fleetfeed.SnapshotRequest{},
 		"feed-reply":       &fleetfeed.Snapshot{},
 		"newest-reply":     &fleetfeed.Newest{},
 		"job-header":       &jobrecord.Header{},
--- a/internal/jobpeer/keep.go
+++ b/internal/jobpeer/keep.go
@@ -91,9 +91,9 @@
 func (k *keepOperation) ask(ctx context.Context, replies chan<- *KeepReply) {
 	address, turn := k.candidates[k.asked], k.asked
 	k.asked++
-	k.submission.Hold()
+	k.submission.Retain()
 	new(tomb.Tomb).Go(func() error {
-		defer k.submission.LetGo()
+		defer k.submission.Release()
 		request := &KeepRequest{
 			Entry: handoff.NewEntry(k.submission, k.date, turn), MaximumQueuedTokens: k.bound, Copies: k.needed + spareCandidates,
 		}
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -210,11 +210,11 @@
 		RunnersAgeMs: (5 * time.Second).Milliseconds(),
 		Workers:      []fleetfeed.Worker{{Node: "a", Zone: "z", Address: "a"}, {Node: "b", Zone: "z", Address: "a"}},
 	}
-	_, err := source.Next(context.Background(), &fleetfeed.Known{})
+	_, err := source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, keep(client) != nil, "the list of a partitioned worker was used")
 	first.feed.RunnersAgeMs = 200
-	_, err = source.Next(context.Background(), &fleetfeed.Known{})
+	_, err = source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 	assert.NilError(t, err)
 	assert.NilError(t, keep(client))
 }
@@ -226,22 +226,22 @@
 	first := &peer{keep: keptReply}
 	client := newWorkerClient(t, oneZone, first)
 	source := &jobpeer.WorkerFeed{Client: client}
-	known := &fleetfeed.Known{}
+	known := &fleetfeed.SnapshotRequest{}
 	first.feed = fleetfeed.Snapshot{
-		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersPrint: 7,
+		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersFingerprint: 7,
 		Workers: []fleetfeed.Worker{{Node: "a", Zone: "z", Address: "a"}, {Node: "b", Zone: "z", Address: "a"}},
 	}
-	for _, feed := range []fleetfeed.Snapshot{first.feed, {RunnersAgeMs: 200, WorkersPrint: 8}} {
+	for _, feed := range []fleetfeed.Snapshot{first.feed, {RunnersAgeMs: 200, WorkersFingerprint: 8}} {
 		first.feed = feed
 		_, err := source.Next(context.Background(), known)
 		assert.NilError(t, err)
 		assert.Assert(t, keep(client) != nil)
 	}
 	first.feed = fleetfeed.Snapshot{
-		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersPrint: 7,
+		RunnersAgeMs: (5 * time.Second).Milliseconds(), WorkersFingerprint: 7,
 		Workers: []fleetfeed.Worker{{Node: "a", Zone: "z", Address: "a"}, {Node: "b", Zone: "z", Address: "a"}},
 	}
-	for _, feed := range []fleetfeed.Snapshot{first.feed, {RunnersAgeMs: 200, WorkersPrint: 7}} {
+	for _, feed := range []fleetfeed.Snapshot{first.feed, {RunnersAgeMs: 200, WorkersFingerprint: 7}} {
 		first.feed = feed
 		_, err := source.Next(context.Background(), known)
 		assert.NilError(t, err)
@@ -275,17 +275,17 @@
 	}
 	source := &jobpeer.WorkerFeed{Client: client}
 	for range 6 {
-		_, err := source.Next(context.Background(), &fleetfeed.Known{})
+		_, err := source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 		assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	}
 	assert.DeepEqual(t, asked, []string{"a", "b", "c", "a", "b", "c"})
 	assert.Equal(t, store.Calls(), 0)
 	now = now.Add(1100 * time.Millisecond)
-	_, err := source.Next(context.Background(), &fleetfeed.Known{})
+	_, err := source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, store.Calls(), 1, "seeds that do not answer are only called until SeedsFor has passed")
 	client.UpdateWorkers([]jobrecord.Worker{{Node: "w", Zone: "z", Address: "w"}}, now)
-	_, err = source.Next(context.Background(), &fleetfeed.Known{})
+	_, err = source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 	assert.ErrorIs(t, err, jobpeer.ErrNoWorker)
 	assert.Equal(t, asked[len(asked)-1], "w")
 }
@@ -298,10 +298,10 @@
 	client.Copies, client.Reach = 3, &reach.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
 	assert.Assert(t, keep(client) != nil)
-	assert.Assert(t, client.Reach.Deaf(later()))
+	assert.Assert(t, client.Reach.Partitioned(later()))
 
 	peers[3].unresponsive = false
 	client.Now = func() time.Time { return time.Now().Add(5 * time.Second) }
 	assert.Assert(t, keep(client) != nil, "one of three copies is too few")
-	assert.Assert(t, !client.Reach.Deaf(time.Now().Add(6*time.Second)))
+	assert.Assert(t, !client.Reach.Partitioned(time.Now().Add(6*time.Second)))
 }
--- a/internal/jobpeer/leader.go
+++ b/internal/jobpeer/leader.go
@@ -36,10 +36,10 @@
 
 // Next implements follower.Source. It cancels the call if this node becomes the reader meanwhile: the other workers then wait
 // for this one, and the answer would be as old as theirs.
-func (l *LeaderFeed) Next(ctx context.Context, known *fleetfeed.Known) (*fleetfeed.Snapshot, error) {
+func (l *LeaderFeed) Next(ctx context.Context, known *fleetfeed.SnapshotRequest) (*fleetfeed.Snapshot, error) {
 	address, other := l.reader()
 	if !other {
-		return nil, follower.ErrReadAlone
+		return nil, follower.ErrNoSource
 	}
 	call, stop := context.WithCancel(ctx)
 	defer stop()
@@ -50,14 +50,14 @@
 		l.skip(address)
 		return nil, err
 	}
-	snapshot, err := fleetfeed.Ask(call, connection, known)
+	snapshot, err := fleetfeed.FetchSnapshot(call, connection, known)
 	switch {
 	case err == nil:
 		// Workers follow each other directly and do not need the list of workers again.
-		known.WorkersPrint = snapshot.WorkersPrint
+		known.WorkersFingerprint = snapshot.WorkersFingerprint
 		return snapshot, nil
 	case call.Err() != nil && ctx.Err() == nil:
-		return nil, follower.ErrReadAlone
+		return nil, follower.ErrNoSource
 	}
 	l.skip(address)
 	return nil, err
--- a/internal/jobpeer/leader_test.go
+++ b/internal/jobpeer/leader_test.go
@@ -33,7 +33,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := source.Next(context.Background(), &fleetfeed.Known{})
+		_, err := source.Next(context.Background(), &fleetfeed.SnapshotRequest{})
 		ended <- err
 	}()
 	for range 20 {
@@ -47,5 +47,5 @@
 	}
 	reads.Store(true)
 	source.Changed()
-	assert.ErrorIs(t, <-ended, follower.ErrReadAlone)
+	assert.ErrorIs(t, <-ended, follower.ErrNoSource)
 }
--- a/internal/jobpeer/message.go
+++ b/internal/jobpeer/message.go
@@ -170,7 +170,7 @@
 
 // EndsReply contains the records that the caller lacks.
 type EndsReply struct {
-	News poison.News `json:"news,omitzero"`
+	News poison.Changes `json:"news,omitzero"`
 }
 
 // Server handles the calls between nodes.
--- a/internal/jobpeer/newestconfig.go
+++ b/internal/jobpeer/newestconfig.go
@@ -52,12 +52,12 @@
 	connection, err := n.Client.Connect(address)
 	if err == nil {
 		var catalog *work.Catalog
-		if catalog, err = fleetfeed.AskNewest(ctx, connection, version); err == nil {
+		if catalog, err = fleetfeed.FetchNewestCatalog(ctx, connection, version); err == nil {
 			return catalog, nil
 		}
 	}
 	n.skippedAddresses.skip(address, n.Client.Now())
-	event.ReaderAvoided.Log(n.Logger).Str("address", address).Err(err).Send()
+	event.ReaderSkipped.Log(n.Logger).Str("address", address).Err(err).Send()
 	return nil, err
 }
 
--- a/internal/jobpeer/newestconfig_test.go
+++ b/internal/jobpeer/newestconfig_test.go
@@ -94,7 +94,7 @@
 	if c.fleet.earlierBuild[c.to] {
 		return errUnknownCall
 	}
-	reply, err := c.fleet.feeds[c.to].Newest(ctx, in.(*fleetfeed.Known))
+	reply, err := c.fleet.feeds[c.to].Newest(ctx, in.(*fleetfeed.SnapshotRequest))
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		list = append(list, jobrecord.Worker{Node: ident.Node(name), Zone: "z", Address: name})
 		worker, feed := f.newFollower(), fleetfeed.New(time.Now)
 		worker.Feed = feed
-		feed.Refresh = jobpeer.NewSharedReads(worker.Refresh, time.Now).Fresh
+		feed.Refresh = jobpeer.NewSharedReads(worker.Refresh, time.Now).AwaitFresh
 		f.feeds[name] = feed
 	}
 	for range fronts {
--- a/internal/jobpeer/orphans.go
+++ b/internal/jobpeer/orphans.go
@@ -47,7 +47,7 @@
 		sum += reported
 	}
 	if o.peak == 0 {
-		event.OrphansHeard.Log(logger).Int("runs", sum).Str("worker", address).Send()
+		event.OrphansReported.Log(logger).Int("runs", sum).Str("worker", address).Send()
 	}
 	o.peak = max(o.peak, sum)
 	if sum == 0 {
--- a/internal/jobpeer/poisonrecords.go
+++ b/internal/jobpeer/poisonrecords.go
@@ -43,12 +43,12 @@
 			select {
 			case <-parent.Dying():
 				return nil
-			case <-watch.Book.Untold():
+			case <-watch.Book.Unsent():
 			}
 			if !sleep(parent, endsBatchDelay) {
 				return nil
 			}
-			records := watch.Book.TakeUntold(h.Now())
+			records := watch.Book.TakeUnsent(h.Now())
 			if len(records) == 0 || h.sendEnds(ctx, records, turn) {
 				continue
 			}
@@ -122,7 +122,7 @@
 			select {
 			case <-parent.Dying():
 				return nil
-			case <-e.Watch.Book.Untold():
+			case <-e.Watch.Book.Unsent():
 				if !sleep(parent, endsBatchDelay) {
 					return nil
 				}
@@ -137,7 +137,7 @@
 
 // sendToAll sends new records to all other workers. A worker that does not answer reads them later in readOthers.
 func (e *PoisonRecordSync) sendToAll(ctx context.Context) {
-	records := e.Watch.Book.TakeUntold(e.Peers.Now())
+	records := e.Watch.Book.TakeUnsent(e.Peers.Now())
 	if len(records) == 0 {
 		return
 	}
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -201,7 +201,7 @@
 		for end := range 3 {
 			// Any front that is not partitioned.
 			index := random.IntN(fronts/zones)*zones + end%(zones-1)
-			all[index].watch.Book.Ended(ident.Incarnation(fmt.Sprint("r", end)), []poison.Print{"bad"}, time.Now(), time.Now())
+			all[index].watch.Book.RecordCrash(ident.Incarnation(fmt.Sprint("r", end)), []poison.Fingerprint{"bad"}, time.Now(), time.Now())
 			time.Sleep(time.Duration(random.Int64N(int64(time.Second))))
 		}
 		time.Sleep(knownWithin)
--- a/internal/jobpeer/refused_test.go
+++ b/internal/jobpeer/refused_test.go
@@ -104,7 +104,7 @@
 	c.shared.mutex.Lock()
 	c.shared.asked++
 	c.shared.mutex.Unlock()
-	snapshot, err := c.feed.Snapshot(ctx, in.(*fleetfeed.Known))
+	snapshot, err := c.feed.Snapshot(ctx, in.(*fleetfeed.SnapshotRequest))
 	if err == nil {
 		*out.(*fleetfeed.Snapshot) = *snapshot
 	}
--- a/internal/jobrecord/accept.go
+++ b/internal/jobrecord/accept.go
@@ -39,11 +39,11 @@
 	holders atomic.Int32
 }
 
-// Hold adds a user of the items, because calls that use them may continue after the client was answered.
-func (s *Submission) Hold() { s.holders.Add(1) }
+// Retain adds a user of the items, because calls that use them may continue after the client was answered.
+func (s *Submission) Retain() { s.holders.Add(1) }
 
-// LetGo removes a user of the items. The last one calls Released.
-func (s *Submission) LetGo() {
+// Release removes a user of the items. The last one calls Released.
+func (s *Submission) Release() {
 	if s.holders.Add(-1) == 0 && s.Released != nil {
 		s.Released()
 	}
@@ -174,7 +174,7 @@
 		return err
 	}
 	if !before.BelongsTo(header.Tenant) {
-		return fmt.Errorf("%w: %s", ErrOthersJob, header.ID)
+		return fmt.Errorf("%w: %s", ErrOtherTenant, header.ID)
 	}
 	return nil
 }
@@ -237,9 +237,9 @@
 // Queue returns the queue of the job.
 func (s *Submission) Queue() Queue { return Queue{Route: s.Route, Tenant: s.Tenant} }
 
-// Has reports whether a job counts for the queue. A job without a tenant counts for every queue of its route, because its tenant is not
+// Contains reports whether a job counts for the queue. A job without a tenant counts for every queue of its route, because its tenant is not
 // known.
-func (q Queue) Has(route string, tenant ident.Tenant) bool {
+func (q Queue) Contains(route string, tenant ident.Tenant) bool {
 	return route == q.Route && (q.Tenant == "" || tenant == "" || tenant == q.Tenant)
 }
 
@@ -253,7 +253,7 @@
 	waiting := 0
 	tokens := map[ident.Job]int{}
 	for _, entry := range open {
-		if queue.Has(entry.Route, entry.Tenant) {
+		if queue.Contains(entry.Route, entry.Tenant) {
 			waiting += entry.Tokens
 			tokens[entry.ID] = entry.Tokens
 		}
--- a/internal/jobrecord/live.go
+++ b/internal/jobrecord/live.go
@@ -37,7 +37,7 @@
 
 // ReadLive reads the full state.
 func (r *Records) ReadLive(ctx context.Context) (*Live, error) {
-	update, err := r.LiveWhole(ctx)
+	update, err := r.ReadLiveUpdate(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -46,9 +46,9 @@
 	return live, nil
 }
 
-// LiveWhole reads the full state as an update. Its pages are not one consistent snapshot, but each change since the first page is
+// ReadLiveUpdate reads the full state as an update. Its pages are not one consistent snapshot, but each change since the first page is
 // returned again among the changes after the update's revision.
-func (r *Records) LiveWhole(ctx context.Context) (changefeed.Update, error) {
+func (r *Records) ReadLiveUpdate(ctx context.Context) (changefeed.Update, error) {
 	sent := r.Now()
 	pairs, revision, err := kv.ListAll(ctx, r.Store, prefixLive, kv.PageOptions{})
 	if err != nil {
--- a/internal/jobrecord/record.go
+++ b/internal/jobrecord/record.go
@@ -33,8 +33,8 @@
 	ErrNotRegistered = failure.Kind("job record: worker not registered")
 	// ErrTooLarge means that an item or the job is too large to be stored.
 	ErrTooLarge = failure.Kind("job record: too large")
-	// ErrOthersJob means that a job with the id exists and belongs to another tenant.
-	ErrOthersJob = failure.Kind("job record: job of another tenant")
+	// ErrOtherTenant means that a job with the id exists and belongs to another tenant.
+	ErrOtherTenant = failure.Kind("job record: job of another tenant")
 	// ErrDamaged means that a stored value cannot be decoded.
 	ErrDamaged = failure.Kind("job record: damaged value")
 )
--- a/internal/jobworker/accounts.go
+++ b/internal/jobworker/accounts.go
@@ -172,7 +172,7 @@
 			err := w.Accounts.ReportQueueUse(ctx, address, update)
 			cancel()
 			if err != nil && !unresponsive[address] {
-				event.AccountNotTold.Log(w.Logger).Str("address", address).Err(err).Send()
+				event.AccountUpdateFailed.Log(w.Logger).Str("address", address).Err(err).Send()
 			}
 			unresponsive[address] = err != nil
 		}
--- a/internal/jobworker/claim.go
+++ b/internal/jobworker/claim.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		overBudget[candidate.entry.Tenant] = true
-		if !errors.Is(err, heldbytes.ErrShare) && now.Sub(candidate.unclaimed) > delay+overtakingPeriod {
+		if !errors.Is(err, heldbytes.ErrOwnerLimit) && now.Sub(candidate.unclaimed) > delay+overtakingPeriod {
 			return
 		}
 	}
--- a/internal/jobworker/demand.go
+++ b/internal/jobworker/demand.go
@@ -144,7 +144,7 @@
 	shortest := time.Duration(0)
 	for index := range catalog.Routes {
 		route := &catalog.Routes[index]
-		if route.Kind == work.Batch || route.Objective <= 0 || !route.GoesTo(service) {
+		if route.Kind == work.Batch || route.Objective <= 0 || !route.Serves(service) {
 			continue
 		}
 		if shortest == 0 || route.Objective < shortest {
--- a/internal/jobworker/follow.go
+++ b/internal/jobworker/follow.go
@@ -121,7 +121,7 @@
 	if w.live.Revision == 0 {
 		ctx, cancel := w.callContext()
 		defer cancel()
-		update, err := w.Records.LiveWhole(ctx)
+		update, err := w.Records.ReadLiveUpdate(ctx)
 		if err != nil {
 			return err
 		}
@@ -219,5 +219,5 @@
 		return
 	}
 	w.avoidedReaders[address] = w.Now().Add(readerBackoff)
-	event.ReaderAvoided.Log(w.Logger).Str("address", address).Err(err).Send()
+	event.ReaderSkipped.Log(w.Logger).Str("address", address).Err(err).Send()
 }
--- a/internal/jobworker/handoff.go
+++ b/internal/jobworker/handoff.go
@@ -37,7 +37,7 @@
 	reservation, err := w.Budget.Reserve(heldbytes.Submission, heldbytes.Whose{Tenant: entry.Tenant}, entry.Bytes())
 	if err != nil {
 		return failure.New(failure.CodeOverloaded, "this worker holds as much as it can").WithCause(err).
-			WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
+			WithRetryAfter(heldbytes.RetryAfter(rand.Float64()))
 	}
 	defer reservation.Release()
 	if err := w.Handoff.Put(entry); err != nil {
@@ -48,7 +48,7 @@
 		return failed.WithRetryAfter(handoffRetryAfter)
 	}
 	w.RecordAccountReport(&queueroom.Report{Kept: []queueroom.DiskJob{handoffJob(entry.Job, entry.Queue(), entry.Tokens())}})
-	event.JobKept.Log(w.Logger).Str("job", string(entry.Job)).Int("items", len(entry.Items)).Int("turn", entry.Turn).
+	event.JobStoredLocally.Log(w.Logger).Str("job", string(entry.Job)).Int("items", len(entry.Items)).Int("turn", entry.Turn).
 		Int("tokens", entry.Tokens()).Int("waiting", waiting).Send()
 	return nil
 }
@@ -91,7 +91,7 @@
 	tokens := 0
 	for id, state := range w.open {
 		switch job := w.jobs[id]; {
-		case !queue.Has(state.entry.Route, state.entry.Tenant):
+		case !queue.Contains(state.entry.Route, state.entry.Tenant):
 		case job != nil:
 			tokens += job.remainingTokens(nil)
 		default:
--- a/internal/jobworker/job.go
+++ b/internal/jobworker/job.go
@@ -72,7 +72,7 @@
 	mirrored    int
 	mirroredRun progress.RunID
 	// fingerprint is the item's, once it was needed.
-	fingerprint poison.Print
+	fingerprint poison.Fingerprint
 	// failures counts the runs in which the runner itself failed.
 	failures int
 	// avoid holds the runners that failed the item.
--- a/internal/jobworker/memory.go
+++ b/internal/jobworker/memory.go
@@ -39,7 +39,7 @@
 func (m *memory) recordRefusal(err error, now time.Time) {
 	m.rejected++
 	m.refusedAt = now
-	if !errors.Is(err, heldbytes.ErrShare) {
+	if !errors.Is(err, heldbytes.ErrOwnerLimit) {
 		m.fullAt = now
 	}
 }
@@ -57,7 +57,7 @@
 		if err == nil {
 			return reservation, nil
 		}
-		if errors.Is(err, heldbytes.ErrShare) || !w.evictResults() {
+		if errors.Is(err, heldbytes.ErrOwnerLimit) || !w.evictResults() {
 			w.memory.recordRefusal(err, now)
 			return nil, err
 		}
@@ -91,9 +91,9 @@
 		job.reservation.Set(job.bytes())
 	}
 	w.accountMirrored(now)
-	for w.Budget.Over(heldbytes.Kept) && w.finished.evictOldest() {
+	for w.Budget.Exceeds(heldbytes.Kept) && w.finished.evictOldest() {
 	}
-	for w.Budget.Over(heldbytes.Job) && w.evictResults() {
+	for w.Budget.Exceeds(heldbytes.Job) && w.evictResults() {
 	}
 	w.logMemory(now)
 }
@@ -107,7 +107,7 @@
 	if w.memory.mirrored == nil {
 		w.memory.mirrored = w.Budget.Open(heldbytes.Kept, heldbytes.Whose{})
 	}
-	w.memory.mirrored.Set(w.mirrorStore().Bound(int64(mirrorBudgetFraction*float64(limit)), now))
+	w.memory.mirrored.Set(w.mirrorStore().SetMaxBytes(int64(mirrorBudgetFraction*float64(limit)), now))
 }
 
 // mirrorStore returns the store of the output of other workers' items.
--- a/internal/jobworker/memory_test.go
+++ b/internal/jobworker/memory_test.go
@@ -121,8 +121,8 @@
 		}
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, m.logged("worker_memory_free"))
-		tally := m.budget.Take()
-		assert.Assert(t, tally.Most <= smallWorker/5, "%d bytes were in use", tally.Most)
+		tally := m.budget.TakeTally()
+		assert.Assert(t, tally.Peak <= smallWorker/5, "%d bytes were in use", tally.Peak)
 		assert.Assert(t, tally.Held < largeItem, "%d bytes are in use after the last job", tally.Held)
 	})
 }
@@ -168,7 +168,7 @@
 			seen = seen || found
 		}
 		assert.Assert(t, seen, "the large job did not get into memory")
-		assert.Assert(t, m.budget.Take().Most <= smallWorker/5)
+		assert.Assert(t, m.budget.TakeTally().Peak <= smallWorker/5)
 	})
 }
 
--- a/internal/jobworker/mirror.go
+++ b/internal/jobworker/mirror.go
@@ -34,7 +34,7 @@
 // Mirror stores output of another worker's items. It returns the items that must be sent from the beginning.
 func (w *Worker) Mirror(updates []progress.Update) []ident.Request {
 	if w.MirrorJournal != nil {
-		gaps, err := w.MirrorJournal.Keep(updates, w.Now())
+		gaps, err := w.MirrorJournal.Store(updates, w.Now())
 		if err != nil {
 			event.MirrorFailed.Log(w.Logger).Int("updates", len(updates)).Err(err).Send()
 		}
@@ -42,7 +42,7 @@
 	}
 	var gaps []ident.Request
 	for index := range updates {
-		gaps = append(gaps, w.mirror.Take(&updates[index], w.Now())...)
+		gaps = append(gaps, w.mirror.Apply(&updates[index], w.Now())...)
 	}
 	return gaps
 }
@@ -148,7 +148,7 @@
 			continue
 		}
 		text := append([]byte(nil), item.text.Bytes()[item.mirrored:]...)
-		update.Pieces = append(update.Pieces, progress.Piece{
+		update.Pieces = append(update.Pieces, progress.OutputPart{
 			Item: item.item.ID, Run: item.lastEventRun, Before: item.mirroredRun, Offset: item.mirrored, LastEvent: item.lastEvent, Text: text,
 		})
 		pieces = append(pieces, pendingPiece{item: item, length: item.text.Len(), lastEventRun: item.lastEventRun})
--- a/internal/jobworker/poison.go
+++ b/internal/jobworker/poison.go
@@ -29,7 +29,7 @@
 	if !w.PoisonWatch.Refused(item.fingerprint) {
 		return false
 	}
-	ends, last := w.PoisonWatch.Book.Ends(item.fingerprint)
+	ends, last := w.PoisonWatch.Book.Crashes(item.fingerprint)
 	if poison.ItemMayRun(ends, now.Sub(last)) {
 		return false
 	}
--- a/internal/jobworker/results.go
+++ b/internal/jobworker/results.go
@@ -106,7 +106,7 @@
 }
 
 // add caches the results of a finished job if they fit in the node's budget.
-func (f *finishedJobs) add(budget *heldbytes.OfNode, job *jobRun, now time.Time) {
+func (f *finishedJobs) add(budget *heldbytes.NodeBudget, job *jobRun, now time.Time) {
 	size := job.recordedBytes
 	reservation, err := budget.Reserve(heldbytes.Kept, heldbytes.Whose{}, size)
 	for err != nil && f.evictOldest() {
--- a/internal/jobworker/suspect.go
+++ b/internal/jobworker/suspect.go
@@ -87,7 +87,7 @@
 		return true
 	case !suspected.unresponsive:
 		suspected.unresponsive = true
-		event.RunnerSilent.Log(w.Logger).Str("runner", string(runner.ID)).Str("address", runner.Address).Send()
+		event.RunnerUnresponsive.Log(w.Logger).Str("runner", string(runner.ID)).Str("address", runner.Address).Send()
 		w.reclaimSlots(runner.ID, w.batchRunsAt(runner.ID, now))
 	}
 	return false
--- a/internal/jobworker/suspect_test.go
+++ b/internal/jobworker/suspect_test.go
@@ -26,7 +26,7 @@
 	defer c.mutex.Unlock()
 	c.calls++
 	if c.unresponsive {
-		return work.Load{}, connpool.ErrNoAnswer
+		return work.Load{}, connpool.ErrNoResponse
 	}
 	return work.Load{Slots: 4}, nil
 }
--- a/internal/jobworker/turns.go
+++ b/internal/jobworker/turns.go
@@ -92,5 +92,5 @@
 	for _, tenant := range tenants[:min(len(tenants), turnsLogTenants)] {
 		named.Ints(string(tenant), counts[tenant])
 	}
-	event.ItemsTakeTurns.Log(w.Logger).Dict("waiting_running", named).Int("others", max(len(tenants)-turnsLogTenants, 0)).Send()
+	event.ItemsRotated.Log(w.Logger).Dict("waiting_running", named).Int("others", max(len(tenants)-turnsLogTenants, 0)).Send()
 }
--- a/internal/jobworker/worker.go
+++ b/internal/jobworker/worker.go
@@ -135,7 +135,7 @@
 	// Restarted is set if the deployment had started before this process did.
 	Restarted bool
 	// Budget bounds the memory that the worker uses for jobs; nil sets no bound.
-	Budget *heldbytes.OfNode
+	Budget *heldbytes.NodeBudget
 	// MirrorJournal also stores the output of other workers' items on this node's disk; nil stores it in memory only.
 	MirrorJournal *progress.Journal
 	// Registry is notified when a worker is emptied.
--- a/internal/jobworker/worker_test.go
+++ b/internal/jobworker/worker_test.go
@@ -119,7 +119,7 @@
 	tables  map[ident.Node]*runnertable.Table
 	tombs   map[ident.Node]*tomb.Tomb
 	// budget bounds the memory of each worker, if it is set; logger receives their log lines.
-	budget *heldbytes.OfNode
+	budget *heldbytes.NodeBudget
 	logger zerolog.Logger
 	// suspended is for how long the workers' machines were suspended: real time is ahead by that, their timers are not.
 	suspended atomic.Int64
--- a/internal/lab/interferencesim/interferencesim_test.go
+++ b/internal/lab/interferencesim/interferencesim_test.go
@@ -71,7 +71,7 @@
 					}
 				}
 				looks++
-				assert.Assert(t, held <= max(state.credits.Hold, 0), "%d runs, %d may run on", held, state.credits.Hold)
+				assert.Assert(t, held <= max(state.credits.MaxRunning, 0), "%d runs, %d may run on", held, state.credits.MaxRunning)
 			}
 		}
 		fleet.clock.After(3*time.Millisecond, look)
--- a/internal/lab/interferencesim/worker.go
+++ b/internal/lab/interferencesim/worker.go
@@ -131,7 +131,7 @@
 
 // preempt ends the youngest runs above the credits.
 func (w *worker) preempt(state *runnerState) {
-	surplus := len(state.running) - state.credits.Hold
+	surplus := len(state.running) - state.credits.MaxRunning
 	for _, running := range state.running {
 		if running.preempted {
 			surplus--
@@ -184,12 +184,12 @@
 
 // fill starts items until the credits are used.
 func (w *worker) fill(state *runnerState, now time.Time) {
-	for len(state.running) < state.credits.Sequences && state.controller.MayPrefill(now) {
+	for len(state.running) < state.credits.MaxWhenStarting && state.controller.MayPrefill(now) {
 		chosen := w.next(state)
 		if chosen == nil {
 			return
 		}
-		state.controller.Prefilling(chosen.prompt, now)
+		state.controller.RecordPrefill(chosen.prompt, now)
 		w.launch(state, chosen)
 	}
 }
@@ -227,7 +227,7 @@
 
 // lookAgain sets a turn for when the controller may allow prefill.
 func (w *worker) lookAgain(state *runnerState, now time.Time) {
-	at := state.controller.LookAt(now)
+	at := state.controller.NextChange(now)
 	if at.IsZero() || at.Equal(state.lookAt) {
 		return
 	}
@@ -242,7 +242,7 @@
 	}
 	state.stepEnd = w.fleet.clock.Elapsed()
 	state.runner.from.send(func() {
-		state.controller.Stepped(w.fleet.clock.Now())
+		state.controller.RecordStep(w.fleet.clock.Now())
 		w.turn()
 	})
 }
--- a/internal/lab/overloadsim/node.go
+++ b/internal/lab/overloadsim/node.go
@@ -282,7 +282,7 @@
 		if seen.Report == nil {
 			return
 		}
-		state, back := seen.Shared(), n.fleet.link()
+		state, back := seen.ReportToShare(), n.fleet.link()
 		// The age travels, not the time, so the receiver takes the report for younger by the delay of the message.
 		state.Measured = state.Measured.Add(back)
 		n.fleet.clock.After(back, func() { n.table.ObserveShared(runner, state, n.fleet.clock.Now()) })
--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -11,7 +11,7 @@
 // OutOfMemory returns the error for a request that exceeds the node's free memory. The request has not run.
 func OutOfMemory(err error) *failure.Error {
 	return failure.New(failure.CodeOverloaded, "the node holds as much as it can").WithCause(err).
-		WithRetryAfter(heldbytes.ReturnAfter(rand.Float64()))
+		WithRetryAfter(heldbytes.RetryAfter(rand.Float64()))
 }
 
 // initialBodyBuffer is the size of the first buffer, in bytes, for a body of unknown length.
--- a/internal/online/bufferedstream.go
+++ b/internal/online/bufferedstream.go
@@ -292,7 +292,7 @@
 func (s *bufferedStream) cutCaller() error {
 	forwarder := s.exchange.forwarder
 	event.CallerCut.Log(forwarder.Logger).Str("request", string(s.exchange.request.ID)).Dur("held_up_ms", s.blocked).Send()
-	forwarder.MemoryBudget.NoteCut()
+	forwarder.MemoryBudget.CountDisconnected()
 	s.slot.callerCut = true
 	s.slot.abort()
 	s.exchange.writer.Until(s.slot.now().Add(-time.Second))
--- a/internal/online/bufferedstream_test.go
+++ b/internal/online/bufferedstream_test.go
@@ -145,7 +145,7 @@
 type slowCallerSite struct {
 	forwarder *online.Forwarder
 	caller    *pacedCaller
-	held      *heldbytes.OfNode
+	held      *heldbytes.NodeBudget
 }
 
 func newSlowCallerSite(memory int64, events []string, pause func(int) time.Duration) *slowCallerSite {
@@ -205,13 +205,13 @@
 		time.Sleep(20*20*time.Millisecond + detectionTime)
 		synctest.Wait()
 		assert.Equal(t, site.busy(), 0, "slots are taken by answers that were generated")
-		assert.Assert(t, site.held.Take().Held > 0)
+		assert.Assert(t, site.held.TakeTally().Held > 0)
 		serving.Wait()
 		for _, body := range site.caller.bodies {
 			assert.Assert(t, body.whole)
 			assert.Assert(t, body.ended.Sub(began) <= 20*20*time.Millisecond+detectionTime, "read after %v", body.ended.Sub(began))
 		}
-		assert.Equal(t, site.held.Take().Held, int64(0))
+		assert.Equal(t, site.held.TakeTally().Held, int64(0))
 	})
 }
 
@@ -245,10 +245,10 @@
 		assert.Assert(t, time.Since(began) <= 1200*time.Millisecond+detectionTime+runnerWriteTimeout, "cut after %v", time.Since(began))
 		assert.Equal(t, stopped.body.String(), strings.Join(events[:3], ""))
 		assert.Equal(t, site.busy(), 1)
-		assert.Equal(t, site.held.Take().Cut, 1)
+		assert.Equal(t, site.held.TakeTally().Disconnected, 1)
 		serving.Wait()
 		assert.Equal(t, reads.body.String(), strings.Join(events, ""))
-		assert.Equal(t, site.held.Take().Held, int64(0))
+		assert.Equal(t, site.held.TakeTally().Held, int64(0))
 	})
 }
 
@@ -286,9 +286,9 @@
 		}
 		time.Sleep(runnerWriteTimeout)
 		synctest.Wait()
-		tally := site.held.Take()
-		assert.Assert(t, tally.Most <= 1<<20/5, "%d bytes were held", tally.Most)
-		assert.Assert(t, tally.Cut > 0)
+		tally := site.held.TakeTally()
+		assert.Assert(t, tally.Peak <= 1<<20/5, "%d bytes were held", tally.Peak)
+		assert.Assert(t, tally.Disconnected > 0)
 		assert.Equal(t, site.busy(), 0)
 		serving.Wait()
 	})
@@ -366,7 +366,7 @@
 			if !strings.HasPrefix(whole, writer.body.String()) {
 				drawn.Fatal("events out of order")
 			}
-			if site.busy() != 0 || site.held.Take().Held != 0 {
+			if site.busy() != 0 || site.held.TakeTally().Held != 0 {
 				drawn.Fatal("a slot or memory is held after the end")
 			}
 		})
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -48,7 +48,7 @@
 	sent    time.Time
 	outcome outcome.Outcome
 	// cachedFingerprint is the request's fingerprint, empty until first needed.
-	cachedFingerprint poison.Print
+	cachedFingerprint poison.Fingerprint
 }
 
 // errTryAgain means that the request may be sent to another runner.
@@ -214,7 +214,7 @@
 		e.recordCompleted()
 	}
 	// None of these is a fault of the runner.
-	if err == nil || errors.Is(err, errCallerGone) || errors.Is(err, heldbytes.ErrOver) {
+	if err == nil || errors.Is(err, errCallerGone) || errors.Is(err, heldbytes.ErrBudgetExceeded) {
 		return err
 	}
 	e.recordBroken(flight)
--- a/internal/online/forwarder.go
+++ b/internal/online/forwarder.go
@@ -57,7 +57,7 @@
 	// PoisonWatch identifies requests that end the runners that run them; if nil, no request is refused for that.
 	PoisonWatch *endwatch.Watch
 	// MemoryBudget limits the memory that the node uses on behalf of callers; nil sets no limit.
-	MemoryBudget *heldbytes.OfNode
+	MemoryBudget *heldbytes.NodeBudget
 	// Key is the key of request fingerprints.
 	Key    poison.Key
 	Logger zerolog.Logger
--- a/internal/online/poison.go
+++ b/internal/online/poison.go
@@ -14,7 +14,7 @@
 
 // fingerprint returns the request's fingerprint. It is computed when first needed, since reading the body takes some
 // microseconds.
-func (e *exchange) fingerprint() poison.Print {
+func (e *exchange) fingerprint() poison.Fingerprint {
 	if e.cachedFingerprint == "" {
 		e.cachedFingerprint = e.forwarder.Key.Of(e.request)
 	}
--- a/internal/online/poison_test.go
+++ b/internal/online/poison_test.go
@@ -45,14 +45,14 @@
 func (w *watchedRequest) end(count int) {
 	for range count {
 		already := w.ends()
-		w.forwarder.PoisonWatch.Book.Ended(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Print{w.fingerprint()}, time.Now(), time.Now())
+		w.forwarder.PoisonWatch.Book.RecordCrash(ident.Incarnation(fmt.Sprint("gone", already)), []poison.Fingerprint{w.fingerprint()}, time.Now(), time.Now())
 	}
 }
 
-func (w *watchedRequest) fingerprint() poison.Print { return w.forwarder.Key.Of(w.request) }
+func (w *watchedRequest) fingerprint() poison.Fingerprint { return w.forwarder.Key.Of(w.request) }
 
 func (w *watchedRequest) ends() int {
-	ends, _ := w.forwarder.PoisonWatch.Book.Ends(w.fingerprint())
+	ends, _ := w.forwarder.PoisonWatch.Book.Crashes(w.fingerprint())
 	return ends
 }
 
--- a/internal/online/serve_test.go
+++ b/internal/online/serve_test.go
@@ -93,7 +93,7 @@
 func (b brokenBody) Read(buffer []byte) (int, error) {
 	count, err := b.Reader.Read(buffer)
 	if err == io.EOF {
-		err = connpool.ErrNoAnswer
+		err = connpool.ErrNoResponse
 	}
 	return count, err
 }
--- a/internal/online/slowcallers_test.go
+++ b/internal/online/slowcallers_test.go
@@ -67,7 +67,7 @@
 		}
 		others.Wait()
 		stopped.Wait()
-		assert.Equal(t, site.held.Take().Held, int64(0))
+		assert.Equal(t, site.held.TakeTally().Held, int64(0))
 		assert.Equal(t, site.busy(), 0)
 	})
 }
@@ -81,13 +81,13 @@
 		site.stall(t, &stopped, slots, shortObjective, stopsAfter(1))
 		time.Sleep(detectionTime + shortObjective/2)
 		synctest.Wait()
-		assert.Check(t, site.held.Take().Cut == 1)
+		assert.Check(t, site.held.TakeTally().Disconnected == 1)
 		assert.Check(t, site.busy() == slots-1)
 		time.Sleep(uncontestedAllowance / 2)
 		synctest.Wait()
-		assert.Check(t, site.held.Take().Cut == 0)
+		assert.Check(t, site.held.TakeTally().Disconnected == 0)
 		stopped.Wait()
-		assert.Check(t, site.held.Take().Cut == slots-1)
+		assert.Check(t, site.held.TakeTally().Disconnected == slots-1)
 	})
 }
 
@@ -106,7 +106,7 @@
 			})
 		}
 		serving.Wait()
-		assert.Equal(t, site.held.Take().Cut, 0)
+		assert.Equal(t, site.held.TakeTally().Disconnected, 0)
 	})
 }
 
@@ -129,7 +129,7 @@
 			})
 		}
 		serving.Wait()
-		assert.Equal(t, site.held.Take().Cut, 0)
+		assert.Equal(t, site.held.TakeTally().Disconnected, 0)
 	})
 }
 
@@ -154,7 +154,7 @@
 			site.stall(t, &stopped, slots-1, 300*time.Millisecond, stopsAfter(1))
 			stopped.Wait()
 		}
-		assert.Equal(t, site.held.Take().Cut, 6*(slots-1))
+		assert.Equal(t, site.held.TakeTally().Disconnected, 6*(slots-1))
 		serveAtOnce(2 * (slots + queued))
 	})
 }
--- a/internal/online/storm_test.go
+++ b/internal/online/storm_test.go
@@ -129,7 +129,7 @@
 	runner := s.runners[attempt.Runner.ID]
 	if runner == nil || runner.gone {
 		s.mutex.Unlock()
-		return nil, fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrNobodyListens)
+		return nil, fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrConnectionRefused)
 	}
 	if runner.running == stormSlots {
 		s.mutex.Unlock()
@@ -151,13 +151,13 @@
 	select {
 	case <-time.After(takes):
 	case <-runner.ended:
-		return nil, connpool.ErrNoAnswer
+		return nil, connpool.ErrNoResponse
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: %w", connpool.ErrNoAnswer, ctx.Err())
+		return nil, fmt.Errorf("%w: %w", connpool.ErrNoResponse, ctx.Err())
 	}
 	if bad {
 		s.end(runner, body)
-		return nil, connpool.ErrNoAnswer
+		return nil, connpool.ErrNoResponse
 	}
 	return answer(http.StatusOK, "done"), nil
 }
@@ -167,7 +167,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known := s.runners[runner.ID]; known == nil || known.gone {
-		return work.Load{}, fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrNobodyListens)
+		return work.Load{}, fmt.Errorf("%w: %w", connpool.ErrNotSent, connpool.ErrConnectionRefused)
 	}
 	return work.Load{}, nil
 }
@@ -277,7 +277,7 @@
 	for supervisor.Alive() {
 		now := time.Now()
 		for _, node := range nodes {
-			worker.Learn(node.PoisonWatch.Book.TakeUntold(now), now, true)
+			worker.Learn(node.PoisonWatch.Book.TakeUnsent(now), now, true)
 		}
 		time.Sleep(stormReportInterval)
 		now = time.Now()
--- a/internal/poison/book.go
+++ b/internal/poison/book.go
@@ -39,8 +39,8 @@
 
 // Record is what a node sends to others about one fingerprint.
 type Record struct {
-	Print Print `json:"print"`
-	Ends  []End `json:"ends"`
+	Print Fingerprint `json:"print"`
+	Ends  []End       `json:"ends"`
 }
 
 // Cursor is the position up to which a node has read the Book of another node. The zero Cursor reads from the beginning.
@@ -50,8 +50,8 @@
 	Position int64 `json:"position,omitempty"`
 }
 
-// News is the records that changed since a cursor, and the next cursor. The zero News means that nothing changed.
-type News struct {
+// Changes is the records that changed since a cursor, and the next cursor. The zero News means that nothing changed.
+type Changes struct {
 	Records []Record `json:"records,omitempty"`
 	Cursor  Cursor   `json:"cursor,omitzero"`
 }
@@ -61,7 +61,7 @@
 	id    int64
 	mutex sync.Mutex
 	// records has at most maxRecords entries.
-	records map[Print]*record
+	records map[Fingerprint]*record
 	// position increases with each change of a record.
 	position int64
 	// unsent is signalled when there are records to send to others, changeSignal after each change.
@@ -86,7 +86,7 @@
 }
 
 // After returns the cursor for the next call, given the cursor of the call that returned n.
-func (n News) After(asked Cursor) Cursor {
+func (n Changes) After(asked Cursor) Cursor {
 	if n.Cursor == (Cursor{}) {
 		return asked
 	}
@@ -95,7 +95,7 @@
 
 // NewBook returns an empty Book. The id must differ from those of other processes and from those before a restart.
 func NewBook(id int64) *Book {
-	return &Book{id: id, records: map[Print]*record{}, unsent: make(chan struct{}, 1), changeSignal: make(chan struct{}, 1)}
+	return &Book{id: id, records: map[Fingerprint]*record{}, unsent: make(chan struct{}, 1), changeSignal: make(chan struct{}, 1)}
 }
 
 // Empty reports whether the Book has no records, so that callers need not compute fingerprints.
@@ -106,15 +106,15 @@
 }
 
 // Refused reports whether a request must not be run any more.
-func (b *Book) Refused(fingerprint Print) bool {
+func (b *Book) Refused(fingerprint Fingerprint) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.records[fingerprint]
 	return known != nil && known.refused()
 }
 
-// Ends returns how many runners crashed while running a request, excused crashes not counted, and the time of the last crash.
-func (b *Book) Ends(fingerprint Print) (count int, last time.Time) {
+// Crashes returns how many runners crashed while running a request, excused crashes not counted, and the time of the last crash.
+func (b *Book) Crashes(fingerprint Fingerprint) (count int, last time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.records[fingerprint]
@@ -124,11 +124,11 @@
 	return known.count(), known.last()
 }
 
-// Ended records that a runner crashed while it ran requests. It returns the fingerprints that are refused from now on.
-func (b *Book) Ended(runner ident.Incarnation, fingerprints []Print, at, now time.Time) []Print {
+// RecordCrash records that a runner crashed while it ran requests. It returns the fingerprints that are refused from now on.
+func (b *Book) RecordCrash(runner ident.Incarnation, fingerprints []Fingerprint, at, now time.Time) []Fingerprint {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var refused []Print
+	var refused []Fingerprint
 	for _, fingerprint := range fingerprints {
 		known := b.recordOf(fingerprint)
 		was := known.refused()
@@ -143,8 +143,8 @@
 	return refused
 }
 
-// Well records that a runner completed a request: earlier crashes while running it had another cause and are excused.
-func (b *Book) Well(fingerprint Print) {
+// Completed records that a runner completed a request: earlier crashes while running it had another cause and are excused.
+func (b *Book) Completed(fingerprint Fingerprint) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.records[fingerprint]
@@ -159,13 +159,13 @@
 
 // Learn merges records from another node. passOn means that this node sends the changes on to others. It returns the fingerprints that
 // are refused from now on.
-func (b *Book) Learn(records []Record, now time.Time, passOn bool) []Print {
+func (b *Book) Learn(records []Record, now time.Time, passOn bool) []Fingerprint {
 	if len(records) == 0 {
 		return nil
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var refused []Print
+	var refused []Fingerprint
 	for _, received := range records {
 		known := b.recordOf(received.Print)
 		was, updated := known.refused(), false
@@ -238,7 +238,7 @@
 }
 
 // recordOf returns the record of a fingerprint and creates it if it is missing. The caller holds the mutex.
-func (b *Book) recordOf(fingerprint Print) *record {
+func (b *Book) recordOf(fingerprint Fingerprint) *record {
 	known := b.records[fingerprint]
 	if known == nil {
 		known = &record{crashes: map[ident.Incarnation]*crash{}}
@@ -269,12 +269,12 @@
 // Changed returns a channel that is signalled after each change.
 func (b *Book) Changed() <-chan struct{} { return b.changeSignal }
 
-// Untold returns a channel that is signalled when there are records to send to others.
-func (b *Book) Untold() <-chan struct{} { return b.unsent }
+// Unsent returns a channel that is signalled when there are records to send to others.
+func (b *Book) Unsent() <-chan struct{} { return b.unsent }
 
 // Since returns the records that changed since a cursor, the earliest change first. refusedOnly leaves out the records of requests that
 // may run and have no excused crash.
-func (b *Book) Since(cursor Cursor, now time.Time, refusedOnly bool) News {
+func (b *Book) Since(cursor Cursor, now time.Time, refusedOnly bool) Changes {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	after := cursor.Position
@@ -282,16 +282,16 @@
 		after = 0
 	}
 	if after >= b.position {
-		return News{}
+		return Changes{}
 	}
-	news := News{Cursor: Cursor{Book: b.id, Position: b.position}}
-	var changed []Print
+	news := Changes{Cursor: Cursor{Book: b.id, Position: b.position}}
+	var changed []Fingerprint
 	for fingerprint, known := range b.records {
 		if known.position > after && (!refusedOnly || known.refused() || known.count() < len(known.crashes)) {
 			changed = append(changed, fingerprint)
 		}
 	}
-	slices.SortFunc(changed, func(first, second Print) int {
+	slices.SortFunc(changed, func(first, second Fingerprint) int {
 		return cmp.Compare(b.records[first].position, b.records[second].position)
 	})
 	if len(changed) > maxRecordsSent {
@@ -304,9 +304,9 @@
 	return news
 }
 
-// TakeUntold returns the records that this node has to send to others and marks them as sent, at most maxRecordsSent. The caller passes
+// TakeUnsent returns the records that this node has to send to others and marks them as sent, at most maxRecordsSent. The caller passes
 // records that could not be sent to PutBack.
-func (b *Book) TakeUntold(now time.Time) []Record {
+func (b *Book) TakeUnsent(now time.Time) []Record {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var unsent []Record
@@ -348,7 +348,7 @@
 }
 
 // export returns the record in the form in which it is sent to other nodes.
-func (r *record) export(fingerprint Print, now time.Time) Record {
+func (r *record) export(fingerprint Fingerprint, now time.Time) Record {
 	exported := Record{Print: fingerprint}
 	for runner, end := range r.crashes {
 		exported.Ends = append(exported.Ends, End{Runner: runner, AgeMs: now.Sub(end.at).Milliseconds(), Excused: end.excused})
@@ -373,7 +373,7 @@
 	if over <= 0 {
 		return
 	}
-	fingerprints := slices.SortedFunc(maps.Keys(b.records), func(first, second Print) int {
+	fingerprints := slices.SortedFunc(maps.Keys(b.records), func(first, second Fingerprint) int {
 		one, other := b.records[first], b.records[second]
 		return cmp.Or(cmp.Compare(one.rank(), other.rank()), one.last().Compare(other.last()))
 	})
--- a/internal/poison/book_test.go
+++ b/internal/poison/book_test.go
@@ -19,8 +19,8 @@
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 // crash records that a runner crashed while running the requests with some fingerprints.
-func crash(book *poison.Book, second float64, runner string, fingerprints ...poison.Print) {
-	book.Ended(ident.Incarnation(runner), fingerprints, at(second), at(second))
+func crash(book *poison.Book, second float64, runner string, fingerprints ...poison.Fingerprint) {
+	book.RecordCrash(ident.Incarnation(runner), fingerprints, at(second), at(second))
 }
 
 func TestFingerprintIgnoresIdAndDeadline(t *testing.T) {
@@ -46,8 +46,8 @@
 	crash(book, 1, "r2", "bad")
 	crash(book, 1.5, "r2", "bad")
 	assert.Assert(t, !book.Refused("bad"), "the crash of one runner was counted twice")
-	refused := book.Ended("r3", []poison.Print{"bad"}, at(2), at(2))
-	assert.DeepEqual(t, refused, []poison.Print{"bad"})
+	refused := book.RecordCrash("r3", []poison.Fingerprint{"bad"}, at(2), at(2))
+	assert.DeepEqual(t, refused, []poison.Fingerprint{"bad"})
 	assert.Assert(t, book.Refused("bad"))
 }
 
@@ -55,7 +55,7 @@
 	book := poison.NewBook(1)
 	crash(book, 0, "r1", "q")
 	crash(book, 1, "r2", "q")
-	book.Well("q")
+	book.Completed("q")
 	crash(book, 3, "r3", "q")
 	crash(book, 4, "r4", "q")
 	assert.Assert(t, !book.Refused("q"))
@@ -82,13 +82,13 @@
 		crash(book, float64(runner), fmt.Sprint("r", runner), "bad")
 	}
 	for index := range 3000 {
-		crash(book, 3+float64(index)/1000, fmt.Sprint("s", index), poison.Print(fmt.Sprint("beside", index)))
+		crash(book, 3+float64(index)/1000, fmt.Sprint("s", index), poison.Fingerprint(fmt.Sprint("beside", index)))
 	}
 	assert.Assert(t, book.Refused("bad"))
 	assert.Equal(t, len(book.All(at(7))), 512)
-	count, _ := book.Ends("beside2999")
+	count, _ := book.Crashes("beside2999")
 	assert.Equal(t, count, 1)
-	count, _ = book.Ends("beside0")
+	count, _ = book.Crashes("beside0")
 	assert.Equal(t, count, 0)
 }
 
@@ -121,7 +121,7 @@
 func TestManyRecordsAreSentInParts(t *testing.T) {
 	book, reader := poison.NewBook(1), poison.NewBook(2)
 	for index := range 500 {
-		crash(book, 0, fmt.Sprint("r", index), poison.Print(fmt.Sprint("p", index)))
+		crash(book, 0, fmt.Sprint("r", index), poison.Fingerprint(fmt.Sprint("p", index)))
 	}
 	var cursor poison.Cursor
 	for answers := 0; len(reader.All(at(1))) < 500; answers++ {
@@ -132,7 +132,7 @@
 		reader.Learn(news.Records, at(1), false)
 	}
 	sent := 0
-	for records := book.TakeUntold(at(1)); len(records) > 0; records = book.TakeUntold(at(1)) {
+	for records := book.TakeUnsent(at(1)); len(records) > 0; records = book.TakeUnsent(at(1)) {
 		assert.Assert(t, len(records) <= 256)
 		sent += len(records)
 	}
@@ -164,12 +164,12 @@
 		}
 		for step := range rapid.IntRange(10, 120).Draw(t, "steps") {
 			now += random.Float64()
-			node, fingerprint := random.IntN(nodes), poison.Print(fmt.Sprint("p", random.IntN(4)))
+			node, fingerprint := random.IntN(nodes), poison.Fingerprint(fmt.Sprint("p", random.IntN(4)))
 			switch random.IntN(6) {
 			case 0, 1, 2:
-				crash(books[node], now, fmt.Sprint("r", random.IntN(12)), fingerprint, poison.Print(fmt.Sprint("p", random.IntN(4))))
+				crash(books[node], now, fmt.Sprint("r", random.IntN(12)), fingerprint, poison.Fingerprint(fmt.Sprint("p", random.IntN(4))))
 			case 3:
-				books[node].Well(fingerprint)
+				books[node].Completed(fingerprint)
 			case 4:
 				read(node, random.IntN(nodes))
 			case 5:
@@ -192,7 +192,7 @@
 			}
 		}
 		for index := range 4 {
-			fingerprint := poison.Print(fmt.Sprint("p", index))
+			fingerprint := poison.Fingerprint(fmt.Sprint("p", index))
 			for _, book := range books[1:] {
 				if book.Refused(fingerprint) != books[0].Refused(fingerprint) {
 					t.Fatalf("nodes disagree about %s", fingerprint)
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -13,9 +13,9 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Print is the fingerprint of a request: a keyed hash of what a runner is asked to do. It is the same each time the request is submitted
+// Fingerprint is the fingerprint of a request: a keyed hash of what a runner is asked to do. It is the same each time the request is submitted
 // and does not disclose its text.
-type Print string
+type Fingerprint string
 
 // fingerprintBytes is the length of the truncated hash. With the fingerprints of a full Book, one request in 10^35 is mistaken for
 // another.
@@ -26,7 +26,7 @@
 
 // Of returns the fingerprint of a request, computed from its method, host, path and body. The id and the deadline are left out, because
 // they differ each time the request is submitted.
-func (k Key) Of(request *work.Request) Print {
+func (k Key) Of(request *work.Request) Fingerprint {
 	mac := hmac.New(sha256.New, k)
 	for _, part := range []string{request.Method, request.Host, request.Path} {
 		// The lengths distinguish requests whose concatenated parts are the same bytes.
@@ -36,5 +36,5 @@
 		_, _ = mac.Write([]byte(part))
 	}
 	_, _ = mac.Write(request.Body)
-	return Print(hex.EncodeToString(mac.Sum(nil)[:fingerprintBytes]))
+	return Fingerprint(hex.EncodeToString(mac.Sum(nil)[:fingerprintBytes]))
 }
--- a/internal/progress/journal.go
+++ b/internal/progress/journal.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			return nil
 		}
-		j.Mirror.Take(update, now)
+		j.Mirror.Apply(update, now)
 	}
 	return nil
 }
@@ -111,11 +111,11 @@
 	return update, nil
 }
 
-// Keep applies updates in memory and writes them to the file. Like Take, it returns the items whose output must be
+// Store applies updates in memory and writes them to the file. Like Take, it returns the items whose output must be
 // sent again from the beginning. If an error wraps ErrDisk, the updates are in memory only.
-func (j *Journal) Keep(updates []Update, now time.Time) (gaps []ident.Request, err error) {
+func (j *Journal) Store(updates []Update, now time.Time) (gaps []ident.Request, err error) {
 	for index := range updates {
-		gaps = append(gaps, j.Take(&updates[index], now)...)
+		gaps = append(gaps, j.Apply(&updates[index], now)...)
 	}
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -173,7 +173,7 @@
 	for id, job := range j.jobs {
 		update := &Update{Job: id}
 		for _, stored := range job.outputs {
-			update.Pieces = append(update.Pieces, Piece{Item: stored.Item, Run: stored.Run, LastEvent: stored.LastEvent, Text: stored.Text})
+			update.Pieces = append(update.Pieces, OutputPart{Item: stored.Item, Run: stored.Run, LastEvent: stored.LastEvent, Text: stored.Text})
 		}
 		line, err := encodeLine(update)
 		if err == nil && int64(len(content)+len(line)) <= j.maxBytes/2 {
--- a/internal/progress/journal_test.go
+++ b/internal/progress/journal_test.go
@@ -26,7 +26,7 @@
 	for _, one := range updates {
 		all = append(all, *one)
 	}
-	gaps, err := journal.Keep(all, start)
+	gaps, err := journal.Store(all, start)
 	assert.NilError(t, err)
 	return gaps
 }
--- a/internal/progress/mirror.go
+++ b/internal/progress/mirror.go
@@ -28,8 +28,8 @@
 	Number int64 `json:"number"`
 }
 
-// Piece is an addition to the output of an item.
-type Piece struct {
+// OutputPart is an addition to the output of an item.
+type OutputPart struct {
 	Item ident.Request `json:"item"`
 	// Run produced the last event of the output including this piece, Before the last event of the output preceding
 	// it.
@@ -44,8 +44,8 @@
 
 // Update holds additions to the outputs of the items of a job.
 type Update struct {
-	Job    ident.Job `json:"job"`
-	Pieces []Piece   `json:"pieces"`
+	Job    ident.Job    `json:"job"`
+	Pieces []OutputPart `json:"pieces"`
 }
 
 // Output is the stored output of an item.
@@ -73,9 +73,9 @@
 	bytes   int
 }
 
-// Take applies an update. It returns the items whose pieces do not continue the stored output: their output must be
+// Apply applies an update. It returns the items whose pieces do not continue the stored output: their output must be
 // sent again from the beginning.
-func (m *Mirror) Take(update *Update, now time.Time) []ident.Request {
+func (m *Mirror) Apply(update *Update, now time.Time) []ident.Request {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.jobs == nil {
@@ -101,7 +101,7 @@
 
 // take applies a piece and returns by how many bytes the outputs grew. A piece of an older claim than the stored one,
 // or without a run, is ignored: its sender has lost the job, or cannot state which output the piece continues.
-func (j *jobOutputs) take(piece Piece) (grown int, follows bool) {
+func (j *jobOutputs) take(piece OutputPart) (grown int, follows bool) {
 	stored := j.outputs[piece.Item]
 	if stored == nil {
 		stored = &Output{Item: piece.Item}
@@ -151,9 +151,9 @@
 	return min(m.maxBytes, maxTotalBytes)
 }
 
-// Bound limits the stored outputs to a number of bytes, evicts those that exceed it, and returns how many bytes are
+// SetMaxBytes limits the stored outputs to a number of bytes, evicts those that exceed it, and returns how many bytes are
 // stored.
-func (m *Mirror) Bound(maxBytes int64, now time.Time) int64 {
+func (m *Mirror) SetMaxBytes(maxBytes int64, now time.Time) int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.maxBytes = max(int(maxBytes), 1)
--- a/internal/progress/mirror_test.go
+++ b/internal/progress/mirror_test.go
@@ -19,7 +19,7 @@
 var onlyRun = progress.RunID{Claim: 1, Number: 1}
 
 func update(item string, offset int, last int64, text string) *progress.Update {
-	return &progress.Update{Job: "j", Pieces: []progress.Piece{{
+	return &progress.Update{Job: "j", Pieces: []progress.OutputPart{{
 		Item: ident.Request(item), Run: onlyRun, Before: onlyRun, Offset: offset, LastEvent: last, Text: []byte(text),
 	}}}
 }
@@ -39,7 +39,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "updates") {
 			last := rapid.IntRange(0, len(ends)-1).Draw(t, "last")
 			from := ends[min(acknowledged, last)]
-			gaps := mirror.Take(update("a", from, int64(last), string(whole[from:ends[last]])), start)
+			gaps := mirror.Apply(update("a", from, int64(last), string(whole[from:ends[last]])), start)
 			switch {
 			case len(gaps) > 0:
 				acknowledged = 0
@@ -81,8 +81,8 @@
 }
 
 // piece returns the output that the mirror has not acknowledged yet.
-func (s *sender) piece() progress.Piece {
-	piece := progress.Piece{
+func (s *sender) piece() progress.OutputPart {
+	piece := progress.OutputPart{
 		Item: "a", Run: s.events[len(s.events)-1], Offset: len(textOf(s.events[:s.sent])), LastEvent: int64(len(s.events)),
 		Text: textOf(s.events[s.sent:]),
 	}
@@ -113,7 +113,7 @@
 			for event := range one.events {
 				produced[string(textOf(one.events[:event+1]))] = true
 			}
-			gaps := mirror.Take(&progress.Update{Job: "j", Pieces: []progress.Piece{one.piece()}}, start)
+			gaps := mirror.Apply(&progress.Update{Job: "j", Pieces: []progress.OutputPart{one.piece()}}, start)
 			switch {
 			case len(gaps) > 0:
 				one.sent = 0
@@ -143,15 +143,15 @@
 // ignored, because it is not known which output it continues.
 func TestPieceWithoutARunIsIgnored(t *testing.T) {
 	var mirror progress.Mirror
-	mirror.Take(&progress.Update{Job: "j", Pieces: []progress.Piece{{Item: "a", LastEvent: 1, Text: []byte("one")}}}, start)
+	mirror.Apply(&progress.Update{Job: "j", Pieces: []progress.OutputPart{{Item: "a", LastEvent: 1, Text: []byte("one")}}}, start)
 	assert.Equal(t, len(mirror.Outputs("j")), 0)
 }
 
 func TestPieceThatDoesNotContinueIsRequestedFromTheBeginning(t *testing.T) {
 	var mirror progress.Mirror
-	assert.DeepEqual(t, mirror.Take(update("a", 3, 2, "two"), start), []ident.Request{"a"})
-	assert.Equal(t, len(mirror.Take(update("a", 0, 1, "one"), start)), 0)
-	assert.Equal(t, len(mirror.Take(update("a", 3, 2, "\ntwo"), start)), 0)
+	assert.DeepEqual(t, mirror.Apply(update("a", 3, 2, "two"), start), []ident.Request{"a"})
+	assert.Equal(t, len(mirror.Apply(update("a", 0, 1, "one"), start)), 0)
+	assert.Equal(t, len(mirror.Apply(update("a", 3, 2, "\ntwo"), start)), 0)
 	assert.DeepEqual(t, mirror.Outputs("j"), []progress.Output{{Item: "a", Run: onlyRun, LastEvent: 2, Text: []byte("one\ntwo")}})
 	assert.Equal(t, len(mirror.Outputs("unknown")), 0)
 }
@@ -159,15 +159,15 @@
 // TestOldOutputIsEvicted checks that memory is bounded by time and by bytes.
 func TestOldOutputIsEvicted(t *testing.T) {
 	var mirror progress.Mirror
-	mirror.Take(update("a", 0, 1, "one"), start)
+	mirror.Apply(update("a", 0, 1, "one"), start)
 	late := start.Add(10 * time.Minute)
-	mirror.Take(&progress.Update{Job: "other"}, late)
+	mirror.Apply(&progress.Update{Job: "other"}, late)
 	assert.Equal(t, len(mirror.Outputs("j")), 0)
 	large := make([]byte, 5<<20)
 	for job := range 6 {
 		late = late.Add(time.Millisecond)
-		mirror.Take(&progress.Update{
-			Job: ident.Job(fmt.Sprint(job)), Pieces: []progress.Piece{{Item: "a", Run: onlyRun, LastEvent: 1, Text: large}},
+		mirror.Apply(&progress.Update{
+			Job: ident.Job(fmt.Sprint(job)), Pieces: []progress.OutputPart{{Item: "a", Run: onlyRun, LastEvent: 1, Text: large}},
 		}, late)
 	}
 	assert.Equal(t, len(mirror.Outputs("0")), 0, "the output of the oldest job must be evicted first")
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -50,9 +50,9 @@
 	w.failedCalls++
 }
 
-// Deaf reports whether the node is partitioned: at least minFailedCalls calls, the first at least partitionedAfter ago, have
+// Partitioned reports whether the node is partitioned: at least minFailedCalls calls, the first at least partitionedAfter ago, have
 // failed since the last answer.
-func (w *Watch) Deaf(now time.Time) bool {
+func (w *Watch) Partitioned(now time.Time) bool {
 	if w == nil {
 		return false
 	}
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -8,19 +8,19 @@
 	"sync"
 )
 
-// Book stores the refused values. It is safe for concurrent use.
-type Book struct {
-	// Tell is called when a refusal begins, changes or ends; err is nil if the value can be read again or was removed. total is the
+// Tracker stores the refused values. It is safe for concurrent use.
+type Tracker struct {
+	// OnChange is called when a refusal begins, changes or ends; err is nil if the value can be read again or was removed. total is the
 	// number of values refused now. Tell is called with the mutex held and must not call the Book.
-	Tell func(key string, err error, total int)
+	OnChange func(key string, err error, total int)
 
 	mutex sync.Mutex
 	// reasons holds the error text of each value that is refused now, by key.
 	reasons map[string]string
 }
 
-// Settle records a complete read of all keys that begin with the prefix; refused holds those that could not be decoded.
-func (b *Book) Settle(prefix string, refused map[string]error) {
+// RecordAll records a complete read of all keys that begin with the prefix; refused holds those that could not be decoded.
+func (b *Tracker) RecordAll(prefix string, refused map[string]error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for key := range maps.Clone(b.reasons) {
@@ -33,15 +33,15 @@
 	}
 }
 
-// Note records a read of one value; err is nil if it could be decoded or was removed.
-func (b *Book) Note(key string, err error) {
+// Record records a read of one value; err is nil if it could be decoded or was removed.
+func (b *Tracker) Record(key string, err error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.record(key, err)
 }
 
 // record stores the state of a value and calls Tell if it changed. The caller must hold the mutex.
-func (b *Book) record(key string, err error) {
+func (b *Tracker) record(key string, err error) {
 	known, refused := b.reasons[key]
 	switch {
 	case err == nil && !refused, err != nil && refused && known == err.Error():
@@ -54,5 +54,5 @@
 		}
 		b.reasons[key] = err.Error()
 	}
-	b.Tell(key, err, len(b.reasons))
+	b.OnChange(key, err, len(b.reasons))
 }
--- a/internal/refusal/refusal_test.go
+++ b/internal/refusal/refusal_test.go
@@ -20,18 +20,18 @@
 // TestRefusalReportedOnlyOnChange records the same values repeatedly and checks that only changes are reported.
 func TestRefusalReportedOnlyOnChange(t *testing.T) {
 	var reports []string
-	refusals := &refusal.Book{Tell: func(key string, err error, total int) {
+	refusals := &refusal.Tracker{OnChange: func(key string, err error, total int) {
 		reports = append(reports, fmt.Sprint(key, " ", err, " ", total))
 	}}
 	for _, reading := range []map[string]error{
 		{"runners/a": errPlaces}, {"runners/a": errPlaces}, {"runners/a": errState, "runners/b": errForm}, {"runners/b": errForm}, {}, {},
 	} {
-		refusals.Settle("runners/", maps.Clone(reading))
+		refusals.RecordAll("runners/", maps.Clone(reading))
 	}
 	assert.Equal(t, len(reports), 5, reports)
-	refusals.Note("orders/config", errForm)
-	refusals.Settle("runners/", nil)
-	refusals.Note("orders/config", errForm)
-	refusals.Note("orders/config", nil)
+	refusals.Record("orders/config", errForm)
+	refusals.RecordAll("runners/", nil)
+	refusals.Record("orders/config", errForm)
+	refusals.Record("orders/config", nil)
 	assert.Equal(t, len(reports), 7, reports)
 }
--- a/internal/sharedread/sharedread.go
+++ b/internal/sharedread/sharedread.go
@@ -46,8 +46,8 @@
 	return r.next
 }
 
-// Fresh waits for a read that begins after the call and returns its error, or the error of the context.
-func (r *Readings) Fresh(ctx context.Context) error {
+// AwaitFresh waits for a read that begins after the call and returns its error, or the error of the context.
+func (r *Readings) AwaitFresh(ctx context.Context) error {
 	reading := r.Ask()
 	select {
 	case <-reading.Ended:
--- a/internal/sharedread/sharedread_test.go
+++ b/internal/sharedread/sharedread_test.go
@@ -43,7 +43,7 @@
 		for range calls {
 			waits.Go(func() {
 				asked := time.Now()
-				assert.Check(t, readings.Fresh(t.Context()) == nil)
+				assert.Check(t, readings.AwaitFresh(t.Context()) == nil)
 				from.mutex.Lock()
 				defer from.mutex.Unlock()
 				newest := from.began[len(from.began)-1]
@@ -73,10 +73,10 @@
 		readings := &sharedread.Readings{Read: from.read, Every: time.Millisecond, Now: time.Now}
 		canceled, cancel := context.WithCancel(t.Context())
 		cancel()
-		assert.ErrorIs(t, readings.Fresh(canceled), context.Canceled)
-		assert.ErrorIs(t, readings.Fresh(t.Context()), failed)
+		assert.ErrorIs(t, readings.AwaitFresh(canceled), context.Canceled)
+		assert.ErrorIs(t, readings.AwaitFresh(t.Context()), failed)
 		from.fails = nil
-		assert.NilError(t, readings.Fresh(t.Context()))
+		assert.NilError(t, readings.AwaitFresh(t.Context()))
 		synctest.Wait()
 	})
 }
--- a/internal/sitesettings/settings.go
+++ b/internal/sitesettings/settings.go
@@ -32,10 +32,10 @@
 	Bounds Bounds `yaml:"bounds"`
 	// Seeds are the addresses of some workers that may be queried at the start. Some of them may no longer exist.
 	Seeds []string `yaml:"seeds"`
-	// PrintKey is the key of the request fingerprints that nodes exchange. It is the same on all machines. If it is
+	// FingerprintKey is the key of the request fingerprints that nodes exchange. It is the same on all machines. If it is
 	// empty, the store's address is used, which is not secret: whoever knows it can test guessed request texts
 	// against a fingerprint.
-	PrintKey string `yaml:"print_key"`
+	FingerprintKey string `yaml:"print_key"`
 }
 
 // Node identifies the process and its location.
@@ -103,8 +103,8 @@
 	// QuotaWindowS is the time during which a request counts against the limit of its tenant; zero selects the
 	// default.
 	QuotaWindowS float64 `yaml:"quota_window_s"`
-	// LostDisks is the number of machines with a disk whose simultaneous loss must be tolerated.
-	LostDisks int `yaml:"lost_disks"`
+	// TolerableDiskLosses is the number of machines with a disk whose simultaneous loss must be tolerated.
+	TolerableDiskLosses int `yaml:"lost_disks"`
 }
 
 // Grace returns the grace period for stopping a process.
@@ -137,10 +137,10 @@
 	return time.Duration(s.ShortestLeaseMs) * time.Millisecond
 }
 
-// Key returns the key of the request fingerprints.
-func (s Settings) Key() poison.Key {
-	if s.PrintKey != "" {
-		return poison.Key(s.PrintKey)
+// RequestFingerprintKey returns the key of the request fingerprints.
+func (s Settings) RequestFingerprintKey() poison.Key {
+	if s.FingerprintKey != "" {
+		return poison.Key(s.FingerprintKey)
 	}
 	return poison.Key(s.Store.Address)
 }
@@ -196,7 +196,7 @@
 	if s.Bounds.QuotaWindowS < 0 {
 		fault("bounds.quota_window_s", "must not be below zero")
 	}
-	if s.Bounds.LostDisks < 0 {
+	if s.Bounds.TolerableDiskLosses < 0 {
 		fault("bounds.lost_disks", "must not be below zero")
 	}
 	if s.Store.ValueBytes <= 0 {
--- a/internal/storemeter/storemeter_test.go
+++ b/internal/storemeter/storemeter_test.go
@@ -74,10 +74,10 @@
 	given, giveUp := context.WithCancel(ctx)
 	giveUp()
 	fail(given)
-	assert.Assert(t, !meter.Heard.Deaf(later()), "given up by the caller")
+	assert.Assert(t, !meter.Heard.Partitioned(later()), "given up by the caller")
 	fail(ctx)
-	assert.Assert(t, meter.Heard.Deaf(later()))
+	assert.Assert(t, meter.Heard.Partitioned(later()))
 	_, err := meter.Commit(ctx, nil, nil)
 	assert.ErrorIs(t, err, kv.ErrRateLimited)
-	assert.Assert(t, !meter.Heard.Deaf(later()), "a refusal is an answer")
+	assert.Assert(t, !meter.Heard.Partitioned(later()), "a refusal is an answer")
 }
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -156,8 +156,8 @@
 	return r.Kind == Idempotent || r.Kind == Batch || (r.Kind == Streaming && r.Resumable)
 }
 
-// GoesTo reports whether the service is in the route's split.
-func (r *Route) GoesTo(service string) bool {
+// Serves reports whether the service is in the route's split.
+func (r *Route) Serves(service string) bool {
 	for _, part := range r.Split {
 		if part.Service == service {
 			return true
