--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -20,7 +20,7 @@
 
 var begin = time.Unix(1_800_000_000, 0)
 
-// clock is a time that only tests move.
+// clock is a manually advanced clock.
 type clock struct {
 	mutex sync.Mutex
 	time  time.Time
@@ -53,9 +53,9 @@
 	return staticCatalog{snapshot}
 }
 
-// TestBucketAdmitsRateAndBurstAndItsAdviceHolds checks that no window admits more than burst plus rate, and that
-// waiting exactly as long as told is enough.
-func TestBucketAdmitsRateAndBurstAndItsAdviceHolds(t *testing.T) {
+// TestBucketAdmitsRateAndBurstAndWaitSuffices checks that no window admits more than burst plus rate, and that
+// waiting exactly for the returned time is enough.
+func TestBucketAdmitsRateAndBurstAndWaitSuffices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.1, 100).Draw(t, "rate")
 		burst := rapid.Float64Range(1, 50).Draw(t, "burst")
@@ -68,7 +68,7 @@
 			if wait := tested.wait(1, now); wait > 0 {
 				if rapid.Bool().Draw(t, "waits") {
 					now = now.Add(wait)
-					assert.Equal(t, tested.wait(1, now), time.Duration(0), "the advice was too short")
+					assert.Equal(t, tested.wait(1, now), time.Duration(0), "the returned wait was too short")
 				}
 				continue
 			}
@@ -80,7 +80,7 @@
 }
 
 // TestSharesSumToTheLimit checks that nodes with the same view never claim more than the limit together, and that
-// demand moves the limit to where the callers are.
+// the shares add up to the whole limit if there is demand.
 func TestSharesSumToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 50), 1, 20).Draw(t, "demands")
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestLimitIsSplitByDemand simulates ten nodes of which two get all the callers of a tenant, with reports every two
+// TestLimitIsSplitByDemand simulates ten nodes of which two receive all requests of a tenant, with reports every two
 // seconds, and counts what the fleet admits.
 func TestLimitIsSplitByDemand(t *testing.T) {
 	const nodes, limitRate, offered = 10, 100.0, 100
@@ -131,7 +131,7 @@
 	assert.Assert(t, perSecond > 0.85*limitRate && perSecond < 1.1*limitRate, "admitted %.1f/s", perSecond)
 }
 
-// exchangeAll carries every report to its home and the totals back, as the exchange does over the network.
+// exchangeAll delivers every report to its home node and the totals back, as Exchange does over the network.
 func exchangeAll(names []ident.Node, controllers []*Controller) {
 	for _, sender := range controllers {
 		for home, message := range sender.Reports() {
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestFairQueueSharesByWeight serves waiters of tenants that always wait, one of which sends ten times as much.
+// TestFairQueueSharesByWeight checks that two tenants that always have waiters are served in proportion to their weights.
 func TestFairQueueSharesByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := newFairQueue()
@@ -169,7 +169,7 @@
 	})
 }
 
-// TestLateTenantIsNotStarved lets a tenant arrive behind a long queue of another.
+// TestLateTenantIsNotStarved checks that a tenant that arrives behind another's long queue is served within two slots.
 func TestLateTenantIsNotStarved(t *testing.T) {
 	queue := newFairQueue()
 	for range 1000 {
@@ -183,8 +183,8 @@
 	assert.Assert(t, first.tenant == "late" || second.tenant == "late")
 }
 
-// TestReturningTenantHasNoSavedTurns lets a tenant come back after others were served for long.
-func TestReturningTenantHasNoSavedTurns(t *testing.T) {
+// TestIdleTenantAccumulatesNoCredit checks that a tenant accumulates no credit while it is idle.
+func TestIdleTenantAccumulatesNoCredit(t *testing.T) {
 	queue := newFairQueue()
 	for range 400 {
 		queue.push(&waiter{tenant: "steady"}, 1)
@@ -202,9 +202,9 @@
 	assert.Assert(t, served["steady"] >= 49, "served %v", served)
 }
 
-// TestAdmissionKeepsItsBooks runs concurrent requests that wait, give up and finish, and checks at the end that
-// nothing is left over, and that every refusal says not run and when to come back.
-func TestAdmissionKeepsItsBooks(t *testing.T) {
+// TestAdmissionAccountingBalances runs concurrent requests that wait, give up and finish. It checks that all counters
+// return to zero, and that every refusal has the outcome NotRun and a retry delay, except after cancellation.
+func TestAdmissionAccountingBalances(t *testing.T) {
 	controller := New(Config{
 		Node: "n", Catalog: configuration(catalog.Tenant{Name: "t0", MaxInFlight: 3}), Now: time.Now,
 		Bounds: Bounds{Waiters: 8, TenantWaiters: 4, Wait: 5 * time.Millisecond},
@@ -245,7 +245,7 @@
 	if err != nil {
 		failed := failure.As(err)
 		if failed.Outcome != outcome.NotRun || (failed.RetryAfter <= 0 && failed.Code != failure.CodeCancelled) {
-			return fmt.Sprintf("refusal without advice: %v", failed)
+			return fmt.Sprintf("refusal without a retry delay: %v", failed)
 		}
 		return ""
 	}
@@ -257,7 +257,7 @@
 	return ""
 }
 
-// overBounds names a bound that does not hold.
+// overBounds describes the first bound that is exceeded, or returns an empty string.
 func overBounds(controller *Controller) string {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
@@ -273,7 +273,7 @@
 	return ""
 }
 
-// TestTenantInFlightLimit takes slots without giving them back.
+// TestTenantInFlightLimit checks that a tenant at its limit is refused until one of its requests ends.
 func TestTenantInFlightLimit(t *testing.T) {
 	controller := New(Config{Node: "n", Catalog: configuration(catalog.Tenant{Name: "t", MaxInFlight: 3})})
 	request := &inference.Request{Tenant: "t", Service: "s"}
@@ -290,7 +290,8 @@
 	assert.NilError(t, err)
 }
 
-// TestSlotThatComesTooLateIsGivenBack cancels a request at the moment its slot comes, which settles either way.
+// TestSlotThatComesTooLateIsGivenBack cancels a request that has just been granted a slot. Whether it is admitted or
+// cancelled, no slot may leak.
 func TestSlotThatComesTooLateIsGivenBack(t *testing.T) {
 	controller := New(Config{Node: "n", Catalog: configuration(), Bounds: Bounds{Wait: 4 * time.Second}})
 	request := &inference.Request{Tenant: "t", Service: "s"}
@@ -310,7 +311,8 @@
 	}
 }
 
-// TestInfeasibleDeadlineIsRefusedAtOnce fills a service whose answers come slowly.
+// TestInfeasibleDeadlineIsRefusedAtOnce checks that a service with slow answers refuses a request immediately if its
+// deadline would pass in the queue.
 func TestInfeasibleDeadlineIsRefusedAtOnce(t *testing.T) {
 	at := newClock()
 	controller := New(Config{Node: "n", Catalog: configuration(), Now: at.Now})
@@ -325,18 +327,18 @@
 	target.concurrency.limit = 1
 	_, err := controller.Admit(context.Background(), &inference.Request{Service: "s"})
 	assert.NilError(t, err)
-	// A request that waited would find its caller gone.
+	// With a cancelled context, a request that is queued fails with another code.
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err = controller.Admit(gone, &inference.Request{Service: "s", Deadline: at.Now().Add(300 * time.Millisecond)})
 	failed := failure.As(err)
 	assert.Equal(t, failed.Code, failure.CodeDeadlineInfeasible, "it was not refused at once")
-	assert.Assert(t, failed.RetryAfter > 300*time.Millisecond, "advice %v", failed.RetryAfter)
+	assert.Assert(t, failed.RetryAfter > 300*time.Millisecond, "retry delay %v", failed.RetryAfter)
 	_, err = controller.Admit(context.Background(), &inference.Request{Service: "s", Deadline: at.Now().Add(-time.Second)})
 	assert.Assert(t, err != nil)
 }
 
-// TestConcurrencyFindsTheKnee lets a service refuse above a hidden capacity.
+// TestConcurrencyFindsTheKnee checks that the limit converges to a capacity above which the runners refuse.
 func TestConcurrencyFindsTheKnee(t *testing.T) {
 	const capacity = 40
 	tested := newConcurrency()
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// bucket is a token bucket whose rate may change. It is pure: the time is an argument.
+// bucket is a token bucket whose rate may change. It reads no clock; callers pass the current time.
 type bucket struct {
 	// rate is in tokens per second; zero or less means no limit.
 	rate  float64
@@ -14,7 +14,7 @@
 	last  time.Time
 }
 
-// set changes the rate and the burst; the level is kept within the new burst. A new bucket begins full.
+// set changes the rate and the burst, and caps the level at the new burst. A new bucket starts full.
 func (b *bucket) set(rate, burst float64, now time.Time) {
 	if b.last.IsZero() {
 		b.level = burst
@@ -32,8 +32,8 @@
 	}
 }
 
-// wait returns how long until the bucket holds count tokens, zero if it does now. An amount above the burst is allowed
-// once the bucket is full, and leaves it in debt.
+// wait returns the time until the bucket holds count tokens, or zero if it already does. An amount above the burst is
+// allowed once the bucket is full and leaves a negative level.
 func (b *bucket) wait(count float64, now time.Time) time.Duration {
 	if b.rate <= 0 {
 		return 0
@@ -46,17 +46,17 @@
 	return time.Duration(math.Ceil(missing / b.rate * float64(time.Second)))
 }
 
-// levelTolerance absorbs rounding, so that waiting as long as told is enough.
+// levelTolerance absorbs rounding errors, so that a request succeeds after exactly the wait that was returned.
 const levelTolerance = 1e-6
 
-// take removes tokens after wait returned zero.
+// take removes tokens. Call it only after wait has returned zero.
 func (b *bucket) take(count float64) {
 	if b.rate > 0 {
 		b.level -= count
 	}
 }
 
-// full reports whether nothing would be lost by forgetting the bucket.
+// full reports whether the bucket is full and can therefore be deleted without losing state.
 func (b *bucket) full(now time.Time) bool {
 	b.fill(now)
 	return b.level >= b.burst
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,10 @@
-// Package admission decides whether a node takes an online request now, lets it wait for its fair turn, or refuses it
-// early with advice on when to come back. Limits over the whole fleet are split between nodes by observed demand; no
-// request waits for another node.
+// Package admission decides whether a node dispatches an online request immediately, queues it, or refuses it early with
+// a retry delay.
+//
+// Each service has an adaptive concurrency limit per node and a queue with weighted fair queueing over tenants. Rate and
+// concurrency limits of the fleet are split between nodes by observed demand: each limit has a home node, chosen by
+// hashing, to which the nodes report their demand and which returns the total. This exchange runs in the background, so
+// no request waits for another node. The package also exports metrics of refusals, limits and queues.
 package admission
 
 import (
@@ -17,14 +21,14 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// Bounds limit what waits on one node. Zero values take the defaults.
+// Bounds limits the requests that wait on one node. Zero values select the defaults.
 type Bounds struct {
 	// Waiters and WaitingBytes bound the waiting requests and the memory of their bodies.
 	Waiters      int
 	WaitingBytes int
 	// TenantWaiters bounds the waiting requests of one tenant.
 	TenantWaiters int
-	// Wait is the longest wait of a request.
+	// Wait is the maximum wait of a request.
 	Wait time.Duration
 }
 
@@ -51,31 +55,31 @@
 	return b
 }
 
-// Config is what a Controller needs.
+// Config holds the settings and dependencies of a Controller.
 type Config struct {
 	Node    ident.Node
 	Catalog catalog.Source
-	// Nodes returns the live nodes with this one; nil means that it is alone.
+	// Nodes returns the live nodes, including this one; nil means that this is the only node.
 	Nodes  func() []ident.Node
 	Bounds Bounds
-	// Capacity returns how many requests of a service all runners together take at once, or zero if that is not known;
-	// nil means that it never is. It must not block.
+	// Capacity returns the number of requests of a service that all runners together can execute concurrently, or zero if
+	// that is unknown; nil means that it is always unknown. It must not block.
 	Capacity func(service string) float64
-	// MayWait says whether a request may wait rather than be refused; nil means that all may. It must not block.
+	// MayWait reports whether a request may be queued instead of refused; nil allows all requests. It must not block.
 	MayWait func(request *inference.Request, wait Wait) bool
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Random spreads advice; it returns numbers from 0 to below 1. Nil means rand.Float64.
+	// Random returns numbers in [0, 1) for the jitter of retry delays. Nil means rand.Float64.
 	Random func() float64
-	// Registerer gets the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// Wait is what a request that has to wait would meet.
+// Wait describes the queue that a request would join.
 type Wait struct {
-	// Expected is the estimated wait, zero if nothing is known.
+	// Expected is the estimated wait.
 	Expected time.Duration
-	// Queued is the number of requests before it.
+	// Queued is the number of requests that would be served before it.
 	Queued int
 }
 
@@ -87,7 +91,7 @@
 	mutex  sync.Mutex
 	limits map[string]*limit
 	home   *home
-	// inFlight counts each tenant's requests, waiting ones too.
+	// inFlight counts each tenant's requests, including waiting ones.
 	inFlight map[ident.Tenant]int
 	services map[string]*service
 	waiters  int
@@ -126,8 +130,8 @@
 	return created
 }
 
-// Admit returns a ticket, after a wait for the tenant's fair turn if need be. The error is a *failure.Error of a
-// request that was not run.
+// Admit returns a ticket, after waiting in the fair queue if necessary. The error is always a *failure.Error; the
+// request was not run.
 func (c *Controller) Admit(ctx context.Context, request *inference.Request) (*Ticket, error) {
 	ticket, turn, refused := c.Enter(request)
 	if turn != nil {
@@ -140,28 +144,28 @@
 	return ticket, nil
 }
 
-// Enter decides without waiting. Exactly one of the results is set: a ticket, a turn to wait for, or the refusal of a
-// request that was not run.
+// Enter decides without waiting. Exactly one of the results is set: a ticket, a turn to wait for, or a refusal, in which
+// case the request was not run.
 func (c *Controller) Enter(request *inference.Request) (*Ticket, *Turn, *failure.Error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.config.Now()
 	tenant := c.config.Catalog.Current().Tenants[request.Tenant]
 	target := c.service(request.Service)
-	c.takeShare(target, request.Service, now)
+	c.updateShare(target, request.Service, now)
 	c.grantNext(target, now)
 	if refused := c.checkLimits(request, tenant, now); refused != nil {
 		return nil, nil, refused
 	}
-	ticket := &Ticket{controller: c, request: request, service: target, until: c.giveUpAt(request, now)}
+	ticket := &Ticket{controller: c, request: request, service: target, until: c.waitLimit(request, now)}
 	if target.queue.len() == 0 && target.concurrency.free(now) {
 		c.charge(request)
-		target.queue.pass(request.Tenant, tenant.Weight)
+		target.queue.chargeDirect(request.Tenant, tenant.Weight)
 		ticket.take(now)
 		return ticket, nil, nil
 	}
 	queued := &waiter{tenant: request.Tenant, bytes: len(request.Body), settled: make(chan struct{})}
-	target.queue.place(queued, tenant.Weight)
+	target.queue.schedule(queued, tenant.Weight)
 	turn := &Turn{ticket: ticket, queued: queued}
 	queued.turn = turn
 	if refused := c.checkQueue(turn, now); refused != nil {
@@ -182,14 +186,14 @@
 	return target
 }
 
-// ObserveFirstToken records how long a runner took to the first token of a request.
+// ObserveFirstToken records the time a runner took to produce the first token of a request.
 func (c *Controller) ObserveFirstToken(name string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.service(name).concurrency.began(took)
+	c.service(name).concurrency.observeFirstToken(took)
 }
 
-// release ends the count of a tenant's request.
+// release decrements the tenant's count of requests in flight.
 func (c *Controller) release(tenant ident.Tenant) {
 	c.inFlight[tenant]--
 	if c.inFlight[tenant] <= 0 {
@@ -197,7 +201,8 @@
 	}
 }
 
-func (c *Controller) giveUpAt(request *inference.Request, now time.Time) time.Time {
+// waitLimit returns the time until which a request may wait: its deadline or the maximum wait, whichever is earlier.
+func (c *Controller) waitLimit(request *inference.Request, now time.Time) time.Time {
 	until := now.Add(c.config.Bounds.Wait)
 	if !request.Deadline.IsZero() && request.Deadline.Before(until) {
 		return request.Deadline
--- a/internal/admission/demand.go
+++ b/internal/admission/demand.go
@@ -10,60 +10,61 @@
 )
 
 const (
-	// demandHalfLife is the time in which the memory of demand halves.
+	// demandHalfLife is the half-life of the moving average of demand.
 	demandHalfLife = 5 * time.Second
-	// floorShare is the part of a limit that is split evenly, so that a node without demand so far can begin at once.
-	floorShare = 0.1
-	// totalTime is how long the home's total holds without a new one.
-	totalTime = 15 * time.Second
-	// demandTime is how long a home counts a node that does not report.
-	demandTime = 10 * time.Second
+	// evenFraction is the fraction of a limit that is split evenly, so that a node without recent demand can admit requests
+	// immediately.
+	evenFraction = 0.1
+	// totalLifetime is how long a total from the home node stays valid without a newer one.
+	totalLifetime = 15 * time.Second
+	// reportLifetime is how long a home node counts the last report of a node.
+	reportLifetime = 10 * time.Second
 )
 
-// demand is a fading rate of what callers asked for, admitted or not, in units per second.
+// demand is an exponentially decaying average of the requested rate, admitted or refused, in units per second.
 type demand struct {
 	rate float64
 	last time.Time
 }
 
-// add counts an amount.
+// add adds a requested amount.
 func (d *demand) add(amount float64, now time.Time) {
-	d.fade(now)
+	d.decay(now)
 	d.rate += amount * math.Ln2 / demandHalfLife.Seconds()
 }
 
-// current returns the rate now.
+// current returns the rate at the given time.
 func (d *demand) current(now time.Time) float64 {
-	d.fade(now)
+	d.decay(now)
 	return d.rate
 }
 
-func (d *demand) fade(now time.Time) {
+func (d *demand) decay(now time.Time) {
 	if elapsed := now.Sub(d.last); elapsed > 0 {
 		d.rate *= math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
 		d.last = now
 	}
 }
 
-// total is what a limit's home said of the demand of all nodes.
+// total is the demand of all nodes for one limit, as its home node reported it.
 type total struct {
 	demand float64
-	// own is this node's part of the demand.
+	// own is this node's reported demand that is included in the total.
 	own   float64
 	until time.Time
 }
 
-// share returns this node's part of a limit, above 0 to 1. Over all nodes with the same view the parts sum to one.
+// share returns this node's fraction of a limit, in (0, 1]. If all nodes have the same view, the fractions sum to one.
 func share(own float64, of total, nodes int, now time.Time) float64 {
 	count := float64(max(1, nodes))
 	if !now.Before(of.until) || of.demand <= 0 {
 		return 1 / count
 	}
 	part := min(1, own/max(own, of.demand))
-	return floorShare/count + (1-floorShare)*part
+	return evenFraction/count + (1-evenFraction)*part
 }
 
-// home sums the demand of all nodes for the limits this node is home of.
+// home sums the demand of all nodes for the limits that have this node as their home node.
 type home struct {
 	limits map[string]map[ident.Node]reported
 }
@@ -75,14 +76,14 @@
 
 func newHome() *home { return &home{limits: map[string]map[ident.Node]reported{}} }
 
-// report takes a node's demand and returns the total.
+// report records a node's demand for a limit and returns the total over all nodes.
 func (h *home) report(limit string, node ident.Node, rate float64, now time.Time) float64 {
 	nodes := h.limits[limit]
 	if nodes == nil {
 		nodes = map[ident.Node]reported{}
 		h.limits[limit] = nodes
 	}
-	nodes[node] = reported{rate: rate, until: now.Add(demandTime)}
+	nodes[node] = reported{rate: rate, until: now.Add(reportLifetime)}
 	sum := 0.0
 	for other, held := range nodes {
 		if !now.Before(held.until) {
@@ -94,8 +95,8 @@
 	return sum
 }
 
-// forget drops limits nobody reports any more.
-func (h *home) forget(now time.Time) {
+// removeExpired deletes expired reports and the limits without reports.
+func (h *home) removeExpired(now time.Time) {
 	for limit, nodes := range h.limits {
 		for node, held := range nodes {
 			if !now.Before(held.until) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// homeOf returns the node that sums a limit, by rendezvous hashing over the live nodes.
+// homeOf returns the home node of a limit, which sums its demand. It is chosen by rendezvous hashing over the live nodes.
 func homeOf(limit string, nodes []ident.Node) ident.Node {
 	home, _ := rendezvous.First(limit, slices.Values(nodes))
 	return home
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// ReportEvery is the time between reports of demand.
-	ReportEvery = 2 * time.Second
-	// reportTimeout bounds one report.
+	// ReportInterval is the interval between demand reports.
+	ReportInterval = 2 * time.Second
+	// reportTimeout is the time limit of one report.
 	reportTimeout = time.Second
-	// leastDemand is the rate below which a limit is not reported and forgotten.
-	leastDemand = 0.01
-	milli       = 1000
+	// minDemand is the rate, in units per second, below which the state of a limit is deleted once its bucket is full.
+	minDemand = 0.01
+	// milli converts units to the thousandths used in messages.
+	milli = 1000
 )
 
-// Exchange reports this node's demand to the homes of the limits in use and serves as home of others. Messages grow
-// with the limits in use on a node, not with the number of nodes.
+// Exchange reports this node's demand to the home nodes of the limits in use, and serves the reports of other nodes as a
+// home node. Message size grows with the number of limits in use on a node, not with the number of nodes.
 type Exchange struct {
 	controller *Controller
 	dialer     transport.Dialer
 	tomb       tomb.Tomb
 }
 
-// NewExchange returns the exchange of a controller. Start begins it.
+// NewExchange returns an exchange for a controller. Call Start to run it.
 func NewExchange(controller *Controller, dialer transport.Dialer) *Exchange {
 	return &Exchange{controller: controller, dialer: dialer}
 }
 
-// Start begins the reports.
+// Start starts the periodic reports.
 func (e *Exchange) Start() { e.tomb.Go(e.loop) }
 
-// Stop ends them.
+// Stop stops the reports and waits for those in progress.
 func (e *Exchange) Stop() error {
 	e.tomb.Kill(nil)
 	return e.tomb.Wait()
 }
 
 func (e *Exchange) loop() error {
-	ticker := time.NewTicker(ReportEvery)
+	ticker := time.NewTicker(ReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -65,7 +66,7 @@
 	}
 }
 
-// report tells one home. A home that can't be reached leaves the old totals to run out.
+// report sends one report to a home node. If that node is unreachable, the previous totals stay in use until they expire.
 func (e *Exchange) report(home ident.Node, report *admissionpb.DemandReport) {
 	ctx, cancel := context.WithTimeout(e.tomb.Context(context.Background()), reportTimeout)
 	defer cancel()
@@ -85,22 +86,22 @@
 	e.controller.TakeTotals(totals)
 }
 
-// Report serves as home of limits.
+// Report handles a demand report from a node.
 func (e *Exchange) Report(_ context.Context, report *admissionpb.DemandReport) (*admissionpb.DemandTotals, error) {
 	return e.controller.HomeReport(report), nil
 }
 
-// Reports groups this node's demand by home, and forgets limits out of use.
+// Reports returns this node's demand grouped by home node, and deletes the state of unused limits.
 func (c *Controller) Reports() map[ident.Node]*admissionpb.DemandReport {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.config.Now()
-	c.home.forget(now)
+	c.home.removeExpired(now)
 	nodes := c.config.Nodes()
 	messages := map[ident.Node]*admissionpb.DemandReport{}
 	for name, held := range c.limits {
 		rate := held.demand.current(now)
-		if rate < leastDemand && held.bucket.full(now) {
+		if rate < minDemand && held.bucket.full(now) {
 			delete(c.limits, name)
 			continue
 		}
@@ -117,13 +118,14 @@
 	return messages
 }
 
-// unreportedDemand is the most that a node may ask of a limit without telling the limit's home: half of the part that is split
-// evenly, which the parts given out leave free.
+// unreportedDemand returns the maximum demand that a node need not report: half of its part of the evenly split fraction,
+// which the shares of the reporting nodes leave unused.
 func unreportedDemand(rate float64, nodes int) float64 {
-	return floorShare / 2 * rate / float64(max(1, nodes))
+	return evenFraction / 2 * rate / float64(max(1, nodes))
 }
 
-// HomeReport takes a node's demand for limits this node is home of, and returns the sums over all nodes.
+// HomeReport records a node's demand for limits that have this node as their home node, and returns the sums over all
+// nodes.
 func (c *Controller) HomeReport(report *admissionpb.DemandReport) *admissionpb.DemandTotals {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,7 +138,7 @@
 	return totals
 }
 
-// TakeTotals takes the sums of a home.
+// TakeTotals records the totals that a home node returned.
 func (c *Controller) TakeTotals(totals *admissionpb.DemandTotals) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,6 +149,6 @@
 			continue
 		}
 		held.before = held.total
-		held.total = total{demand: float64(stated.GetRateMilli()) / milli, own: held.reported, until: now.Add(totalTime)}
+		held.total = total{demand: float64(stated.GetRateMilli()) / milli, own: held.reported, until: now.Add(totalLifetime)}
 	}
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -10,35 +10,36 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// limit is one limit of the fleet as this node applies it.
+// limit is this node's state of one fleet-wide limit.
 type limit struct {
-	// rate is the fleet's.
+	// rate is the fleet-wide rate.
 	rate   float64
 	bucket bucket
 	demand demand
-	// reported is the demand last told to the limit's home; total is what the home answered last, before the time before.
+	// reported is the demand last reported to the limit's home node. total is that node's latest answer, and before the
+	// one preceding it.
 	reported      float64
 	total, before total
 }
 
-// leastBurst lets a node with a small share admit a single request.
-const leastBurst = 1.0
+// minBurst is the minimum burst of a node, so that a node with a small share can admit a single request.
+const minBurst = 1.0
 
-// Names of limits, as nodes exchange them.
+// Names of limits in the messages between nodes.
 func tenantRequests(tenant ident.Tenant) string { return "tenant-requests/" + string(tenant) }
 func tenantTokens(tenant ident.Tenant) string   { return "tenant-tokens/" + string(tenant) }
 func serviceRequests(service string) string     { return "service-requests/" + service }
 
-// claim is what one request needs of one limit.
+// claim is the amount that one request needs from one limit.
 type claim struct {
 	name   string
 	amount float64
-	// rate and burst are the fleet's.
+	// rate and burst are fleet-wide.
 	rate, burst float64
 	message     string
 }
 
-// claims lists what the request needs of the limits that are set.
+// claims lists the amounts that the request needs from each configured limit.
 func (c *Controller) claims(request *inference.Request) []claim {
 	configuration := c.config.Catalog.Current()
 	tenant := configuration.Tenants[request.Tenant]
@@ -57,11 +58,11 @@
 	return needed
 }
 
-// tokenBurstSeconds is how many seconds of a token rate may be used at once.
+// tokenBurstSeconds is the burst of a token limit, in seconds of its rate.
 const tokenBurstSeconds = 4
 
-// checkLimits refuses a request beyond this node's part of a limit. Demand counts whether admitted or not: a node whose
-// callers are refused must get a larger part.
+// checkLimits refuses a request that exceeds this node's part of a limit. Refused requests count as demand too, so that
+// a node whose callers are refused gets a larger part.
 func (c *Controller) checkLimits(request *inference.Request, tenant catalog.Tenant, now time.Time) *failure.Error {
 	var longest time.Duration
 	var message string
@@ -70,28 +71,29 @@
 		held.rate = needed.rate
 		held.demand.add(needed.amount, now)
 		part := c.part(held, now)
-		held.bucket.set(needed.rate*part, max(leastBurst, needed.burst*part), now)
+		held.bucket.set(needed.rate*part, max(minBurst, needed.burst*part), now)
 		if wait := held.bucket.wait(needed.amount, now); wait > longest {
 			longest, message = wait, needed.message
 		}
 	}
 	if longest > 0 {
-		return failure.New(failure.CodeRateLimited, "%s", message).WithRetryAfter(c.spread(longest))
+		return failure.New(failure.CodeRateLimited, "%s", message).WithRetryAfter(c.withJitter(longest))
 	}
 	return c.checkInFlight(tenant, now)
 }
 
 // part returns this node's part of a limit.
 //
-// It rests on the demand that the total contains, not on the present one: a rise on all nodes at once would have each of
-// them claim nearly the whole limit until the next total. And it grows only once two totals agree, because whoever
-// reports a rise first is told a total without the others'. It shrinks at once.
+// It uses the demand that the total contains, not the current demand. Otherwise, if demand rose on all nodes at once,
+// each node would claim nearly the whole limit until the next total. The part grows only after two consecutive totals
+// support it, because the first node to report a rise receives a total without the other nodes' increase. It shrinks
+// immediately.
 func (c *Controller) part(held *limit, now time.Time) float64 {
 	nodes := len(c.config.Nodes())
 	return min(share(held.total.own, held.total, nodes, now), share(held.before.own, held.before, nodes, now))
 }
 
-// checkInFlight applies the node's part of the tenant's concurrent requests.
+// checkInFlight refuses a request that exceeds this node's part of the tenant's limit on concurrent requests.
 func (c *Controller) checkInFlight(tenant catalog.Tenant, now time.Time) *failure.Error {
 	if tenant.MaxInFlight <= 0 {
 		return nil
@@ -104,10 +106,11 @@
 	if c.inFlight[tenant.Name] < allowed {
 		return nil
 	}
-	return failure.New(failure.CodeRateLimited, "the tenant has too many requests in flight").WithRetryAfter(c.spread(leastRetryAfter))
+	return failure.New(failure.CodeRateLimited, "the tenant has too many requests in flight").WithRetryAfter(c.withJitter(minRetryAfter))
 }
 
-// charge counts the request and takes what an admitted request needs. The limits were checked under the same lock.
+// charge counts an admitted request and takes its tokens from the buckets. The caller must have checked the limits
+// without releasing the lock since.
 func (c *Controller) charge(request *inference.Request) {
 	c.inFlight[request.Tenant]++
 	for _, needed := range c.claims(request) {
@@ -124,7 +127,7 @@
 	return held
 }
 
-// spread lengthens advice by up to a half, so that callers refused together do not come back together.
-func (c *Controller) spread(advice time.Duration) time.Duration {
-	return advice + time.Duration(c.config.Random()*float64(advice)/2)
+// withJitter adds random jitter of up to half of the retry delay, so that callers refused together do not retry together.
+func (c *Controller) withJitter(delay time.Duration) time.Duration {
+	return delay + time.Duration(c.config.Random()*float64(delay)/2)
 }
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -6,7 +6,7 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// metrics counts refusals.
+// metrics holds the counter of refusals.
 type metrics struct {
 	refusals *prometheus.CounterVec
 }
@@ -23,7 +23,7 @@
 
 func (m *metrics) refused(code failure.Code) { m.refusals.WithLabelValues(string(code)).Inc() }
 
-// Descriptions of the gauges of services.
+// Descriptions of the gauges per service.
 var (
 	limitDescription    = serviceGauge("limit", "Requests of the service that this node may have in flight.")
 	inFlightDescription = serviceGauge("in_flight", "Requests of the service that this node has in flight.")
@@ -34,7 +34,7 @@
 	return prometheus.NewDesc("mallowlatch_admission_"+name, help, []string{"service"}, nil)
 }
 
-// gauges reads the state of the services when the metrics are collected.
+// gauges is a collector that reads the state of the services on each scrape.
 type gauges struct{ controller *Controller }
 
 // Describe implements prometheus.Collector.
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -19,7 +19,7 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// driver makes arbitrary moves on one controller in virtual time and checks its promises after each.
+// driver performs random operations on one controller in virtual time and checks its invariants after each.
 type driver struct {
 	t          *rapid.T
 	at         *clock
@@ -54,7 +54,7 @@
 	return made
 }
 
-// arrive sends a request.
+// arrive submits a random request.
 func (d *driver) arrive() {
 	request := &inference.Request{
 		Tenant:     rapid.SampledFrom([]ident.Tenant{"bounded", "rated", "heavy", "light"}).Draw(d.t, "tenant"),
@@ -95,7 +95,7 @@
 	ticket.Done(result)
 }
 
-// pass lets time pass, and ends what has waited as long as it may.
+// pass advances the clock and gives up the turns that have reached their time limit.
 func (d *driver) pass() {
 	d.at.Advance(time.Duration(rapid.IntRange(1, 400).Draw(d.t, "elapsed")) * time.Millisecond)
 	for _, turn := range slices.Clone(d.turns) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// settle takes the turns that have ended.
+// settle processes the turns that have been settled.
 func (d *driver) settle() {
 	d.turns = slices.DeleteFunc(d.turns, func(turn *Turn) bool {
 		select {
@@ -132,7 +132,7 @@
 	assert.Assert(d.t, refused.RetryAfter > 0, "%v", refused)
 }
 
-// check compares the controller's books with what was handed out.
+// check compares the controller's counters with the tickets and turns the driver holds, and checks all bounds.
 func (d *driver) check(before int) {
 	c, target := d.controller, d.controller.service("s")
 	assert.Equal(d.t, target.concurrency.inFlight, len(d.running), "slots in use")
@@ -153,9 +153,9 @@
 	assert.Assert(d.t, d.admitted["rated"] <= most+0.001, "admitted %.0f of %.2f", d.admitted["rated"], most)
 }
 
-// TestAdmissionUnderAnyMoves checks that no limit is exceeded (the concurrency limit by less than one request), that no slot or place is lost, and that every refusal
-// says that the request was not run and when to come back.
-func TestAdmissionUnderAnyMoves(t *testing.T) {
+// TestAdmissionInvariantsUnderRandomOperations checks that no limit is exceeded (the concurrency limit by less than
+// one request), that no slot or queue entry leaks, and that every refusal has the outcome NotRun and a retry delay.
+func TestAdmissionInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		driver := newDriver(t)
 		moves := []func(){driver.arrive, driver.arrive, driver.arrive, driver.end, driver.pass}
@@ -168,9 +168,9 @@
 	})
 }
 
-// TestNoTenantIsStarved lets tenants of any demand and weight meet a service of fixed speed. A tenant that always asks
-// for more than its weighted share gets nine tenths of the share. One that asks for less gets seven tenths of what it
-// asks for at least: the queue is a quarter of a second long, and what it sends in bursts beyond that is refused.
+// TestNoTenantIsStarved serves tenants of random demand and weight at a fixed capacity. A tenant whose demand is well above
+// its weighted share must get nine tenths of the share. Any other must get at least seven tenths of its demand or share,
+// whichever is less: the queue holds a quarter of a second of requests, and larger bursts are refused.
 func TestNoTenantIsStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const answerTime, span = 500 * time.Millisecond, 20 * time.Second
@@ -209,7 +209,8 @@
 	until  time.Time
 }
 
-// serveTenants runs arrivals of the given rates against slots of the given time and counts the answers of each tenant.
+// serveTenants simulates random arrivals at the given rates, with the given mean answer time, and counts the answers per
+// tenant.
 func serveTenants(controller *Controller, at *clock, random *rand.Rand, tenants []catalog.Tenant, demands []float64, answerTime, span time.Duration) map[ident.Tenant]int {
 	const tick = 20 * time.Millisecond
 	limit := controller.service("s").concurrency.limit
@@ -227,7 +228,7 @@
 			if at.Now().Before(ended.until) {
 				return false
 			}
-			// The limit stays the same number of slots: the service's speed is fixed.
+			// Reset the limit, so that the capacity stays constant.
 			controller.service("s").concurrency.limit = limit
 			ended.ticket.Done(nil)
 			answered[ended.ticket.request.Tenant]++
@@ -260,8 +261,8 @@
 	return answered
 }
 
-// TestRunWaitsAgainAndSpreadsAdvice dispatches while the runners have no room: a lone request is refused at once,
-// with advice of its own, and neither the result nor the outcome is changed.
+// TestLoneRefusalsSpreadAdvice checks that a request that is refused by the runners while no other is in flight is refused
+// at once, with a jittered retry delay and an unchanged code and outcome.
 func TestLoneRefusalsSpreadAdvice(t *testing.T) {
 	at := newClock()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -269,26 +270,26 @@
 	request := &inference.Request{Tenant: "t", Service: "s", Repeatable: true}
 	full := failure.New(failure.CodeOverloaded, "full").WithRetryAfter(time.Second)
 	gone := failure.New(failure.CodeNoBackend, "gone").WithRetryAfter(time.Second)
-	advice := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for _, result := range []*failure.Error{full, gone} {
 		for range 10 {
 			failed := failure.As(controller.Run(context.Background(), request, func() error { return result }))
 			assert.Equal(t, failed.Code, result.Code)
 			assert.Equal(t, failed.Outcome, outcome.NotRun)
-			assert.Assert(t, failed.RetryAfter >= leastRetryAfter)
-			advice[failed.RetryAfter] = true
+			assert.Assert(t, failed.RetryAfter >= minRetryAfter)
+			delays[failed.RetryAfter] = true
 		}
 	}
-	assert.Assert(t, len(advice) > 10, "callers come back together: %v", advice)
+	assert.Assert(t, len(delays) > 10, "callers would retry together: %v", delays)
 	ran := failure.New(failure.CodeBackendFailed, "broken").WithOutcome(outcome.Ran).WithRetryAfter(time.Second)
 	assert.Equal(t, controller.Run(context.Background(), request, func() error { return ran }), error(ran))
 	assert.NilError(t, controller.Run(context.Background(), request, func() error { return nil }))
 
 }
 
-// TestRequestWaitsAgainForRoom has the runners refuse a request while another is in flight. It must get its turn when the
-// other ends, and also when nothing happens at all.
-func TestRequestWaitsAgainForRoom(t *testing.T) {
+// TestRequestIsRequeuedAfterOverload has the runners refuse a request while another is in flight. The request must be
+// dispatched again when the other ends, and also if no other event occurs.
+func TestRequestIsRequeuedAfterOverload(t *testing.T) {
 	for _, otherEnds := range []bool{true, false} {
 		controller := New(Config{Node: "n", Catalog: configuration(), Bounds: Bounds{Wait: 30 * time.Second}})
 		request := &inference.Request{Tenant: "t", Service: "s", Repeatable: true}
@@ -315,8 +316,8 @@
 	}
 }
 
-// endOnceQueued ends a request as soon as another one waits for its turn. Had it ended a moment before, the other would have been
-// refused: nothing in flight tells when there is room then.
+// endOnceQueued ends a request as soon as another one is queued. If it ended earlier, the other would be refused, because
+// no request in flight would signal a free slot.
 func endOnceQueued(controller *Controller, ending *Ticket) {
 	queued := func() int {
 		controller.mutex.Lock()
@@ -329,7 +330,7 @@
 	ending.Done(nil)
 }
 
-// TestUnusedLimitReturnsToTheShare cuts the limit of a node that sends little, and raises it far above its share.
+// TestUnusedLimitReturnsToTheShare checks that an unused limit returns to the node's share from far below and far above it.
 func TestUnusedLimitReturnsToTheShare(t *testing.T) {
 	const share, rounds = 16.0, 60
 	for _, from := range []float64{1, 500} {
@@ -349,7 +350,7 @@
 	}
 }
 
-// TestGaugesShowTheService reads the metrics while one request runs and another waits.
+// TestGaugesShowTheService checks the gauges while one request is in flight and another waits.
 func TestGaugesShowTheService(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	controller := New(Config{Node: "n", Catalog: configuration(), Registerer: registry, Bounds: Bounds{Wait: 4 * time.Second}})
@@ -369,7 +370,7 @@
 	})
 }
 
-// TestLateFirstTokensHoldTheLimitAtTheShare lets answers come while first tokens are quick, late, and quick again.
+// TestLateFirstTokensHoldTheLimitAtTheShare checks that the limit grows above the share only while first tokens are quick.
 func TestLateFirstTokensHoldTheLimitAtTheShare(t *testing.T) {
 	const share = 10.0
 	tested, now := newConcurrency(), begin
@@ -379,14 +380,14 @@
 			now = now.Add(time.Second)
 			tested.inFlight = int(tested.limit)
 			for range tested.inFlight {
-				tested.began(firstToken)
+				tested.observeFirstToken(firstToken)
 				tested.answered(time.Second, now)
 			}
 		}
 		return tested.limit
 	}
-	assert.Assert(t, run(100*time.Millisecond) > 3*share, "quick first tokens let it grow")
+	assert.Assert(t, run(100*time.Millisecond) > 3*share, "the limit did not grow with quick first tokens")
 	assert.Equal(t, run(time.Second), share)
-	assert.Equal(t, run(300*time.Millisecond), share, "it must not grow into full runners")
+	assert.Equal(t, run(300*time.Millisecond), share, "the limit grew while the runners were full")
 	assert.Assert(t, run(100*time.Millisecond) > 3*share)
 }
--- a/internal/admission/step_test.go
+++ b/internal/admission/step_test.go
@@ -12,8 +12,8 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// TestSplitLimitUnderAStep raises a tenant's demand on ten nodes from a tenth of its limit to ten times the limit at once.
-// The fleet may admit the burst once, and in any second a quarter more than the limit.
+// TestSplitLimitUnderAStep raises a tenant's demand on ten nodes from a tenth of its limit to ten times the limit in one step.
+// The fleet may admit the burst once, and otherwise at most a quarter more than the limit in any second.
 func TestSplitLimitUnderAStep(t *testing.T) {
 	const nodes, limitRate, seconds, step = 10, 100.0, 40, 20
 	at := newClock()
--- a/internal/admission/turn.go
+++ b/internal/admission/turn.go
@@ -9,35 +9,37 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// Ticket is the right to dispatch one request. Done, or Return with success, must be called once.
+// Ticket permits the dispatch of one request. The holder must call Done once, unless Return has returned a Turn.
 type Ticket struct {
 	controller *Controller
 	request    *inference.Request
 	service    *service
-	// until is when the request must have its slot; taken is when it got it.
+	// until is the time by which the request must have a slot; taken is the time when it got one.
 	until, taken time.Time
 }
 
-// take occupies a slot. The lock is held.
+// take occupies a slot. The caller must hold the controller's mutex.
 func (t *Ticket) take(now time.Time) {
 	t.taken = now
 	t.service.concurrency.inFlight++
 }
 
-// Done gives the slot back with the result of the dispatch. An overload refusal lowers the service's concurrency.
+// Done releases the slot and records the result of the dispatch. An overload refusal lowers the service's concurrency
+// limit.
 func (t *Ticket) Done(result error) {
 	c := t.controller
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.config.Now()
-	t.giveBack(result, now)
+	t.releaseSlot(result, now)
 	c.release(t.request.Tenant)
 	c.grantNext(t.service, now)
 	c.trim(t.service, now)
 }
 
-// giveBack frees the slot and learns from the result. The lock is held.
-func (t *Ticket) giveBack(result error, now time.Time) {
+// releaseSlot releases the slot and updates the concurrency limit from the result. The caller must hold the controller's
+// mutex.
+func (t *Ticket) releaseSlot(result error, now time.Time) {
 	running := t.service.concurrency
 	switch {
 	case result == nil:
@@ -47,13 +49,13 @@
 	}
 	running.inFlight--
 	if result == nil {
-		running.reopen()
+		running.resume()
 	}
 }
 
-// Return gives the slot back after the runners had no room for the request, and has the request wait again in its old
-// place. It returns nil and changes nothing if the result is another, or if the request may not wait any longer; then
-// Done must be called.
+// Return releases the slot after the runners refused a repeatable request for overload, and queues the request again
+// without another charge to its tenant. It returns nil and changes nothing for any other result, if the request may not
+// wait any longer, or if no other request of the service is in flight; the caller must then call Done.
 func (t *Ticket) Return(result error) *Turn {
 	failed := failure.As(result)
 	if result == nil || failed.Code != failure.CodeOverloaded || failed.Outcome != outcome.NotRun || !t.request.Repeatable {
@@ -63,30 +65,30 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.config.Now()
-	// Without another request in flight nothing tells when the runners have room again.
+	// If no other request is in flight, no completion will signal that the runners have free slots again.
 	if t.service.concurrency.inFlight <= 1 || !now.Before(t.until) {
 		return nil
 	}
-	t.giveBack(result, now)
+	t.releaseSlot(result, now)
 	again := &Ticket{controller: c, request: t.request, service: t.service, until: t.until}
 	turn := &Turn{ticket: again}
 	turn.queued = &waiter{tenant: t.request.Tenant, bytes: len(t.request.Body), settled: make(chan struct{}), turn: turn}
-	t.service.queue.pushFirst(turn.queued)
+	t.service.queue.requeue(turn.queued)
 	c.enqueued(turn.queued)
 	c.trim(t.service, now)
 	return turn
 }
 
-// Turn is a request that waits for its slot.
+// Turn is a queued request that waits for its slot.
 type Turn struct {
 	ticket *Ticket
 	queued *waiter
 }
 
-// Settled is closed once the request has its slot or is refused.
+// Settled returns a channel that is closed when the request gets its slot or is refused.
 func (t *Turn) Settled() <-chan struct{} { return t.queued.settled }
 
-// Until is when the request must give up.
+// Until returns the time at which the request must stop waiting.
 func (t *Turn) Until() time.Time { return t.ticket.until }
 
 // Result returns the ticket or the refusal of a settled turn.
@@ -97,11 +99,11 @@
 	return t.ticket, nil
 }
 
-// RecheckEvery is how often a request that waits must be rechecked.
-const RecheckEvery = closedTime
+// RecheckEvery is the interval at which callers must call Recheck for a waiting request.
+const RecheckEvery = overloadPause
 
-// Recheck gives slots that are free again. Other events do so too, but none may come while the service is closed after a
-// refusal and no answer ends.
+// Recheck grants slots that are free again. Arrivals and completions do so too, but possibly none occurs after the pause
+// that follows an overload refusal.
 func (t *Turn) Recheck() {
 	c := t.ticket.controller
 	c.mutex.Lock()
@@ -109,7 +111,7 @@
 	c.grantNext(t.ticket.service, c.config.Now())
 }
 
-// GiveUp leaves the queue and returns the refusal, or nil if the turn was settled before.
+// GiveUp removes the request from the queue and returns the refusal, or nil if the turn was already settled.
 func (t *Turn) GiveUp() *failure.Error {
 	c := t.ticket.controller
 	c.mutex.Lock()
@@ -119,10 +121,10 @@
 	}
 	c.unqueue(t.queued)
 	c.release(t.queued.tenant)
-	return c.inVain(t.ticket, c.config.Now())
+	return c.refuseLate(t.ticket, c.config.Now())
 }
 
-// await waits for the slot.
+// await waits until the request gets its slot, is refused, reaches its time limit, or ctx is cancelled.
 func (t *Turn) await(ctx context.Context) (*Ticket, *failure.Error) {
 	timer := time.NewTimer(t.Until().Sub(t.ticket.controller.config.Now()))
 	defer timer.Stop()
@@ -143,15 +145,15 @@
 	refused := t.GiveUp()
 	switch {
 	case refused == nil:
-		return t.settledLate(ctx)
+		return t.resolveLate(ctx)
 	case ctx.Err() != nil:
 		return nil, failure.New(failure.CodeCancelled, "the caller has gone")
 	}
 	return nil, refused
 }
 
-// settledLate settles a slot that came at the moment of giving up: it is used unless the caller is gone.
-func (t *Turn) settledLate(ctx context.Context) (*Ticket, *failure.Error) {
+// resolveLate handles a turn that was settled before GiveUp could remove it: the slot is used unless ctx is cancelled.
+func (t *Turn) resolveLate(ctx context.Context) (*Ticket, *failure.Error) {
 	ticket, refused := t.Result()
 	if refused != nil || ctx.Err() == nil {
 		return ticket, refused
@@ -160,7 +162,8 @@
 	return nil, failure.New(failure.CodeCancelled, "the caller has gone")
 }
 
-// Run admits a request and dispatches it. While the runners have no room for it, it waits for its turn again.
+// Run admits a request and dispatches it. If the runners refuse it for overload, it is queued and dispatched again while
+// Return permits.
 func (c *Controller) Run(ctx context.Context, request *inference.Request, dispatch func() error) error {
 	ticket, err := c.Admit(ctx, request)
 	if err != nil {
@@ -171,7 +174,7 @@
 		turn := ticket.Return(result)
 		if turn == nil {
 			ticket.Done(result)
-			return ticket.advise(result)
+			return ticket.withRetryDelay(result)
 		}
 		var refused *failure.Error
 		if ticket, refused = turn.await(ctx); refused != nil {
@@ -181,9 +184,10 @@
 	}
 }
 
-// advise replaces the advice of a refusal that came from the dispatcher, which knows neither the queue nor how many
-// others were refused. Other failures keep theirs, lengthened so that callers do not come back together.
-func (t *Ticket) advise(result error) error {
+// withRetryDelay replaces the retry delay of an overload refusal by the dispatcher, which knows neither the queue nor the number
+// of recent refusals. Other failures of requests that were not run keep their delay, with jitter added so that callers
+// do not retry together.
+func (t *Ticket) withRetryDelay(result error) error {
 	if result == nil {
 		return nil
 	}
@@ -195,9 +199,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if failed.Code != failure.CodeOverloaded {
-		return failed.WithRetryAfter(c.spread(failed.RetryAfter))
+		return failed.WithRetryAfter(c.withJitter(failed.RetryAfter))
 	}
 	now := c.config.Now()
 	t.service.refusals.add(1, now)
-	return failed.WithRetryAfter(t.service.retryAdvice(c.config.Random(), now))
+	return failed.WithRetryAfter(t.service.retryDelay(c.config.Random(), now))
 }
--- a/internal/admission/floor_test.go
+++ b/internal/admission/unreported_demand_test.go
@@ -13,8 +13,8 @@
 	"mallowlatch.example/mallowlatch/internal/inference"
 )
 
-// TestUnreportedDemandKeepsTheLimit draws nodes and their demand and lets them report once: what the nodes that reported may
-// admit, and what the others ask for, add up to no more than the limit.
+// TestUnreportedDemandKeepsTheLimit has nodes with random demand report once. The shares of the reporting nodes plus the
+// unreported demand of the others must not exceed the limit.
 func TestUnreportedDemandKeepsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate = 100.0
@@ -51,8 +51,9 @@
 	})
 }
 
-// TestLimitKnowsTheFleetsRate checks that a request leaves the rate by which reports are judged.
-func TestLimitKnowsTheFleetsRate(t *testing.T) {
+// TestAdmitRecordsFleetRate checks that a request records the fleet-wide rate, which Reports uses to decide whether
+// demand must be reported.
+func TestAdmitRecordsFleetRate(t *testing.T) {
 	fixed := newClock()
 	controller := New(Config{
 		Node: "n", Catalog: configuration(catalog.Tenant{Name: "t", RequestsPerSecond: 7}), Now: fixed.Now,
