--- a/internal/batch/commit.go
+++ b/internal/batch/commit.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// commitCount is the number of results that are committed without waiting for more.
+	// commitCount is the number of results at which a group is committed immediately.
 	commitCount = 256
-	// commitDelay is how long the first result of a group waits for others.
+	// commitDelay is the longest time that the first result of a group waits for more results.
 	commitDelay = 50 * time.Millisecond
-	// commitTimeout bounds one commit.
+	// commitTimeout bounds one commit call to the job store.
 	commitTimeout = 5 * time.Second
-	// commitRetry is the wait after a commit that failed.
+	// commitRetry is the delay before a failed commit or release is retried.
 	commitRetry = 250 * time.Millisecond
-	// renewShare is the part of the lease time after which leases are renewed.
-	renewShare = 3
-	// leastRenew is the shortest time between renewals.
-	leastRenew = 50 * time.Millisecond
+	// renewDivisor divides the shortest lease time to give the renewal interval.
+	renewDivisor = 3
+	// minRenewInterval is the lower bound of the renewal interval.
+	minRenewInterval = 50 * time.Millisecond
 )
 
-// commit gathers the results of one lease.
+// commit collects the uncommitted results of one lease.
 type commit struct {
 	results []job.Result
-	// due is when the group is committed at the latest.
+	// due is the latest time at which the group is committed.
 	due  time.Time
 	busy bool
 }
 
-// result adds a result to its lease's group.
-func (w *Worker) result(ended *item, result job.Result) {
-	w.book.end(ended)
+// addResult adds a result to the group of its lease. Results of a lost lease are dropped.
+func (w *Worker) addResult(ended *item, result job.Result) {
+	w.registry.end(ended)
 	if ended.lease.lost {
 		return
 	}
@@ -49,7 +49,7 @@
 	group.results = append(group.results, result)
 }
 
-// commitDue commits the groups that are full, due, or the last of their lease.
+// commitDue commits the groups that are full, due, or contain all remaining results of their lease.
 func (w *Worker) commitDue(now time.Time) {
 	for held, group := range w.commits {
 		waiting := len(group.results)
@@ -76,8 +76,8 @@
 	})
 }
 
-// committed takes the answer to a commit. A failed one is repeated: committing a result twice does no harm, since the
-// first wins.
+// committed handles the response to a commit. A failed commit is retried: committing a result twice is safe because the
+// store retains the first one.
 func (w *Worker) committed(held *heldLease, group *commit, results []job.Result, err error) {
 	group.busy = false
 	if held.lost {
@@ -90,19 +90,19 @@
 		group.due = w.config.Now().Add(commitRetry)
 		return
 	}
-	w.book.settle(held, len(results))
+	w.registry.markFinished(held, len(results))
 	if held.unfinished <= 0 {
 		delete(w.commits, held)
 	}
 }
 
-// renew extends all leases once a third of the shortest lease time has passed.
+// renew renews all leases, one call per shard, when a third of the shortest lease time has passed since the last renewal.
 func (w *Worker) renew(now time.Time) {
-	if now.Before(w.renewAt) || len(w.book.leases) == 0 {
+	if now.Before(w.renewAt) || len(w.registry.leases) == 0 {
 		return
 	}
 	w.renewAt = now.Add(w.renewEvery())
-	for shard, leases := range w.book.byShard() {
+	for shard, leases := range w.registry.byShard() {
 		w.tomb.Go(func() error {
 			w.renewShard(shard, leases)
 			return nil
@@ -112,12 +112,12 @@
 
 func (w *Worker) renewEvery() time.Duration {
 	shortest := time.Duration(0)
-	for _, held := range w.book.leases {
+	for _, held := range w.registry.leases {
 		if shortest == 0 || held.lease.TTL < shortest {
 			shortest = held.lease.TTL
 		}
 	}
-	return max(leastRenew, shortest/renewShare)
+	return max(minRenewInterval, shortest/renewDivisor)
 }
 
 func (w *Worker) renewShard(shard ident.Shard, leases []string) {
@@ -130,7 +130,7 @@
 			w.metrics.storeFailed()
 			return
 		}
-		for _, ended := range w.book.renewed(leases, lost, sent) {
+		for _, ended := range w.registry.renewed(leases, lost, sent) {
 			w.cancelLease(ended)
 		}
 	})
--- a/internal/batch/ended.go
+++ b/internal/batch/ended.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxAttempts bounds the runs of an item that fail on the runner's side. With the waits between them an item outlasts
-	// a fault of 16 s, and one that brings its runner down does so no more often than this.
+	// maxAttempts bounds the runs of an item that fail on the runner's side. Including the backoff between them, an item
+	// survives a fault of 16 s, and an item that crashes its runner does so at most this many times.
 	maxAttempts = 8
-	// firstBackoff is the wait after a refusal; each failed run doubles it up to lastBackoff.
+	// firstBackoff is the delay after a refusal; each failed run doubles it up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 5 * time.Second
-	// busyPause is how long a runner that refused is left alone if it gave no advice.
-	busyPause = 200 * time.Millisecond
+	maxBackoff   = 5 * time.Second
+	// refusalPause is how long no items are started on a runner that was busy or failed.
+	refusalPause = 200 * time.Millisecond
 )
 
-// ended takes a run's end and decides what becomes of its item.
-func (w *Worker) ended(done *execution, state *runnerState) {
+// runEnded handles the end of a run: its item is completed, queued again or failed.
+func (w *Worker) runEnded(done *execution, state *runnerState) {
 	delete(state.running, done)
 	w.tenants.add(done.item.job.Tenant, -1)
 	endPrefill(state, done)
@@ -36,7 +36,7 @@
 		return
 	}
 	if done.err == nil {
-		w.answered(done)
+		w.runSucceeded(done)
 		return
 	}
 	if done.preempted {
@@ -46,7 +46,7 @@
 	w.afterFailure(done, now)
 }
 
-// observe tells the table and the runner's state what the run showed.
+// observe updates the runner table and the runner's state from the outcome of a run.
 func (w *Worker) observe(done *execution, state *runnerState, now time.Time) {
 	table := w.config.Table
 	switch {
@@ -61,46 +61,47 @@
 	case errors.Is(done.err, engine.ErrLeaving):
 		table.ObserveLeaving(done.runner, true, now)
 	case errors.Is(done.err, engine.ErrBusy):
-		state.pausedUntil = now.Add(busyPause)
+		state.pausedUntil = now.Add(refusalPause)
 	case errors.Is(done.err, engine.ErrModelNotLoaded):
 		table.ObserveNotLoaded(done.runner, done.item.request.Model, done.item.request.Adapter)
 	case errors.Is(done.err, engine.ErrRejected):
 		return
 	default:
-		state.pausedUntil = now.Add(busyPause)
+		state.pausedUntil = now.Add(refusalPause)
 		if table.ObserveFailure(done.runner, now) {
 			event.RunnerEjected.Log(w.config.Logger).Str("runner", string(done.runner)).Err(done.err).Send()
 		}
 	}
 }
 
-// answered commits a whole answer.
-func (w *Worker) answered(done *execution) {
-	whole, err := done.whole.Answer()
+// runSucceeded adds the complete answer of a run to the results to commit.
+func (w *Worker) runSucceeded(done *execution) {
+	complete, err := done.aggregate.Answer()
 	if err != nil {
 		w.fail(done.item, failure.New(failure.CodeBackendFailed, "the runner's answer cannot be read").WithOutcome(outcome.Ran))
 		return
 	}
-	w.metrics.completed(done.whole.Usage().CompletionTokens)
-	w.result(done.item, job.Result{Index: done.item.job.Index, Status: whole.Status, Body: whole.Body})
+	w.metrics.completed(done.aggregate.Usage().CompletionTokens)
+	w.addResult(done.item, job.Result{Index: done.item.job.Index, Status: complete.Status, Body: complete.Body})
 }
 
-// afterPreemption puts the item back. With its tokens kept it goes on where it stopped.
+// afterPreemption queues a preempted item again, to be resumed from its partial answer if the engine retained its tokens.
+// A non-repeatable item that may have run fails with an unknown outcome.
 func (w *Worker) afterPreemption(done *execution, now time.Time) {
 	if done.outcome != outcome.NotRun && !done.item.request.Repeatable {
 		w.fail(done.item, unknownOutcome())
 		return
 	}
-	done.item.kept = nil
-	if done.keptTokens {
-		done.item.kept = &keptAnswer{runner: done.runner, since: now, position: done.position, whole: done.whole}
+	done.item.partial = nil
+	if done.retainedTokens {
+		done.item.partial = &partialAnswer{runner: done.runner, since: now, position: done.position, aggregate: done.aggregate}
 	}
-	w.book.requeue(done.item)
+	w.registry.requeue(done.item)
 }
 
-// afterFailure retries an item or ends it with an error.
+// afterFailure queues an item for a retry or fails it.
 //
-// Invariant: a non-repeatable item whose run may have begun never runs again; its result says so.
+// Invariant: a non-repeatable item whose run may have begun never runs again; its result states this.
 func (w *Worker) afterFailure(done *execution, now time.Time) {
 	if errors.Is(done.err, engine.ErrRejected) {
 		w.fail(done.item, failure.New(failure.CodeInvalidRequest, "the model engine rejected the request").WithOutcome(done.outcome))
@@ -114,7 +115,7 @@
 		w.fail(done.item, unknownOutcome())
 		return
 	}
-	done.item.kept = nil
+	done.item.partial = nil
 	done.item.attempts++
 	if done.item.attempts >= maxAttempts {
 		w.fail(done.item, failure.New(failure.CodeBackendFailed, "the runner failed %d times", maxAttempts).WithOutcome(outcome.Ran))
@@ -123,10 +124,11 @@
 	w.backOff(done.item, now)
 }
 
-// refused puts back an item that was not run. If the engine no longer holds its tokens, it starts anew.
+// refused queues an item that was not run for a retry. If the engine no longer has its tokens, the item restarts from the
+// beginning.
 func (w *Worker) refused(done *execution, now time.Time) {
 	if errors.Is(done.err, engine.ErrGone) {
-		done.item.kept = nil
+		done.item.partial = nil
 	}
 	w.backOff(done.item, now)
 }
@@ -136,19 +138,19 @@
 		WithOutcome(outcome.Unknown)
 }
 
-// backoffAfter returns the wait after a number of failed runs.
+// backoffAfter returns the delay before the next run after the given number of failed runs.
 func backoffAfter(attempts int) time.Duration {
-	return min(firstBackoff<<attempts, lastBackoff)
+	return min(firstBackoff<<attempts, maxBackoff)
 }
 
-// backOff puts an item back for a later run.
+// backOff queues an item again, to be run after its backoff.
 func (w *Worker) backOff(returned *item, now time.Time) {
 	returned.notBefore = now.Add(backoffAfter(returned.attempts))
-	w.book.requeue(returned)
+	w.registry.requeue(returned)
 }
 
-// fail ends an item with an error.
+// fail completes an item with an error result.
 func (w *Worker) fail(failed *item, cause *failure.Error) {
 	w.metrics.failed()
-	w.result(failed, failedResult(failed.job.Index, cause))
+	w.addResult(failed, failedResult(failed.job.Index, cause))
 }
--- a/internal/batch/execute.go
+++ b/internal/batch/execute.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// errPreempted is the cause of an item's context ended to make way for online work.
+	// errPreempted cancels a run that is preempted by online work or by a change of ownership.
 	errPreempted = failure.Kind("batch: preempted")
-	// errLeaseLost is the cause of an item's context ended because its lease is.
+	// errLeaseLost cancels a run whose lease expired or was cancelled.
 	errLeaseLost = failure.Kind("batch: lease lost")
-	// errStopping is the cause of an item's context ended because the worker stops.
+	// errStopping cancels a run because the worker is stopping.
 	errStopping = failure.Kind("batch: worker stops")
-	// errStalled means that an engine sent nothing for too long.
+	// errStalled cancels a run whose engine sent no chunk within stallTimeout.
 	errStalled = failure.Kind("batch: stream stalled")
 )
 
 const (
-	// maxResumes bounds the resumptions of a broken stream without progress between them.
+	// maxResumes bounds consecutive attempts to resume a broken stream without progress.
 	maxResumes = 3
-	// stallTime is the longest wait for a chunk; batch items may wait long behind online work.
-	stallTime = 2 * time.Minute
-	// abortTime bounds the wait for an engine to confirm an abort.
-	abortTime = 2 * time.Second
+	// stallTimeout bounds the wait for a chunk. It is long because the engine may queue batch items behind online work.
+	stallTimeout = 2 * time.Minute
+	// abortTimeout bounds the wait for an engine to confirm an abort.
+	abortTimeout = 2 * time.Second
 )
 
 // execution is one run of an item on a runner.
@@ -41,54 +41,55 @@
 	engine engine.Engine
 	epoch  uint64
 	cancel context.CancelCauseFunc
-	// stall ends the run when no chunk comes in time.
+	// stall cancels the run when no chunk arrives within stallTimeout.
 	stall *time.Timer
-	// started is called once the first chunk came: the prompt has been taken in.
+	// started is called when the first chunk arrives, that is, when prefill is complete.
 	started func()
-	// token is called at every chunk.
+	// token is called for every chunk.
 	token func()
 	// begun is set once started was called.
 	begun bool
-	// order numbers the runs of the worker; preempted and prefilling are marks of the worker's loop.
+	// order is the sequence number of the run; preempted and prefilling are used by the worker's loop only.
 	order                 uint64
 	preempted, prefilling bool
 
-	position answer.Position
-	whole    *answer.Aggregate
-	// err is how it ended, nil for a whole answer.
+	position  answer.Position
+	aggregate *answer.Aggregate
+	// err is the reason why the run failed, or nil if the answer is complete.
 	err error
-	// outcome says whether the item may have run, when err is set.
+	// outcome states whether the item may have run; it is valid when err is set.
 	outcome outcome.Outcome
-	// keptTokens is true if the engine confirmed that it keeps the tokens of a preempted item.
-	keptTokens bool
+	// retainedTokens is set if the engine confirmed that it retains the tokens of a preempted item.
+	retainedTokens bool
 }
 
-// newExecution begins where the item's kept answer ends, if this runner keeps it.
+// newExecution returns a run that continues the item's partial answer if this runner retains its tokens, and otherwise
+// starts from the beginning.
 func newExecution(leased *item, runner ident.Runner, target engine.Engine, epoch uint64) *execution {
 	created := &execution{item: leased, runner: runner, engine: target, epoch: epoch}
-	if leased.kept != nil && leased.kept.runner == runner {
-		created.position = leased.kept.position
-		created.whole = leased.kept.whole
+	if leased.partial != nil && leased.partial.runner == runner {
+		created.position = leased.partial.position
+		created.aggregate = leased.partial.aggregate
 		return created
 	}
-	created.whole = answer.NewAggregate(leased.request.Endpoint)
+	created.aggregate = answer.NewAggregate(leased.request.Endpoint)
 	return created
 }
 
-// run calls the engine until the answer is whole, the context ends or the stream cannot be resumed. It leaves no work
-// behind on the engine that it knows of: whatever else happened, the request is aborted there.
+// run calls the engine until the answer is complete, the context is cancelled or the stream cannot be resumed. After a
+// failure the request is aborted on the engine, unless it was not run, so that no work remains there.
 func (e *execution) run(ctx context.Context) {
-	e.stall = time.AfterFunc(stallTime, func() { e.cancel(errStalled) })
+	e.stall = time.AfterFunc(stallTimeout, func() { e.cancel(errStalled) })
 	defer e.stall.Stop()
 	e.err = e.generate(ctx)
 	if e.err == nil || e.outcome == outcome.NotRun {
 		return
 	}
 	keep := errors.Is(context.Cause(ctx), errPreempted) && e.position.Next() > 0
-	abortContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTime)
+	abortContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 	defer cancel()
 	confirmed := e.engine.Abort(abortContext, e.item.request.ID, keep) == nil
-	e.keptTokens = keep && confirmed
+	e.retainedTokens = keep && confirmed
 }
 
 func (e *execution) generate(ctx context.Context) error {
@@ -112,7 +113,7 @@
 	return e.resume(ctx, err)
 }
 
-// statedOutcome reads the outcome of an error; one that states none is Unknown.
+// statedOutcome returns the outcome that an error states, or Unknown.
 func statedOutcome(err error) outcome.Outcome {
 	var stated *engine.AttemptError
 	if errors.As(err, &stated) {
@@ -121,7 +122,7 @@
 	return outcome.Unknown
 }
 
-// resume reads on from the stream the engine still holds.
+// resume continues reading a broken stream that the engine retains. It returns the original error if it cannot.
 func (e *execution) resume(ctx context.Context, broken error) error {
 	for tries := 0; tries < maxResumes; tries++ {
 		before := e.position.Next()
@@ -148,7 +149,7 @@
 	return e.relay(stream)
 }
 
-// relay adds the chunks of a stream to the answer until it is whole.
+// relay adds the chunks of a stream to the answer until it is complete.
 func (e *execution) relay(stream engine.Stream) error {
 	defer stream.Close()
 	for !e.position.Final() {
@@ -159,7 +160,7 @@
 		if err != nil {
 			return fmt.Errorf("reading the stream: %w", err)
 		}
-		e.stall.Reset(stallTime)
+		e.stall.Reset(stallTimeout)
 		e.signalStart()
 		e.token()
 		verdict, err := e.position.Accept(&chunk)
@@ -169,7 +170,7 @@
 		if verdict == answer.Drop {
 			continue
 		}
-		if err := e.whole.Chunk(chunk); err != nil {
+		if err := e.aggregate.Chunk(chunk); err != nil {
 			return fmt.Errorf("chunk at token %d: %w", chunk.Offset, err)
 		}
 	}
--- a/internal/batch/fake_test.go
+++ b/internal/batch/fake_test.go
@@ -21,7 +21,7 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// fakeStore is a job store in memory with one shard. Its calls fail at random.
+// fakeStore is an in-memory job store with one shard. With faults, its calls fail at random.
 type fakeStore struct {
 	mutex    sync.Mutex
 	now      func() time.Time
@@ -34,9 +34,9 @@
 	results  map[uint32]job.Result
 	released int
 	renewals int
-	// returned holds released items, to be leased again first.
+	// returned contains released items, which are leased again first.
 	returned []job.Item
-	// refuseReleases makes that many releases fail.
+	// refuseReleases is the number of releases that will fail.
 	refuseReleases int
 	// refuseRenewals makes every renewal fail.
 	refuseRenewals bool
@@ -53,7 +53,7 @@
 
 const errStore = failure.Kind("store: unavailable")
 
-// fails says that a call is lost: before it took effect, or after.
+// fails draws whether a call fails before or after it takes effect.
 func (s *fakeStore) fails() (before, after bool) {
 	if !s.faults {
 		return false, false
@@ -153,18 +153,18 @@
 	tokens int
 	// gate, if set, is received from before each token.
 	gate chan struct{}
-	// runs counts the runs begun of each item; running the calls now in progress; resumed the continuations.
-	runs    map[ident.Request]int
-	kept    map[ident.Request]bool
-	aborts  []bool
-	resumed []int
-	epochs  []uint64
+	// runs counts the runs started per item; resumed lists the offsets of resumed runs.
+	runs     map[ident.Request]int
+	retained map[ident.Request]bool
+	aborts   []bool
+	resumed  []int
+	epochs   []uint64
 	// fencedBelow is the lowest epoch the engine accepts.
 	fencedBelow uint64
 }
 
 func newEngine(tokens int, random *rand.Rand, faults bool) *fakeEngine {
-	return &fakeEngine{random: random, faults: faults, tokens: tokens, runs: map[ident.Request]int{}, kept: map[ident.Request]bool{}}
+	return &fakeEngine{random: random, faults: faults, tokens: tokens, runs: map[ident.Request]int{}, retained: map[ident.Request]bool{}}
 }
 
 func (e *fakeEngine) Generate(ctx context.Context, call engine.Call) (engine.Stream, error) {
@@ -189,7 +189,7 @@
 	case drawn == 3:
 		e.runs[call.Request.ID]++
 		return nil, engine.ErrBroken
-	case call.ResumeOffset > 0 && !e.kept[call.Request.ID]:
+	case call.ResumeOffset > 0 && !e.retained[call.Request.ID]:
 		return nil, &engine.AttemptError{Outcome: outcome.NotRun, Cause: engine.ErrGone}
 	}
 	if call.ResumeOffset > 0 {
@@ -208,7 +208,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.aborts = append(e.aborts, keep)
-	e.kept[request] = keep && (!e.faults || e.random.IntN(3) > 0)
+	e.retained[request] = keep && (!e.faults || e.random.IntN(3) > 0)
 	return nil
 }
 
@@ -257,8 +257,8 @@
 	return data
 }
 
-// site is a worker with what surrounds it.
-type site struct {
+// fixture is a worker with fake dependencies.
+type fixture struct {
 	worker  *Worker
 	table   *dispatch.Table
 	store   *fakeStore
@@ -267,42 +267,42 @@
 	mutex   sync.Mutex
 }
 
-func (s *site) Engine(runner ident.Runner) (engine.Engine, bool) {
+func (s *fixture) Engine(runner ident.Runner) (engine.Engine, bool) {
 	found, known := s.engines[runner]
 	return found, known
 }
 
-func (s *site) Owned() []Owned {
+func (s *fixture) Owned() []Owned {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.owned)
 }
 
-func (s *site) setOwned(owned []Owned) {
+func (s *fixture) setOwned(owned []Owned) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.owned = owned
 }
 
-// Current is the configuration: one service on one model.
-func (s *site) Current() *catalog.Snapshot {
+// Current returns a configuration with one service on one model.
+func (s *fixture) Current() *catalog.Snapshot {
 	snapshot := catalog.Empty()
 	snapshot.Services["s"] = catalog.Service{Name: "s", Model: "m"}
 	return snapshot
 }
 
-func (s *site) Changed(int64) <-chan struct{} { return nil }
+func (s *fixture) Changed(int64) <-chan struct{} { return nil }
 
 const testSequences = 6
 
-// testStep is the step time the engines report; their tokens come at any time.
+// testStep is the step time the engines report; their tokens arrive independently of it.
 const testStep = time.Millisecond
 
-// leaseItems is the most items the store gives in one lease.
+// leaseItems is the maximum number of items in one lease of the store.
 const leaseItems = 16
 
-func newSite(store *fakeStore, engines map[ident.Runner]*fakeEngine, now func() time.Time) *site {
-	created := &site{store: store, engines: engines, table: dispatch.NewTable()}
+func newFixture(store *fakeStore, engines map[ident.Runner]*fakeEngine, now func() time.Time) *fixture {
+	created := &fixture{store: store, engines: engines, table: dispatch.NewTable()}
 	list := machine.List{}
 	for runner := range engines {
 		list.Runners = append(list.Runners, machine.Runner{ID: runner, Zone: "a", State: machine.Live})
@@ -317,8 +317,8 @@
 	return created
 }
 
-// report renews the load reports and probes ejected runners, as the exchange does.
-func (s *site) report(now time.Time) {
+// report refreshes the load reports and probes ejected runners, as the exchange does.
+func (s *fixture) report(now time.Time) {
 	for runner := range s.engines {
 		report := engine.LoadReport{Measured: now, MaxSequences: testSequences, StepTime: testStep, Models: []engine.LoadedModel{{Name: "m"}}}
 		s.table.ObserveProbe(runner, now, true)
@@ -345,7 +345,7 @@
 	return text
 }
 
-// clock is a time that only tests move.
+// clock is a clock that tests advance explicitly.
 type clock struct {
 	mutex sync.Mutex
 	time  time.Time
--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// waitingLimit bounds the jobs one look at a shard returns.
+	// waitingLimit bounds the waiting jobs that one call to the job store returns.
 	waitingLimit = 16
-	// waitingAge is how long a list of waiting jobs is used.
-	waitingAge = time.Second
-	// emptyPause and longestEmptyPause are the first and the longest wait after a list without jobs.
-	emptyPause        = 50 * time.Millisecond
-	longestEmptyPause = time.Second
-	// largestLease bounds the items of one lease.
-	largestLease = 512
-	// leaseTimeout bounds one call of the job store.
+	// waitingMaxAge is how long a list of waiting jobs is used before it is fetched again.
+	waitingMaxAge = time.Second
+	// emptyPause and maxEmptyPause are the first and the longest delay after a list without jobs.
+	emptyPause    = 50 * time.Millisecond
+	maxEmptyPause = time.Second
+	// maxLeaseItems bounds the items of one lease.
+	maxLeaseItems = 512
+	// leaseTimeout bounds one call to the job store other than a commit.
 	leaseTimeout = 5 * time.Second
-	// prefetchShare is how many items are kept ready for each sequence the node may fill.
-	prefetchShare = 0.5
-	// leastPrefetch is the least number of items kept ready.
-	leastPrefetch = 16
+	// prefetchPerSequence is the number of items prefetched per sequence that the node may fill.
+	prefetchPerSequence = 0.5
+	// minPrefetch is the minimum number of items prefetched.
+	minPrefetch = 16
 )
 
-// feeder keeps the queue filled ahead of the credits, so that no runner waits for a lease.
+// feeder leases items before credits become free, so that no runner is idle while a lease is fetched.
 type feeder struct {
 	busy     bool
 	list     []job.Priority
 	listed   time.Time
 	pauseFor time.Duration
-	// resumeAt is the end of the wait after a list without jobs.
+	// resumeAt is the end of the delay after a list without jobs, a failed call or a release of stranded items.
 	resumeAt time.Time
 }
 
-// DefaultOrder puts jobs that are due first, then the oldest.
+// DefaultOrder sorts jobs by deadline, then by creation time.
 func DefaultOrder(_ time.Time, waiting []job.Priority) []job.Priority {
 	slices.SortStableFunc(waiting, func(a, b job.Priority) int {
 		if order := a.Deadline.Compare(b.Deadline); order != 0 {
@@ -52,7 +52,7 @@
 
 // feed leases more items if the queue runs low.
 func (w *Worker) feed(now time.Time) {
-	wanted := w.wanted() - w.book.queued()
+	wanted := w.wanted() - w.registry.queued()
 	if w.feeder.busy || wanted <= 0 || now.Before(w.feeder.resumeAt) {
 		return
 	}
@@ -61,17 +61,17 @@
 		return
 	}
 	w.feeder.busy = true
-	if len(w.feeder.list) == 0 || now.Sub(w.feeder.listed) > waitingAge {
-		w.background(func(ctx context.Context) { w.fetchWaiting(ctx) })
+	if len(w.feeder.list) == 0 || now.Sub(w.feeder.listed) > waitingMaxAge {
+		w.callStore(func(ctx context.Context) { w.fetchWaiting(ctx) })
 		return
 	}
 	next := w.feeder.list[0]
-	request := job.LeaseRequest{Worker: w.config.Node, Services: services, Max: min(wanted, largestLease)}
-	w.background(func(ctx context.Context) { w.fetchLease(ctx, next, request) })
+	request := job.LeaseRequest{Worker: w.config.Node, Services: services, Max: min(wanted, maxLeaseItems)}
+	w.callStore(func(ctx context.Context) { w.fetchLease(ctx, next, request) })
 }
 
-// wanted returns how many items to have in the queue: enough to fill the credits once, and a part for what ends while
-// a lease is fetched.
+// wanted returns the target length of the queue: enough items to fill the free credits, plus a share to replace runs that
+// end while a lease is fetched.
 func (w *Worker) wanted() int {
 	free, used := 0, 0
 	for _, state := range w.runners {
@@ -84,10 +84,10 @@
 	if free+used == 0 {
 		return 0
 	}
-	return free + max(leastPrefetch, int(prefetchShare*float64(free+used)))
+	return free + max(minPrefetch, int(prefetchPerSequence*float64(free+used)))
 }
 
-// services lists the services whose model a usable runner holds.
+// services returns the sorted names of the services whose model is loaded on a usable runner.
 func (w *Worker) services(now time.Time) []string {
 	var services []string
 	for name, service := range w.config.Catalog.Current().Services {
@@ -99,8 +99,8 @@
 	return services
 }
 
-// background runs one bounded call of the job store outside the loop.
-func (w *Worker) background(call func(ctx context.Context)) {
+// callStore runs a call to the job store with a timeout outside the worker's loop.
+func (w *Worker) callStore(call func(ctx context.Context)) {
 	w.tomb.Go(func() error {
 		ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), leaseTimeout)
 		defer cancel()
@@ -131,14 +131,14 @@
 	})
 }
 
-// pause waits longer each time nothing was found.
+// pause delays the next call to the job store, doubling the delay each time up to maxEmptyPause.
 func (f *feeder) pause(now time.Time) {
-	f.pauseFor = min(longestEmptyPause, max(emptyPause, 2*f.pauseFor))
+	f.pauseFor = min(maxEmptyPause, max(emptyPause, 2*f.pauseFor))
 	f.resumeAt = now.Add(f.pauseFor)
 }
 
 func (w *Worker) fetchLease(ctx context.Context, from job.Priority, request job.LeaseRequest) {
-	// The lease's time runs from before the request was sent, so that it never ends later here than at the store.
+	// The lease time counts from before the request is sent, so that the lease never expires later here than at the store.
 	sent := w.config.Now()
 	lease, err := w.config.Work.Lease(ctx, from.Shard, from.Job, request)
 	w.post(func() {
@@ -159,21 +159,21 @@
 	})
 }
 
-// drop takes a job without further items off the list.
-func (f *feeder) drop(gone ident.Job) {
-	f.list = slices.DeleteFunc(f.list, func(listed job.Priority) bool { return listed.Job == gone })
+// drop removes a job from the list.
+func (f *feeder) drop(finished ident.Job) {
+	f.list = slices.DeleteFunc(f.list, func(listed job.Priority) bool { return listed.Job == finished })
 }
 
-// accept books a lease. Items that cannot be resolved end at once with an error of their own.
+// accept adds a lease. Items that cannot be resolved against the configuration fail immediately, each with its own error.
 func (w *Worker) accept(lease job.Lease, sent time.Time) {
 	configuration := w.config.Catalog.Current()
 	requests := make([]*inference.Request, len(lease.Items))
-	held := w.book.add(lease, sent, requests)
+	held := w.registry.add(lease, sent, requests)
 	w.metrics.leased(len(lease.Items))
 	for index, added := range held.items {
 		request, failed := newRequest(&lease.Items[index], lease.ID, configuration, sent)
 		if failed != nil {
-			w.book.withdraw(added)
+			w.registry.withdraw(added)
 			w.fail(added, failed)
 			continue
 		}
--- a/internal/batch/lease_test.go
+++ b/internal/batch/lease_test.go
@@ -16,16 +16,16 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// pollStep is the time that passes at each look while a test waits. It is small, so that the worker gets to renew its
-// leases however slowly the machine runs it.
-const pollStep = time.Millisecond
+// pollInterval is how far the clock advances per poll while a test waits. It is small so that the worker can renew its leases
+// even on a slow machine.
+const pollInterval = time.Millisecond
 
-// gatedSite has one runner whose items wait at the gate for each token.
-func gatedSite(items, tokens int, at *clock) (*site, *fakeEngine) {
+// gatedFixture returns a fixture with one runner whose items wait for the gate before each token.
+func gatedFixture(items, tokens int, at *clock) (*fixture, *fakeEngine) {
 	fake := newEngine(tokens, rand.New(rand.NewPCG(1, 1)), false)
 	fake.gate = make(chan struct{})
 	store := newStore(newItems(items, 0), 10*time.Second, at.Now, nil, false)
-	return newSite(store, map[ident.Runner]*fakeEngine{"a": fake}, at.Now), fake
+	return newFixture(store, map[ident.Runner]*fakeEngine{"a": fake}, at.Now), fake
 }
 
 func (e *fakeEngine) count(of func() int) int {
@@ -34,27 +34,27 @@
 	return of()
 }
 
-func (e *fakeEngine) begun() int { return e.count(func() int { return len(e.epochs) }) }
-func (e *fakeEngine) ended() int { return e.count(func() int { return len(e.aborts) }) }
-func (s *fakeStore) asked() int  { s.mutex.Lock(); defer s.mutex.Unlock(); return s.renewals }
-func (s *fakeStore) gave() int   { s.mutex.Lock(); defer s.mutex.Unlock(); return s.released }
+func (e *fakeEngine) begun() int        { return e.count(func() int { return len(e.epochs) }) }
+func (e *fakeEngine) ended() int        { return e.count(func() int { return len(e.aborts) }) }
+func (s *fakeStore) renewalCount() int  { s.mutex.Lock(); defer s.mutex.Unlock(); return s.renewals }
+func (s *fakeStore) releasedCount() int { s.mutex.Lock(); defer s.mutex.Unlock(); return s.released }
 
-// TestWorkerStopsByItselfWhenItCannotRenew lets renewals fail until the lease has run out.
+// TestWorkerStopsByItselfWhenItCannotRenew checks that runs are aborted when the lease expires because all renewals failed.
 func TestWorkerStopsByItselfWhenItCannotRenew(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(leaseItems, 1, at)
+	tested, fake := gatedFixture(leaseItems, 1, at)
 	tested.store.refuseRenewals = true
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
-	// The report comes first: without a fresh one the items would be preempted for that reason.
+	// The load report is sent first: with a stale one the items would be preempted.
 	tested.report(at.Now().Add(9500 * time.Millisecond))
 	at.Advance(9500 * time.Millisecond)
-	until(t, "renewal tried", func() bool { return tested.store.asked() > 0 })
+	until(t, "renewal attempted", func() bool { return tested.store.renewalCount() > 0 })
 	assert.Equal(t, fake.ended(), 0, "aborted before the lease ran out")
 	at.Advance(time.Second)
 	until(t, "aborted", func() bool { return fake.ended() == testSequences-1 })
 	assert.Equal(t, inLoop(tested.worker, func() string {
-		if len(tested.worker.book.leases)+tested.worker.book.queued() > 0 {
+		if len(tested.worker.registry.leases)+tested.worker.registry.queued() > 0 {
 			return "lease still held"
 		}
 		return ""
@@ -64,33 +64,33 @@
 	assert.Equal(t, tested.store.done(), 0)
 }
 
-// TestRenewedLeaseIsKept is the control of the test above.
-func TestRenewedLeaseIsKept(t *testing.T) {
+// TestRenewedLeaseIsRetained checks that items keep running while renewals succeed, as a control for the test above.
+func TestRenewedLeaseIsRetained(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	for range 8 {
-		before := tested.store.asked()
+		before := tested.store.renewalCount()
 		at.Advance(4 * time.Second)
 		tested.report(at.Now())
-		until(t, "renewed", func() bool { return tested.store.asked() > before })
+		until(t, "renewed", func() bool { return tested.store.renewalCount() > before })
 		assert.Equal(t, inLoop(tested.worker, func() string { return "" }), "")
 	}
 	assert.Equal(t, fake.ended(), 0)
 	close(fake.gate)
 	until(t, "done", func() bool {
-		at.Advance(pollStep)
+		at.Advance(pollInterval)
 		tested.report(at.Now())
 		return tested.store.done() == 20
 	})
 	assert.NilError(t, tested.worker.Stop())
 }
 
-// TestLostOwnershipAborts takes the runner away from the node.
+// TestLostOwnershipAborts checks that runs are aborted when the node loses ownership of the runner.
 func TestLostOwnershipAborts(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	tested.setOwned(nil)
@@ -99,17 +99,17 @@
 	assert.Equal(t, fake.begun(), testSequences-1, "started work on a runner that is not owned")
 }
 
-// TestNewEpochAbortsWorkOfTheOld gives the node the runner anew.
-func TestNewEpochAbortsWorkOfTheOld(t *testing.T) {
+// TestNewEpochAbortsRunsOfOldEpoch checks that runs are aborted and started again when the node's claim has a new epoch.
+func TestNewEpochAbortsRunsOfOldEpoch(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(testSequences-1, 1, at)
+	tested, fake := gatedFixture(testSequences-1, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	tested.setOwned([]Owned{{Runner: "a", Epoch: 9}})
 	until(t, "aborted", func() bool { return fake.ended() == testSequences-1 })
 	close(fake.gate)
 	until(t, "done", func() bool {
-		at.Advance(pollStep)
+		at.Advance(pollInterval)
 		tested.report(at.Now())
 		return tested.store.done() == testSequences-1
 	})
@@ -117,10 +117,10 @@
 	assert.Equal(t, fake.epochs[len(fake.epochs)-1], uint64(9))
 }
 
-// TestFencedEpochIsNotUsedAgain lets the engine refuse the epoch as stale.
+// TestFencedEpochIsNotUsedAgain checks that no item is sent again under an epoch that the engine refused as stale.
 func TestFencedEpochIsNotUsedAgain(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(1, 1, at)
+	tested, fake := gatedFixture(1, 1, at)
 	close(fake.gate)
 	fake.fencedBelow = 8
 	tested.worker.Start()
@@ -133,7 +133,7 @@
 	assert.Equal(t, fake.begun(), 1, "the stale epoch was used again")
 	tested.setOwned([]Owned{{Runner: "a", Epoch: 8}})
 	until(t, "done", func() bool {
-		at.Advance(pollStep)
+		at.Advance(pollInterval)
 		tested.report(at.Now())
 		return tested.store.done() == 1
 	})
@@ -141,26 +141,26 @@
 	assert.DeepEqual(t, fake.epochs, []uint64{7, 8})
 }
 
-// TestDrainGivesBackWhatNeverRan drains a worker with items running and queued.
-func TestDrainGivesBackWhatNeverRan(t *testing.T) {
+// TestDrainReleasesQueuedItems checks that a drain releases queued items and waits for running ones.
+func TestDrainReleasesQueuedItems(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(16, 1, at)
+	tested, fake := gatedFixture(16, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	drained := make(chan error, 1)
 	go func() { drained <- tested.worker.Drain(context.Background()) }()
-	until(t, "released", func() bool { return tested.store.gave() == 16-(testSequences-1) })
+	until(t, "released", func() bool { return tested.store.releasedCount() == 16-(testSequences-1) })
 	close(fake.gate)
-	until(t, "committed", func() bool { at.Advance(pollStep); return tested.store.done() == testSequences-1 })
+	until(t, "committed", func() bool { at.Advance(pollInterval); return tested.store.done() == testSequences-1 })
 	assert.NilError(t, <-drained)
 	assert.NilError(t, tested.worker.Stop())
 	assert.Equal(t, fake.begun(), testSequences-1, "an item was started during the drain")
 }
 
-// TestDrainGivesBackPreemptedItems fills the runner with online work during a drain.
-func TestDrainGivesBackPreemptedItems(t *testing.T) {
+// TestDrainReleasesPreemptedItems checks that items preempted by online work during a drain are released.
+func TestDrainReleasesPreemptedItems(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(testSequences-1, 3*testSequences, at)
+	tested, fake := gatedFixture(testSequences-1, 3*testSequences, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	for range 2 * testSequences {
@@ -176,30 +176,30 @@
 	}
 	assert.NilError(t, <-drained)
 	assert.NilError(t, tested.worker.Stop())
-	assert.Equal(t, tested.store.gave(), testSequences-1)
+	assert.Equal(t, tested.store.releasedCount(), testSequences-1)
 }
 
-// TestLostLeaseLeavesNothingBehind checks the book alone.
-func TestLostLeaseLeavesNothingBehind(t *testing.T) {
-	book, now := newLeaseBook(), newClock().Now()
+// TestLostLeaseLeavesNoQueuedItems checks that the registry returns and queues no item of a lost lease.
+func TestLostLeaseLeavesNoQueuedItems(t *testing.T) {
+	registry, now := newLeaseRegistry(), newClock().Now()
 	lease := job.Lease{ID: "x", Items: newItems(3, 0), TTL: 10 * time.Second}
-	held := book.add(lease, now, newRequests(3))
-	book.add(job.Lease{ID: "y", Items: newItems(1, 0), TTL: 30 * time.Second}, now, newRequests(1))
-	first := book.next("a", func(*item) bool { return true }, now)
+	held := registry.add(lease, now, newRequests(3))
+	registry.add(job.Lease{ID: "y", Items: newItems(1, 0), TTL: 30 * time.Second}, now, newRequests(1))
+	first := registry.next("a", func(*item) bool { return true }, now)
 	assert.Equal(t, first.lease, held)
-	assert.Equal(t, len(book.expire(now.Add(9*time.Second))), 0)
-	late := book.next("a", func(*item) bool { return true }, now.Add(9500*time.Millisecond))
+	assert.Equal(t, len(registry.expire(now.Add(9*time.Second))), 0)
+	late := registry.next("a", func(*item) bool { return true }, now.Add(9500*time.Millisecond))
 	assert.Equal(t, late.lease.lease.ID, "y", "started under a lease about to run out")
-	assert.Equal(t, len(book.renewed([]string{"x"}, nil, now.Add(5*time.Second))), 0)
-	assert.Equal(t, len(book.expire(now.Add(14*time.Second))), 0)
-	ended := book.renewed([]string{"x", "y"}, []string{"x"}, now.Add(14*time.Second))
+	assert.Equal(t, len(registry.renewed([]string{"x"}, nil, now.Add(5*time.Second))), 0)
+	assert.Equal(t, len(registry.expire(now.Add(14*time.Second))), 0)
+	ended := registry.renewed([]string{"x", "y"}, []string{"x"}, now.Add(14*time.Second))
 	assert.Equal(t, len(ended), 1)
-	book.requeue(first)
-	assert.Equal(t, book.queued(), 0, "an item of a lost lease is still queued")
-	assert.Assert(t, book.next("a", func(*item) bool { return true }, now.Add(14*time.Second)) == nil)
+	registry.requeue(first)
+	assert.Equal(t, registry.queued(), 0, "an item of a lost lease is still queued")
+	assert.Assert(t, registry.next("a", func(*item) bool { return true }, now.Add(14*time.Second)) == nil)
 }
 
-// fenced is the refusal of a stale epoch.
+// fenced returns the error for a stale epoch.
 func fenced() error { return &engine.AttemptError{Outcome: outcome.NotRun, Cause: engine.ErrFenced} }
 
 func newRequests(count int) []*inference.Request {
@@ -210,23 +210,23 @@
 	return requests
 }
 
-// A node whose runners all go to another owner gives its leased items back: it would renew their lease for ever and never
-// run them.
-func TestItemsNoOwnedRunnerCanRunAreGivenBack(t *testing.T) {
+// A node that loses all its runners to another owner releases its leased items. Otherwise it would renew their lease
+// indefinitely and never run them.
+func TestItemsNoOwnedRunnerCanRunAreReleased(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	tested.setOwned(nil)
 	until(t, "no lease held", func() bool {
 		at.Advance(10 * time.Millisecond)
 		return inLoop(tested.worker, func() string {
-			if len(tested.worker.book.leases)+tested.worker.book.queued() > 0 {
+			if len(tested.worker.registry.leases)+tested.worker.registry.queued() > 0 {
 				return "lease still held"
 			}
 			return ""
 		}) == ""
 	})
 	assert.NilError(t, tested.worker.Stop())
-	assert.Assert(t, tested.store.gave() > testSequences, "only %d items given back", tested.store.gave())
+	assert.Assert(t, tested.store.releasedCount() > testSequences, "only %d items released", tested.store.releasedCount())
 }
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts what the worker does.
+// metrics contains the Prometheus counters of the worker.
 type metrics struct {
 	items      *prometheus.CounterVec
 	tokens     prometheus.Counter
--- a/internal/batch/release_test.go
+++ b/internal/batch/release_test.go
@@ -10,23 +10,23 @@
 	"mallowlatch.example/mallowlatch/internal/job"
 )
 
-// holding returns what the worker still holds, or nothing.
-func holding(tested *site) string {
+// checkNothingHeld returns a text if the worker still has leases or queued items, or an empty string.
+func checkNothingHeld(tested *fixture) string {
 	return inLoop(tested.worker, func() string {
-		if len(tested.worker.book.leases)+tested.worker.book.queued() > 0 {
+		if len(tested.worker.registry.leases)+tested.worker.registry.queued() > 0 {
 			return "leases held"
 		}
 		return ""
 	})
 }
 
-func queuedHere(tested *site) (queued int) {
-	inLoop(tested.worker, func() string { queued = tested.worker.book.queued(); return "" })
+func queuedItems(tested *fixture) (queued int) {
+	inLoop(tested.worker, func() string { queued = tested.worker.registry.queued(); return "" })
 	return queued
 }
 
-// waitFor lets time pass without reports until a condition holds.
-func waitFor(t *testing.T, at *clock, what string, holds func() bool) {
+// advanceUntil advances the clock without load reports until a condition holds.
+func advanceUntil(t *testing.T, at *clock, what string, holds func() bool) {
 	t.Helper()
 	until(t, what, func() bool {
 		at.Advance(10 * time.Millisecond)
@@ -34,54 +34,55 @@
 	})
 }
 
-// TestItemsOfAnEjectedRunnerAreGivenBack lets the only runner fail until it is taken out of service.
-func TestItemsOfAnEjectedRunnerAreGivenBack(t *testing.T) {
+// TestItemsOfAnEjectedRunnerAreReleased checks that queued items are released when the only runner is ejected after failures.
+func TestItemsOfAnEjectedRunnerAreReleased(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
-	until(t, "items queued", func() bool { return queuedHere(tested) > 0 })
+	until(t, "items queued", func() bool { return queuedItems(tested) > 0 })
 	for !tested.table.ObserveFailure("a", at.Now()) {
 		at.Advance(time.Millisecond)
 	}
-	waitFor(t, at, "given back", func() bool { return queuedHere(tested) == 0 })
+	advanceUntil(t, at, "items released", func() bool { return queuedItems(tested) == 0 })
 	close(fake.gate)
-	waitFor(t, at, "committed", func() bool { return holding(tested) == "" })
+	advanceUntil(t, at, "committed", func() bool { return checkNothingHeld(tested) == "" })
 	assert.NilError(t, tested.worker.Stop())
-	assert.Equal(t, tested.store.gave()+tested.store.done(), tested.store.next)
+	assert.Equal(t, tested.store.releasedCount()+tested.store.done(), tested.store.next)
 }
 
-// TestItemsOfAFencedRunnerAreGivenBack lets the engine refuse the only claim.
-func TestItemsOfAFencedRunnerAreGivenBack(t *testing.T) {
+// TestItemsOfAFencedRunnerAreReleased checks that all items are released when the engine of the only runner refuses the epoch.
+func TestItemsOfAFencedRunnerAreReleased(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	fake.fencedBelow = 8
 	tested.worker.Start()
 	until(t, "refused", func() bool { return fake.begun() > 0 })
-	waitFor(t, at, "given back", func() bool { return tested.store.gave() > 0 && holding(tested) == "" })
+	advanceUntil(t, at, "items released", func() bool { return tested.store.releasedCount() > 0 && checkNothingHeld(tested) == "" })
 	assert.NilError(t, tested.worker.Stop())
-	assert.Equal(t, tested.store.gave(), tested.store.next)
+	assert.Equal(t, tested.store.releasedCount(), tested.store.next)
 }
 
-// TestItemsThatCannotStartAreGivenBack fills the only runner with online work before anything has started.
-func TestItemsThatCannotStartAreGivenBack(t *testing.T) {
+// TestItemsThatCannotStartAreReleased checks that items are released, after a delay, when online work fills the only runner
+// before any item has produced a token.
+func TestItemsThatCannotStartAreReleased(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	for range 2 * testSequences {
 		tested.table.Start("a", nil)
 	}
 	until(t, "preempted", func() bool { return fake.ended() == testSequences-1 })
-	assert.Equal(t, tested.store.gave(), 0, "given back at once")
-	waitFor(t, at, "given back", func() bool { return tested.store.gave() > 0 && holding(tested) == "" })
+	assert.Equal(t, tested.store.releasedCount(), 0, "released too early")
+	advanceUntil(t, at, "items released", func() bool { return tested.store.releasedCount() > 0 && checkNothingHeld(tested) == "" })
 	assert.NilError(t, tested.worker.Stop())
 }
 
-// TestFailedReleaseIsRepeated lets the store refuse releases while other items keep the lease alive.
+// TestFailedReleaseIsRepeated checks that a failed release is retried while other items keep the lease alive.
 func TestFailedReleaseIsRepeated(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(16, 1, at)
+	tested, fake := gatedFixture(16, 1, at)
 	tested.store.refuseReleases = 2
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
@@ -89,24 +90,25 @@
 		tested.worker.releaseQueued(func(*item) bool { return true })
 		return ""
 	})
-	until(t, "given back", func() bool { return tested.store.gave() == 16-(testSequences-1) })
+	until(t, "items released", func() bool { return tested.store.releasedCount() == 16-(testSequences-1) })
 	assert.NilError(t, tested.worker.Stop())
 }
 
-// TestKeptItemOfALostRunnerStartsAnew takes away the runner that keeps an item's tokens; another runner must not wait for it.
-func TestKeptItemOfALostRunnerStartsAnew(t *testing.T) {
+// TestPartialItemOfLostRunnerRestarts checks that an item restarts on another runner at once when the runner that
+// retains its tokens is gone.
+func TestPartialItemOfLostRunnerRestarts(t *testing.T) {
 	at := newClock()
-	tested, _ := gatedSite(1, 1, at)
+	tested, _ := gatedFixture(1, 1, at)
 	worker := tested.worker
 	worker.readOwnership()
-	held := worker.book.add(job.Lease{ID: "x", Items: newItems(1, 0), TTL: time.Minute}, at.Now(), newRequests(1))
+	held := worker.registry.add(job.Lease{ID: "x", Items: newItems(1, 0), TTL: time.Minute}, at.Now(), newRequests(1))
 	held.items[0].request.Model = "m"
-	kept := &keptAnswer{runner: "gone", since: at.Now()}
-	_, err := kept.position.Accept(&inference.Chunk{Tokens: 1000})
+	partial := &partialAnswer{runner: "gone", since: at.Now()}
+	_, err := partial.position.Accept(&inference.Chunk{Tokens: 1000})
 	assert.NilError(t, err)
-	held.items[0].kept = kept
+	held.items[0].partial = partial
 	worker.releaseStranded(at.Now())
-	chosen := worker.book.next("a", func(*item) bool { return true }, at.Now())
-	assert.Assert(t, chosen != nil, "waits for a runner that is gone")
-	assert.Assert(t, chosen.kept == nil)
+	chosen := worker.registry.next("a", func(*item) bool { return true }, at.Now())
+	assert.Assert(t, chosen != nil, "the item waits for a runner that is gone")
+	assert.Assert(t, chosen.partial == nil)
 }
--- a/internal/batch/request.go
+++ b/internal/batch/request.go
@@ -13,9 +13,9 @@
 	"mallowlatch.example/mallowlatch/internal/request"
 )
 
-// newRequest reads an item as an online request of its tenant is read, and resolves it against the configuration. The
-// identifier holds the lease, so that a run under an earlier lease is never taken for this one. Whether the item may run
-// twice was settled when its input line was accepted.
+// newRequest decodes an item like an online request of its tenant and resolves it against the configuration. The request
+// identifier contains the lease, so that a run under an earlier lease is never mistaken for this one. Whether the item is
+// repeatable was decided when its input line was accepted.
 func newRequest(leased *job.Item, lease string, configuration *catalog.Snapshot, now time.Time) (*inference.Request, *failure.Error) {
 	made, err := request.Decode(leased.Endpoint, leased.Body, leased.Tenant, configuration)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return made, nil
 }
 
-// errorBody is the OpenAI error envelope of an item that failed.
+// errorBody is the OpenAI error envelope of a failed item.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -42,7 +42,7 @@
 	NotRun  string       `json:"not_run"`
 }
 
-// failedResult is the result of an item that ends with an error.
+// failedResult returns the result of a failed item.
 func failedResult(index uint32, failed *failure.Error) job.Result {
 	detail := errorDetail{
 		Message: failed.Message, Type: "batch_item_error", Code: failed.Code,
--- a/internal/batch/request_test.go
+++ b/internal/batch/request_test.go
@@ -15,7 +15,8 @@
 	"mallowlatch.example/mallowlatch/internal/request"
 )
 
-// Items meet the same checks as online requests and are counted alike.
+// TestItemsAreReadAsOnlineRequestsAre checks that items are validated like online requests and that their tokens
+// are counted in the same way.
 func TestItemsAreReadAsOnlineRequestsAre(t *testing.T) {
 	configuration := &catalog.Snapshot{Services: map[string]catalog.Service{
 		"open":   {Name: "open", Model: "m", Repeatable: true},
--- a/internal/batch/slots.go
+++ b/internal/batch/slots.go
@@ -11,7 +11,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// grant is what one runner may carry now.
+// grant contains the credits of one runner, with its state and its view in the runner table.
 type grant struct {
 	runner  ident.Runner
 	state   *runnerState
@@ -19,9 +19,9 @@
 	credits credit.Credits
 }
 
-// readOwnership takes over what this node owns now. A runner that it owns no more gets no credits, so what runs there is
-// preempted with the next grants. A new epoch means that the runner was not owned for a while: work under the old one
-// is aborted, since another node may have counted that room as its own. Only non-repeatable items end where they are.
+// readOwnership updates the runners that this node owns. A runner that is no longer owned gets no credits, so its runs are
+// preempted with the next grants. A new epoch means that ownership was interrupted: runs under the old epoch are aborted,
+// since another node may have assigned the same slots. Non-repeatable items are not aborted and run to their end.
 func (w *Worker) readOwnership() {
 	owned := map[ident.Runner]uint64{}
 	for _, claim := range w.config.Ownership.Owned() {
@@ -52,7 +52,7 @@
 	return state
 }
 
-// grants asks for the credits of every runner, in a fixed order.
+// grants computes the credits of every runner and returns them sorted by runner.
 func (w *Worker) grants(now time.Time) []grant {
 	grants := make([]grant, 0, len(w.runners))
 	for runner, state := range w.runners {
@@ -79,7 +79,7 @@
 	return grants
 }
 
-// preempt aborts what runs above the credits. A leaving runner finishes what it has: it only takes nothing new.
+// preempt aborts runs in excess of the credits. A leaving runner completes its runs and only starts no new ones.
 func (w *Worker) preempt(grants []grant) {
 	for _, granted := range grants {
 		if granted.view.Leaving {
@@ -93,9 +93,9 @@
 	}
 }
 
-// preemptSome ends up to surplus runs, counting those that are ending already. The youngest go first: they lose least
-// should the engine not keep their tokens. Non-repeatable items stay, since a lost resumption would leave their
-// outcome unknown; nonRepeatableShare bounds how many there are.
+// preemptSome preempts up to surplus runs, including those already being preempted. The most recently started are
+// preempted first, since they lose the least work if the engine does not retain their tokens. Non-repeatable items are not
+// preempted, since a failed resumption would leave their outcome unknown; nonRepeatableShare bounds their number.
 func (w *Worker) preemptSome(state *runnerState, surplus int) {
 	running := make([]*execution, 0, len(state.running))
 	for candidate := range state.running {
@@ -115,16 +115,16 @@
 	}
 }
 
-// startItems fills the credits of every runner.
+// startItems starts items on every runner up to its credits.
 //
-// Invariant: a runner never carries more runs than its credits when one is started; runs being preempted still count.
+// Invariant: after a run is started, a runner has no more runs than its credits; runs being preempted still count.
 func (w *Worker) startItems(grants []grant, now time.Time) {
 	for _, granted := range grants {
 		if granted.mayStart(now) {
 			w.fill(&granted, now)
 		}
 		granted.state.use = w.slotUse(&granted, now)
-		w.lookAgain(granted.state.controller.LookAt(now), now)
+		w.schedulePrefillCheck(granted.state.controller.LookAt(now), now)
 	}
 }
 
@@ -141,12 +141,12 @@
 	return state.owned && !g.view.Leaving && !g.view.Ejected && state.epoch != state.fencedEpoch && !now.Before(state.pausedUntil)
 }
 
-// nonRepeatableShare is the part of a runner's sequences that items which can't be preempted may take.
+// nonRepeatableShare is the share of a runner's sequences that non-repeatable items, which cannot be preempted, may use.
 const nonRepeatableShare = 1.0 / 16
 
-// startOne starts the next item that suits the runner, or reports that there is none.
+// startOne starts the next item that fits the runner and reports whether there was one.
 func (w *Worker) startOne(granted *grant, now time.Time) bool {
-	if len(w.book.queue) == 0 || !granted.state.controller.MayPrefill(now) {
+	if len(w.registry.queue) == 0 || !granted.state.controller.MayPrefill(now) {
 		return false
 	}
 	target, found := w.config.Engines.Engine(granted.runner)
@@ -154,7 +154,7 @@
 		return false
 	}
 	fits := func(candidate *item) bool { return granted.fits(candidate, now) }
-	chosen := w.book.next(granted.runner, fits, now)
+	chosen := w.registry.next(granted.runner, fits, now)
 	if chosen == nil {
 		return false
 	}
@@ -163,8 +163,8 @@
 	return true
 }
 
-// fits reports whether the runner can take the item within its credits. An item whose prompt is larger than the
-// prefill credit may still start alone.
+// fits reports whether the runner can run the item within its credits. An item whose prompt exceeds the prefill credit may
+// start if no other prefill is outstanding.
 func (g *grant) fits(candidate *item, now time.Time) bool {
 	if !suits(&g.view, candidate.request) || !g.state.controller.Fits(candidate.request.PromptTokens, now) {
 		return false
@@ -189,7 +189,7 @@
 	return max(1, int(float64(g.view.Report.MaxSequences)*nonRepeatableShare))
 }
 
-// launch runs an item in a goroutine of its own.
+// launch runs an item in a new goroutine.
 func (w *Worker) launch(started *execution, state *runnerState) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	w.launched++
@@ -200,11 +200,11 @@
 	state.prefill += started.item.request.PromptTokens
 	started.prefilling = true
 	started.started = func() { w.post(func() { endPrefill(state, started) }) }
-	started.token = func() { w.watchSteps(state) }
+	started.token = func() { w.detectStep(state) }
 	w.tomb.Go(func() error {
 		defer cancel(nil)
 		started.run(ctx)
-		w.post(func() { w.ended(started, state) })
+		w.post(func() { w.runEnded(started, state) })
 		return nil
 	})
 }
--- a/internal/batch/slotuse.go
+++ b/internal/batch/slotuse.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Uses of a runner's sequences, as a label of the slot time.
+// Uses of a runner's sequences, as label values of the slot time metric.
 const (
-	// useRunning and usePrefill are batch items that generate, and that have given no token yet.
+	// useRunning counts batch items that generate tokens, usePrefill those that have produced no token yet.
 	useRunning = "running"
 	usePrefill = "prefill"
-	// useOnline is what online work holds, or is thought to.
+	// useOnline is the number of sequences that online work uses or is estimated to use.
 	useOnline = "online"
-	// useReserve is what the controller keeps free beyond that.
+	// useReserve is the number of sequences that the controller leaves free in addition.
 	useReserve = "reserve"
-	// idlePaused, idlePrefill and idleEmpty are credits left unused: the runner may not be started on, too much prefill is
-	// outstanding or under way too fast (or what is queued may not start yet), no leased item suits.
+	// idlePaused, idlePrefill and idleEmpty are reasons for unused credits: no item may be started on the runner; the
+	// prefill limits are reached or the queued items may not start yet; the queue is empty.
 	idlePaused  = "idle_paused"
 	idlePrefill = "idle_prefill"
 	idleEmpty   = "idle_empty"
@@ -21,11 +21,11 @@
 // slotUse counts the sequences of one runner by their use.
 type slotUse struct {
 	running, prefilling, online, reserve, idle int
-	// idleFor is why credits are left unused.
+	// idleFor is the reason for unused credits.
 	idleFor string
 }
 
-// slotUse reads what a turn left the sequences of a runner in.
+// slotUse computes the use of a runner's sequences at the end of a loop iteration.
 func (w *Worker) slotUse(granted *grant, now time.Time) slotUse {
 	state, report := granted.state, granted.view.Report
 	if report == nil {
@@ -47,17 +47,17 @@
 	switch {
 	case !granted.mayStart(now):
 		use.idleFor = idlePaused
-	case w.book.queued() > 0:
+	case w.registry.queued() > 0:
 		use.idleFor = idlePrefill
 	}
 	return use
 }
 
-// countSlotTime adds the time since the last turn to the uses that it left.
+// countSlotTime adds the time since the last loop iteration to the slot time metric, by the uses recorded in that iteration.
 func (w *Worker) countSlotTime(now time.Time) {
-	elapsed := now.Sub(w.usedSince).Seconds()
-	first := w.usedSince.IsZero()
-	w.usedSince = now
+	elapsed := now.Sub(w.slotTimeSince).Seconds()
+	first := w.slotTimeSince.IsZero()
+	w.slotTimeSince = now
 	if first || elapsed <= 0 {
 		return
 	}
@@ -73,7 +73,8 @@
 	}
 }
 
-// slots adds sequences in a use for some seconds. Counts below zero, while runs above the credits end, add nothing.
+// slots adds the slot time of count sequences in a use. Negative counts, which occur while runs in excess of the credits
+// end, add nothing.
 func (m *metrics) slots(use string, count int, seconds float64) {
 	m.slotTime.WithLabelValues(use).Add(float64(max(0, count)) * seconds)
 }
--- a/internal/batch/slotuse_test.go
+++ b/internal/batch/slotuse_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlotTimeCountsEverySequence checks that the uses of a runner sum up to its sequences, with batch work on it and
-// none of its prompts answered yet.
+// TestSlotTimeCountsEverySequence checks that the uses of a runner add up to its number of sequences while all its
+// batch items are in prefill.
 func TestSlotTimeCountsEverySequence(t *testing.T) {
 	at := newClock()
-	tested, fake := gatedSite(20, 1, at)
+	tested, fake := gatedFixture(20, 1, at)
 	tested.worker.Start()
 	until(t, "all slots in use", func() bool { return fake.begun() == testSequences-1 })
 	var use slotUse
--- a/internal/batch/steps.go
+++ b/internal/batch/steps.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// stepWatch notices that an engine began a step: all sequences get a token at the end of each, so the first token for a
-// while shows it. It is safe for concurrent use, since every run's own goroutine reads its tokens.
-type stepWatch struct {
-	// gap is the time within which tokens belong to one step, in nanoseconds; zero means that it is not known.
+// stepDetector detects the steps of an engine. All sequences get a token at the end of a step, so the first token after a gap
+// marks a new step. It is safe for concurrent use, since each run reads its tokens in its own goroutine.
+type stepDetector struct {
+	// gap is the time within which tokens belong to one step, in nanoseconds; zero means unknown.
 	gap atomic.Int64
-	// last is the moment of the first token of the newest step, in nanoseconds since the epoch.
+	// last is the time of the first token of the latest step, in nanoseconds since the Unix epoch.
 	last atomic.Int64
 }
 
-func (s *stepWatch) setGap(gap time.Duration) { s.gap.Store(int64(gap)) }
+func (s *stepDetector) setGap(gap time.Duration) { s.gap.Store(int64(gap)) }
 
-// token takes a token and reports whether it is the first of a step. Exactly one of the tokens of a step is.
-func (s *stepWatch) token(now time.Time) bool {
+// token records a token and reports whether it is the first of a step. It is true for exactly one token of each step.
+func (s *stepDetector) token(now time.Time) bool {
 	gap, last := s.gap.Load(), s.last.Load()
 	return gap > 0 && now.UnixNano()-last >= gap && s.last.CompareAndSwap(last, now.UnixNano())
 }
 
-// watchSteps tells the runner's controller of a new step. It is called from the goroutines of the runs.
-func (w *Worker) watchSteps(state *runnerState) {
+// detectStep notifies the runner's controller of a new step. It is called from the goroutines of the runs.
+func (w *Worker) detectStep(state *runnerState) {
 	now := w.config.Now()
 	if state.steps.token(now) {
 		w.post(func() { state.controller.Stepped(now) })
 	}
 }
 
-// lookAgain sets the timer for the earliest moment at which a controller may allow prefill.
-func (w *Worker) lookAgain(at, now time.Time) {
-	if at.IsZero() || !w.lookAt.IsZero() && !at.Before(w.lookAt) {
+// schedulePrefillCheck sets the timer to the earliest time at which a controller may allow prefill.
+func (w *Worker) schedulePrefillCheck(at, now time.Time) {
+	if at.IsZero() || !w.prefillCheckAt.IsZero() && !at.Before(w.prefillCheckAt) {
 		return
 	}
-	w.lookAt = at
-	w.look.Reset(at.Sub(now))
+	w.prefillCheckAt = at
+	w.prefillTimer.Reset(at.Sub(now))
 }
--- a/internal/batch/steps_test.go
+++ b/internal/batch/steps_test.go
@@ -13,11 +13,11 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// TestOneTokenOfAStepIsItsFirst lets many runs read the tokens of some steps at once.
-func TestOneTokenOfAStepIsItsFirst(t *testing.T) {
-	var watch stepWatch
+// TestOneTokenOfAStepIsFirst checks that concurrent tokens of a step are counted as one step.
+func TestOneTokenOfAStepIsFirst(t *testing.T) {
+	var watch stepDetector
 	moment := time.Unix(1_800_000_000, 0)
-	assert.Assert(t, !watch.token(moment), "a step is noticed while its time is not known")
+	assert.Assert(t, !watch.token(moment), "a step was detected although the step gap is unknown")
 	watch.setGap(10 * time.Millisecond)
 	var noticed atomic.Int64
 	const steps = 2000
@@ -39,17 +39,18 @@
 	assert.Equal(t, noticed.Load(), int64(steps))
 }
 
-// TestPromptsGoOutJustBeforeAStepEnds follows the steps of an engine beside online work by its tokens: nothing is started
-// early in a step though there are credits and items, the timer is set for its end, and then the credits are filled.
-func TestPromptsGoOutJustBeforeAStepEnds(t *testing.T) {
+// TestItemsStartJustBeforeStepEnds checks the start time of items on a runner that also serves online work: no item is
+// started early in a step although credits and items are available, the timer is set to the end of the step, and items
+// then start up to the credits.
+func TestItemsStartJustBeforeStepEnds(t *testing.T) {
 	const step = 20 * time.Millisecond
 	at := newClock()
 	engines := map[ident.Runner]*fakeEngine{"a": newEngine(5, rand.New(rand.NewPCG(1, 1)), false)}
 	engines["a"].gate = make(chan struct{})
 	store := newStore(newItems(10, 0), time.Minute, at.Now, rand.New(rand.NewPCG(1, 2)), false)
-	tested := newSite(store, engines, at.Now)
+	tested := newFixture(store, engines, at.Now)
 	worker := tested.worker
-	// The test takes the place of the worker's loop.
+	// The test runs the iterations itself instead of the worker's loop.
 	worker.tomb.Go(func() error { <-worker.tomb.Dying(); return nil })
 	tested.table.Start("a", nil)
 	worker.readOwnership()
@@ -59,21 +60,21 @@
 		report := engine.LoadReport{Measured: at.Now(), MaxSequences: testSequences, StepTime: step, Models: []engine.LoadedModel{{Name: "m"}}}
 		tested.table.ObserveReport("a", report, at.Now())
 		worker.grants(at.Now())
-		worker.watchSteps(state)
-		worker.watchSteps(state)
+		worker.detectStep(state)
+		worker.detectStep(state)
 		worker.drainEvents()
 	}
 	until(t, "leased", func() bool {
 		worker.drainEvents()
-		worker.turn(at.Now())
-		return worker.book.queued() > 0
+		worker.runCycle(at.Now())
+		return worker.registry.queued() > 0
 	})
 	assert.Assert(t, state.granted.Sequences > 0)
 	assert.Equal(t, len(state.running), 0, "a prompt went out early in a step")
-	wait := worker.lookAt.Sub(at.Now())
-	assert.Assert(t, wait > 0 && wait < step, "the next look is in %s", wait)
+	wait := worker.prefillCheckAt.Sub(at.Now())
+	assert.Assert(t, wait > 0 && wait < step, "the next check is in %s", wait)
 	at.Advance(wait)
-	worker.turn(at.Now())
+	worker.runCycle(at.Now())
 	assert.Equal(t, len(state.running), state.granted.Sequences)
 	worker.cancelAll(errStopping)
 	assert.NilError(t, worker.Stop())
--- a/internal/batch/tenants.go
+++ b/internal/batch/tenants.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// RunningByTenant counts the items that run now, by tenant. Tenants without any are left out.
+// RunningByTenant returns the number of running items by tenant, omitting tenants without any.
 func (w *Worker) RunningByTenant() map[ident.Tenant]int {
 	w.tenants.mutex.Lock()
 	defer w.tenants.mutex.Unlock()
--- a/internal/batch/worker.go
+++ b/internal/batch/worker.go
@@ -1,6 +1,7 @@
-// Package batch runs the items of batch jobs on the runners this node owns. It leases items from the job store, starts
-// them within the credits of each runner, preempts them the moment online work needs the room, and commits results in
-// groups. Whatever it loses track of, the job store gives to another worker once the lease has run out.
+// Package batch runs the items of batch jobs on the runners that this node owns. A Worker leases items from the job store,
+// starts them on runners within the credits that online work leaves free, preempts them when online work needs the slots,
+// retries failed runs, and commits results in groups. It renews its leases and releases items that it cannot run.
+// Items that a failed worker does not release are leased to another worker by the job store when the lease expires.
 package batch
 
 import (
@@ -26,24 +27,24 @@
 	Epoch  uint64
 }
 
-// Ownership tells which runners this node owns.
+// Ownership provides the runners that this node owns.
 type Ownership interface {
-	// Owned returns the runners owned now. A claim that can't be renewed is not returned any more.
+	// Owned returns the runners owned now. A claim that cannot be renewed is no longer returned.
 	Owned() []Owned
 }
 
-// OrderPolicy orders waiting jobs, most urgent first. It may drop jobs that have to wait.
+// OrderPolicy orders waiting jobs, most urgent first. It may omit jobs that must wait.
 type OrderPolicy func(now time.Time, waiting []job.Priority) []job.Priority
 
-// Config is what a Worker needs.
+// Config contains the dependencies and settings of a Worker.
 type Config struct {
-	// Node is this node's own name, as the worker's name in leases.
+	// Node is the name of this node, used as the worker's name in leases.
 	Node ident.Node
 	// Table, Engines and Catalog are those of the dispatcher.
 	Table   *dispatch.Table
 	Engines dispatch.Engines
 	Catalog catalog.Source
-	// Ownership tells the runners to use.
+	// Ownership provides the runners to use.
 	Ownership Ownership
 	// Work is the job store.
 	Work job.Work
@@ -51,73 +52,74 @@
 	Order OrderPolicy
 	// Now is the clock; nil means time.Now. It must be monotonic.
 	Now func() time.Time
-	// Tick is the time between looks at the credits without a cause; zero means defaultTick.
+	// Tick is the interval between periodic credit checks; zero means defaultTick.
 	Tick time.Duration
-	// ShareBesideOnline bounds the share of a runner's sequences that batch fills while online work is on it; zero means 1.
+	// ShareBesideOnline bounds the share of a runner's sequences that batch uses while the runner serves online
+	// work; zero means 1.
 	ShareBesideOnline float64
-	// Logger gets the node's events.
+	// Logger receives the worker's events.
 	Logger zerolog.Logger
-	// Registerer gets the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// defaultTick is how often credits are looked at again without a change of online work.
+// defaultTick is the default interval between credit checks without a change of online work.
 const defaultTick = 20 * time.Millisecond
 
-// Worker runs batch items. Start it once; Stop ends it.
+// Worker runs batch items. Start must be called at most once.
 type Worker struct {
 	config  Config
 	metrics *metrics
 	tomb    tomb.Tomb
-	// wake asks for a look at the credits at once.
+	// wake requests an immediate check of the credits.
 	wake chan struct{}
-	// events carries what goroutines have to tell the loop, which owns everything below.
+	// events contains functions that other goroutines post to the loop, which owns all fields below tenants.
 	events chan func()
 	// draining is closed by Drain.
 	draining chan struct{}
-	// tenants counts what runs, for the policies, which may ask from another goroutine.
+	// tenants counts the running items for policies, which may read it from another goroutine.
 	tenants tenantCounter
 
-	book    *leaseBook
-	runners map[ident.Runner]*runnerState
-	feeder  feeder
-	commits map[*heldLease]*commit
-	renewAt time.Time
-	// strandedAt is the time of the next look for items that no owned runner can run.
+	registry *leaseRegistry
+	runners  map[ident.Runner]*runnerState
+	feeder   feeder
+	commits  map[*heldLease]*commit
+	renewAt  time.Time
+	// strandedAt is the time of the next check for items that no owned runner can run.
 	strandedAt time.Time
 	stopping   bool
-	// launched numbers the runs.
+	// launched counts the runs started.
 	launched uint64
-	// look fires when a controller may allow prefill; lookAt is when, or zero.
-	look   *time.Timer
-	lookAt time.Time
-	// usedSince is the time of the last turn, which slot times are counted from.
-	usedSince time.Time
+	// prefillTimer fires when a controller may allow prefill; prefillCheckAt is that time, or zero if the timer is not set.
+	prefillTimer   *time.Timer
+	prefillCheckAt time.Time
+	// slotTimeSince is the time of the last loop iteration, from which slot time is counted.
+	slotTimeSince time.Time
 }
 
-// runnerState is a runner as the worker uses it.
+// runnerState is the worker's state of a runner.
 type runnerState struct {
 	epoch      uint64
 	owned      bool
 	controller *credit.Controller
 	running    map[*execution]struct{}
-	// steps notices the engine's steps by the tokens of the runs.
-	steps stepWatch
-	// granted are the last credits.
+	// steps detects the engine's steps from the tokens of the runs.
+	steps stepDetector
+	// granted contains the most recent credits.
 	granted credit.Credits
-	// prefill counts the prompt tokens of runs that have given no token yet.
+	// prefill counts the prompt tokens of runs that have produced no token yet.
 	prefill int
-	// pausedUntil is the end of a pause after a refusal.
+	// pausedUntil is the end of the pause after a refusal or failure.
 	pausedUntil time.Time
-	// use is what the last turn left the sequences in.
+	// use is the use of the sequences at the end of the last loop iteration.
 	use slotUse
 	// fencedEpoch is an epoch the engine refused as stale; nothing is sent under it again.
 	fencedEpoch uint64
-	// servedAt is when a run that had begun was last seen there.
+	// servedAt is when the runner last had a run past its prefill.
 	servedAt time.Time
 }
 
-// New returns a worker that does nothing until it is started.
+// New returns a worker that is idle until Start is called.
 func New(config Config) *Worker {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -129,24 +131,24 @@
 		config.Order = DefaultOrder
 	}
 	worker := &Worker{
-		config:   config,
-		metrics:  newMetrics(config.Registerer),
-		wake:     make(chan struct{}, 1),
-		look:     time.NewTimer(config.Tick),
-		events:   make(chan func(), eventQueue),
-		draining: make(chan struct{}),
-		book:     newLeaseBook(),
-		runners:  map[ident.Runner]*runnerState{},
-		commits:  map[*heldLease]*commit{},
+		config:       config,
+		metrics:      newMetrics(config.Registerer),
+		wake:         make(chan struct{}, 1),
+		prefillTimer: time.NewTimer(config.Tick),
+		events:       make(chan func(), eventQueue),
+		draining:     make(chan struct{}),
+		registry:     newLeaseRegistry(),
+		runners:      map[ident.Runner]*runnerState{},
+		commits:      map[*heldLease]*commit{},
 	}
 	config.Table.OnOnlineRise(func(ident.Runner) { worker.Wake() })
 	return worker
 }
 
-// eventQueue is how many events may wait for the loop before their senders do.
+// eventQueue is the capacity of the event channel; senders block when it is full.
 const eventQueue = 256
 
-// Wake makes the worker look at its credits at once. It does not block.
+// Wake makes the worker check its credits immediately. It does not block.
 func (w *Worker) Wake() {
 	select {
 	case w.wake <- struct{}{}:
@@ -154,11 +156,11 @@
 	}
 }
 
-// Start begins the work.
+// Start starts the worker's loop.
 func (w *Worker) Start() { w.tomb.Go(w.loop) }
 
-// Drain stops leasing and starting items, gives back those that do not run, and waits until the others have ended and
-// are committed, or ctx is done.
+// Drain stops leasing and starting items, releases the queued ones, and waits until the running ones have ended and are
+// committed, or ctx is done.
 func (w *Worker) Drain(ctx context.Context) error {
 	w.post(func() {
 		if !w.stopping {
@@ -168,7 +170,7 @@
 	})
 	for {
 		idle := make(chan bool, 1)
-		w.post(func() { idle <- len(w.book.leases) == 0 })
+		w.post(func() { idle <- len(w.registry.leases) == 0 })
 		select {
 		case empty := <-idle:
 			if empty {
@@ -187,13 +189,13 @@
 	}
 }
 
-// Stop aborts what runs and ends the worker. The leases run out by themselves.
+// Stop aborts the running items and stops the worker. Its leases are left to expire.
 func (w *Worker) Stop() error {
 	w.tomb.Kill(nil)
 	return w.tomb.Wait()
 }
 
-// post hands a step to the loop; it is dropped once the worker has stopped.
+// post sends a function to the loop; it is dropped once the worker is stopping.
 func (w *Worker) post(step func()) {
 	select {
 	case w.events <- step:
@@ -201,12 +203,12 @@
 	}
 }
 
-// loop owns the state. Everything else reaches it by events.
+// loop owns the worker's state. Other goroutines change it only by posting events.
 func (w *Worker) loop() error {
 	period := w.tickPeriod()
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
-	defer w.look.Stop()
+	defer w.prefillTimer.Stop()
 	for {
 		select {
 		case <-w.tomb.Dying():
@@ -216,11 +218,11 @@
 			step()
 			w.drainEvents()
 		case <-w.wake:
-		case <-w.look.C:
-			w.lookAt = time.Time{}
+		case <-w.prefillTimer.C:
+			w.prefillCheckAt = time.Time{}
 		case <-ticker.C:
 		}
-		w.turn(w.config.Now())
+		w.runCycle(w.config.Now())
 		if wanted := w.tickPeriod(); wanted != period {
 			period = wanted
 			ticker.Reset(period)
@@ -228,19 +230,20 @@
 	}
 }
 
-// restTicks is how many ticks a worker without work lets pass between two looks.
-const restTicks = 10
+// idleTicks is the number of ticks between checks of a worker without work.
+const idleTicks = 10
 
-// tickPeriod is the time to the next look. Without a lease there is nothing to preempt, renew or commit, and waiting work
-// may be found a little later: the ticker itself is slowed, since each wake-up costs an idle node more than the look.
+// tickPeriod returns the interval between periodic checks. Without a lease there is nothing to preempt, renew or commit,
+// and waiting jobs may be found a little later. The ticker itself is slowed down, since on an idle node a wake-up costs
+// more than the check.
 func (w *Worker) tickPeriod() time.Duration {
-	if len(w.book.leases) > 0 || len(w.commits) > 0 || w.stopping {
+	if len(w.registry.leases) > 0 || len(w.commits) > 0 || w.stopping {
 		return w.config.Tick
 	}
-	return restTicks * w.config.Tick
+	return idleTicks * w.config.Tick
 }
 
-// drainEvents takes the events that already wait, so that one turn serves them all.
+// drainEvents runs the events that are already buffered, so that one loop iteration handles them all.
 func (w *Worker) drainEvents() {
 	for range eventQueue {
 		select {
@@ -252,8 +255,8 @@
 	}
 }
 
-// turn brings everything up to date. Preemption comes first: it is what a caller waits for.
-func (w *Worker) turn(now time.Time) {
+// runCycle runs one iteration of the worker loop. Preemption precedes all other work on items because online callers wait for it.
+func (w *Worker) runCycle(now time.Time) {
 	w.countSlotTime(now)
 	w.readOwnership()
 	grants := w.grants(now)
@@ -270,9 +273,9 @@
 	w.commitDue(now)
 }
 
-// expire ends the work of leases that ran out.
+// expire cancels the runs of expired leases.
 func (w *Worker) expire(now time.Time) {
-	for _, held := range w.book.expire(now) {
+	for _, held := range w.registry.expire(now) {
 		w.cancelLease(held)
 	}
 }
@@ -298,7 +301,7 @@
 	}
 }
 
-// suits reports whether an item can run on a runner as it was last reported.
+// suits reports whether the runner has the model of the request loaded, by its last report.
 func suits(view *dispatch.RunnerView, request *inference.Request) bool {
 	return view.Holds(request.Model, request.Adapter)
 }
--- a/internal/batch/worker_test.go
+++ b/internal/batch/worker_test.go
@@ -15,7 +15,7 @@
 	"mallowlatch.example/mallowlatch/internal/job"
 )
 
-// until waits for a condition that must come about, and only fails if it never does.
+// until polls until a condition holds and fails the test after 30 s.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -26,7 +26,7 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(30*time.Second))
 }
 
-// inLoop runs a check within the worker's loop and returns its finding.
+// inLoop runs a check in the worker's loop and returns its result.
 func inLoop(w *Worker, check func() string) string {
 	found := make(chan string, 1)
 	w.post(func() { found <- check() })
@@ -38,8 +38,8 @@
 	}
 }
 
-// overCredit names a runner that carries more than its credits, leaving out runs that are being preempted and items
-// that can't be.
+// overCredit returns a message if a runner has more runs than its credits, not counting runs being preempted and
+// non-repeatable items.
 func overCredit(w *Worker) string {
 	for runner, state := range w.runners {
 		held := 0
@@ -65,9 +65,8 @@
 	return text
 }
 
-// TestItemsCompleteOnceUnderFaults runs a heap of items while online work comes and goes and calls fail, and checks
-// that every item has exactly its answer, that credits hold at every look, and that a non-repeatable item ran at most
-// once.
+// TestItemsCompleteOnceUnderFaults runs items under varying online load while calls fail, and checks that every item gets
+// exactly its answer, that the credits are respected at every check, and that a non-repeatable item runs at most once.
 func TestItemsCompleteOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -80,9 +79,9 @@
 			engines[runner] = newEngine(tokens, rand.New(rand.NewPCG(seed, 2)), true)
 		}
 		store := newStore(items, time.Minute, at.Now, rand.New(rand.NewPCG(seed, 3)), true)
-		tested := newSite(store, engines, at.Now)
+		tested := newFixture(store, engines, at.Now)
 		tested.worker.Start()
-		online := disturb(t, tested, at, random, len(items))
+		online := varyOnlineLoad(t, tested, at, random, len(items))
 		for ; online > 0; online-- {
 			tested.table.End("a")
 		}
@@ -91,10 +90,10 @@
 	})
 }
 
-// disturb lets online work on runner a come and go until every item has its result.
-func disturb(t *rapid.T, tested *site, at *clock, random *rand.Rand, items int) (online int) {
+// varyOnlineLoad varies the online load of runner a until every item has its result.
+func varyOnlineLoad(t *rapid.T, tested *fixture, at *clock, random *rand.Rand, items int) (online int) {
 	for steps := 0; tested.store.done() < items; steps++ {
-		assert.Assert(t, steps < mostSteps, "%d of %d items done", tested.store.done(), items)
+		assert.Assert(t, steps < maxSteps, "%d of %d items done", tested.store.done(), items)
 		if random.IntN(3) > 0 && online < testSequences {
 			tested.table.Start("a", nil)
 			online++
@@ -109,10 +108,10 @@
 	return online
 }
 
-// mostSteps is far more than any run needs; one that takes as many is stuck.
-const mostSteps = 100000
+// maxSteps bounds the steps of a run well above what any run needs, to detect a stuck one.
+const maxSteps = 100000
 
-func checkResults(t *rapid.T, tested *site, items []job.Item, tokens int) {
+func checkResults(t *rapid.T, tested *fixture, items []job.Item, tokens int) {
 	runs := map[uint32]int{}
 	for _, fake := range tested.engines {
 		for request, count := range fake.runs {
@@ -134,7 +133,7 @@
 	}
 }
 
-// indexOf reads the item's index from a request identifier.
+// indexOf returns the item index in a request identifier.
 func indexOf(request ident.Request) uint32 {
 	var index uint32
 	for _, digit := range strings.Split(string(request), "/")[1] {
@@ -143,16 +142,16 @@
 	return index
 }
 
-// TestPreemptedItemResumes fills a runner with online work in the middle of an item and takes it away again.
+// TestPreemptedItemResumes checks that an item preempted by online work resumes from its retained tokens.
 func TestPreemptedItemResumes(t *testing.T) {
 	fake := newEngine(4, rand.New(rand.NewPCG(1, 1)), false)
 	fake.gate = make(chan struct{})
 	store := newStore(newItems(1, 0), time.Minute, time.Now, nil, false)
-	tested := newSite(store, map[ident.Runner]*fakeEngine{"a": fake}, time.Now)
+	tested := newFixture(store, map[ident.Runner]*fakeEngine{"a": fake}, time.Now)
 	tested.worker.Start()
 	fake.gate <- struct{}{}
 	fake.gate <- struct{}{}
-	// The third token is asked for only once the second was taken in.
+	// The third token is requested only after the second was processed.
 	fake.gate <- struct{}{}
 	for range testSequences {
 		tested.table.Start("a", nil)
@@ -162,7 +161,7 @@
 		defer fake.mutex.Unlock()
 		return len(fake.aborts) == 1
 	})
-	assert.Equal(t, fake.aborts[0], true, "its tokens were not asked to be kept")
+	assert.Equal(t, fake.aborts[0], true, "the abort did not request that the tokens be retained")
 	for range testSequences {
 		tested.table.End("a")
 	}
@@ -178,19 +177,19 @@
 	assert.Equal(t, fake.runs["j/0/l0"], 1, "the item ran again from its start")
 }
 
-// Only a worker that has nothing to preempt, renew, commit or give back looks rarely.
+// The tick is slow only for a worker that has nothing to preempt, renew, commit or release.
 func TestTickIsSlowOnlyWithoutWork(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		prepare func(*Worker)
 		ticks   time.Duration
 	}{
-		{"no work", func(*Worker) {}, restTicks},
-		{"a lease", func(w *Worker) { w.book.leases = map[string]*heldLease{"l": {}} }, 1},
+		{"no work", func(*Worker) {}, idleTicks},
+		{"a lease", func(w *Worker) { w.registry.leases = map[string]*heldLease{"l": {}} }, 1},
 		{"a commit", func(w *Worker) { w.commits[&heldLease{}] = &commit{} }, 1},
 		{"stopping", func(w *Worker) { w.stopping = true }, 1},
 	} {
-		worker := &Worker{config: Config{Tick: time.Second}, book: &leaseBook{}, commits: map[*heldLease]*commit{}}
+		worker := &Worker{config: Config{Tick: time.Second}, registry: &leaseRegistry{}, commits: map[*heldLease]*commit{}}
 		test.prepare(worker)
 		assert.Equal(t, worker.tickPeriod(), test.ticks*time.Second, test.name)
 	}
