--- a/cmd/mallowlatch-site/process.go
+++ b/cmd/mallowlatch-site/process.go
@@ -13,14 +13,14 @@
 
 	"mallowlatch.example/mallowlatch/internal/clock"
 	"mallowlatch.example/mallowlatch/internal/connpool"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/follower"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/poison"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/refusal"
 	"mallowlatch.example/mallowlatch/internal/routetable"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
@@ -52,15 +52,15 @@
 	logger       zerolog.Logger
 	tomb         *tomb.Tomb
 	store        *storemeter.Store
-	reachability *reach.Watch
+	reachability *reachability.Watch
 	storePool    *connpool.Pool
 	caller       *platform.RunnerCaller
 	runners      *runnertable.Table
 	routes       *routetable.Table
 	lifecycle    *site.Lifecycle
-	ends         *endwatch.Watch
+	ends         *poisonwatch.Watch
 	// heldBytes limits the memory used for the requests and answers of clients.
-	heldBytes *heldbytes.NodeBudget
+	heldBytes *memorybudget.NodeBudget
 	// suspended is the total time the machine was suspended, as of the last check. Only closeExpiredConnections
 	// accesses it.
 	suspended time.Duration
@@ -78,7 +78,7 @@
 	started := &process{
 		path: path, settings: settings, logs: logs, logger: logger, tomb: new(tomb.Tomb),
 		store:        storemeter.New(&platform.Store{Address: settings.Store.Address, Pool: storePool}),
-		reachability: &reach.Watch{},
+		reachability: &reachability.Watch{},
 		storePool:    storePool,
 		caller: &platform.RunnerCaller{Pool: connpool.New(connpool.Options{
 			DialTimeout: runnerDialTimeout, IdleTimeout: runnerIdleTimeout, MaxIdlePerAddress: maxIdleRunnerConnections,
@@ -86,10 +86,10 @@
 		runners:   runnertable.New(ident.Zone(settings.Node.Zone)),
 		routes:    &routetable.Table{},
 		lifecycle: &site.Lifecycle{},
-		heldBytes: heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(settings.Limits.MemoryBytes())),
+		heldBytes: memorybudget.New[ident.Tenant, string](memorybudget.LimitsOf(settings.Limits.MemoryBytes())),
 	}
 	started.store.Heard = started.reachability
-	started.ends = &endwatch.Watch{
+	started.ends = &poisonwatch.Watch{
 		Book: poison.NewBook(rand.Int64N(math.MaxInt32)), Runners: started.runners, Caller: started.caller, Tomb: started.tomb,
 		Logger: logger, Now: clock.Now,
 	}
@@ -217,9 +217,9 @@
 		return
 	}
 	event.BytesHeld.Log(p.logger).Int64("held", tally.Held).Int64("most", tally.Peak).Int64("of", tally.All).
-		Int("requests_refused", tally.Refused[heldbytes.Request]).Int("jobs_refused", tally.Refused[heldbytes.Submission]).
-		Int("results_refused", tally.Refused[heldbytes.Result]).Int("answers_refused", tally.Refused[heldbytes.Answer]).
-		Int("jobs_not_taken", tally.Refused[heldbytes.Job]).Int("results_not_kept", tally.Refused[heldbytes.Kept]).
+		Int("requests_refused", tally.Refused[memorybudget.Request]).Int("jobs_refused", tally.Refused[memorybudget.Submission]).
+		Int("results_refused", tally.Refused[memorybudget.Result]).Int("answers_refused", tally.Refused[memorybudget.Answer]).
+		Int("jobs_not_taken", tally.Refused[memorybudget.Job]).Int("results_not_kept", tally.Refused[memorybudget.Kept]).
 		Int("callers_cut", tally.Disconnected).Send()
 }
 
@@ -248,7 +248,7 @@
 		return
 	}
 	site.ApplyLimits(settings.Limits)
-	p.heldBytes.SetLimits(heldbytes.LimitsOf(settings.Limits.MemoryBytes()))
+	p.heldBytes.SetLimits(memorybudget.LimitsOf(settings.Limits.MemoryBytes()))
 	event.SettingsReloaded.Log(p.logger).Int("memory_mb", settings.Limits.MemoryMB).Send()
 }
 
--- a/internal/batchroom/gauge.go
+++ b/internal/batchcapacity/gauge.go
@@ -1,6 +1,6 @@
-// Package batchroom decides how much batch work one runner may run beside its online work, and how many batch items must
+// Package batchcapacity decides how much batch work one runner may run beside its online work, and how many batch items must
 // be preempted at once. It is pure: reports and times go in, counts come out.
-package batchroom
+package batchcapacity
 
 import (
 	"math"
--- a/internal/batchroom/gauge_test.go
+++ b/internal/batchcapacity/gauge_test.go
@@ -1,4 +1,4 @@
-package batchroom_test
+package batchcapacity_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"mallowlatch.example/mallowlatch/internal/batchroom"
+	"mallowlatch.example/mallowlatch/internal/batchcapacity"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -17,7 +17,7 @@
 // work.
 func TestBatchNeverTakesTheLastPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var gauge batchroom.Gauge
+		var gauge batchcapacity.Gauge
 		now := start
 		slots := rapid.IntRange(1, 40).Draw(t, "slots")
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
@@ -28,7 +28,7 @@
 				Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"), Slots: slots,
 			}
 			gauge.Observe(load, own, 0, now)
-			room := gauge.FreeSlots(slots, own, batchroom.ReportedWork{}, now)
+			room := gauge.FreeSlots(slots, own, batchcapacity.ReportedWork{}, now)
 			assert.Assert(t, room >= 0)
 			if room > 0 {
 				assert.Equal(t, load.Waiting, 0)
@@ -42,7 +42,7 @@
 }
 
 func TestQueueSeenOnceAndAgain(t *testing.T) {
-	var gauge batchroom.Gauge
+	var gauge batchcapacity.Gauge
 	gauge.Observe(work.Load{Running: 10, Waiting: 4, Slots: 10}, 6, 0, start)
 	assert.Equal(t, gauge.Preemptions(6), 4)
 	gauge.Observe(work.Load{Running: 10, Waiting: 4, Slots: 10}, 6, 0, start.Add(200*time.Millisecond))
@@ -50,45 +50,45 @@
 }
 
 func TestUnknownRunnerGetsOneItem(t *testing.T) {
-	var gauge batchroom.Gauge
-	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start), 1)
-	assert.Equal(t, gauge.FreeSlots(10, 1, batchroom.ReportedWork{}, start), 0)
+	var gauge batchcapacity.Gauge
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchcapacity.ReportedWork{}, start), 1)
+	assert.Equal(t, gauge.FreeSlots(10, 1, batchcapacity.ReportedWork{}, start), 0)
 	gauge.Observe(work.Load{Slots: 10}, 0, 0, start)
-	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start), 8)
-	assert.Equal(t, gauge.FreeSlots(10, 0, batchroom.ReportedWork{}, start.Add(5*time.Second)), 1, "an old report is still valid")
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchcapacity.ReportedWork{}, start), 8)
+	assert.Equal(t, gauge.FreeSlots(10, 0, batchcapacity.ReportedWork{}, start.Add(5*time.Second)), 1, "an old report is still valid")
 }
 
 // TestRoomFollowsTheMeanOfOnlineWork has the online work of one runner vary by chance, as it always does: slots are not
 // left free for the highest recent count, but always for the newest one.
 func TestRoomFollowsTheMeanOfOnlineWork(t *testing.T) {
-	var gauge batchroom.Gauge
+	var gauge batchcapacity.Gauge
 	now := start
 	for _, online := range []int{8, 3, 3, 2} {
 		gauge.Observe(work.Load{Running: online, Slots: 12}, 0, 0, now)
 		now = now.Add(150 * time.Millisecond)
 	}
-	assert.Equal(t, gauge.FreeSlots(12, 0, batchroom.ReportedWork{}, now), 12-2-4)
+	assert.Equal(t, gauge.FreeSlots(12, 0, batchcapacity.ReportedWork{}, now), 12-2-4)
 	gauge.Observe(work.Load{Running: 9, Slots: 12}, 0, 0, now)
-	assert.Equal(t, gauge.FreeSlots(12, 0, batchroom.ReportedWork{}, now), 12-2-9)
+	assert.Equal(t, gauge.FreeSlots(12, 0, batchcapacity.ReportedWork{}, now), 12-2-9)
 }
 
-func reported(online int) batchroom.ReportedWork {
-	return batchroom.ReportedWork{Online: online, Reported: true}
+func reported(online int) batchcapacity.ReportedWork {
+	return batchcapacity.ReportedWork{Online: online, Reported: true}
 }
 
 // TestToldWorkIsNewerThanReports has nodes report their online work: the free capacity follows it at once, and what all
 // runner reports of the window show beyond it is added. The slots left free are reserved by the owner, over all its
 // runners.
 func TestToldWorkIsNewerThanReports(t *testing.T) {
-	var gauge batchroom.Gauge
+	var gauge batchcapacity.Gauge
 	gauge.Observe(work.Load{Running: 7, Slots: 8}, 3, 4, start)
 	assert.Equal(t, gauge.FreeSlots(8, 3, reported(4), start), 1)
 	assert.Equal(t, gauge.FreeSlots(8, 3, reported(5), start), 0)
 	assert.Equal(t, gauge.FreeSlots(8, 3, reported(1), start), 4, "slots of requests that ended are free at once")
 	assert.Equal(t, gauge.FreeSlots(8, 3, reported(0), start), 5, "no reported work means that there is none")
-	assert.Equal(t, batchroom.ExcessItems(8, 3, 5), 0)
-	assert.Equal(t, batchroom.ExcessItems(8, 3, 7), 2, "two items are preempted before anything waits")
-	assert.Equal(t, batchroom.ExcessItems(8, 3, 20), 3, "no more than there are")
+	assert.Equal(t, batchcapacity.ExcessItems(8, 3, 5), 0)
+	assert.Equal(t, batchcapacity.ExcessItems(8, 3, 7), 2, "two items are preempted before anything waits")
+	assert.Equal(t, batchcapacity.ExcessItems(8, 3, 20), 3, "no more than there are")
 	now := start.Add(200 * time.Millisecond)
 	gauge.Observe(work.Load{Running: 8, Slots: 8}, 3, 1, now)
 	assert.Equal(t, gauge.FreeSlots(8, 0, reported(1), now), 7, "one report is no proof of unreported work")
@@ -102,13 +102,13 @@
 // TestPlacesKeptFreeFollowThePlaces has owners with few and with many slots: at least one slot is left free, and at most
 // a share of them, however few slots each runner has.
 func TestPlacesKeptFreeFollowThePlaces(t *testing.T) {
-	assert.Equal(t, batchroom.OwnerReserve(0), 0)
-	assert.Equal(t, batchroom.OwnerReserve(5), 1)
-	assert.Equal(t, batchroom.OwnerReserve(17), 2)
+	assert.Equal(t, batchcapacity.OwnerReserve(0), 0)
+	assert.Equal(t, batchcapacity.OwnerReserve(5), 1)
+	assert.Equal(t, batchcapacity.OwnerReserve(17), 2)
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 500).Draw(t, "slots")
-		kept := batchroom.OwnerReserve(slots)
+		kept := batchcapacity.OwnerReserve(slots)
 		assert.Assert(t, kept >= 1 && kept <= max(1, slots/8), "%d of %d", kept, slots)
-		assert.Assert(t, batchroom.OwnerReserve(slots+1) >= kept)
+		assert.Assert(t, batchcapacity.OwnerReserve(slots+1) >= kept)
 	})
 }
--- a/internal/clock/sources_test.go
+++ b/internal/clock/sources_test.go
@@ -14,9 +14,9 @@
 
 // counted are the folders of what runs on a platform's machines. The rest of the product still goes by the steady clock.
 var counted = []string{
-	"../../cmd/mallowlatch-site", "../../platform", "../access", "../batchroom", "../changefeed", "../connpool", "../demand", "../endwatch", "../eventstream", "../fairshare", "../heldbytes", "../orphans", "../zoneroom",
+	"../../cmd/mallowlatch-site", "../../platform", "../access", "../batchcapacity", "../changefeed", "../connpool", "../demand", "../poisonwatch", "../eventstream", "../fairshare", "../memorybudget", "../orphans", "../zonebalance",
 	"../fleetfeed", "../follower", "../handoff", "../jobentry", "../jobpeer", "../jobrecord", "../jobworker", "../lending", "../online", "../pace",
-	"../poison", "../progress", "../quota", "../reach", "../refusal", "../routetable", "../runnertable", "../sharedread", "../site", "../storemeter", "../waitline", "../work",
+	"../poison", "../progress", "../quota", "../reachability", "../refusal", "../routetable", "../runnertable", "../sharedread", "../site", "../storemeter", "../waitqueue", "../work",
 }
 
 // TestOnlyThisPackageReadsTheSystemsClock looks through the sources: an age by another clock is too young after a sleep. Tests and
--- a/internal/fairshare/load_test.go
+++ b/internal/fairshare/load_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 	"mallowlatch.example/mallowlatch/internal/fairshare"
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 // The simulated load: tenants of unequal size send requests for the slots of one service through several nodes.
@@ -63,7 +63,7 @@
 
 type call struct {
 	node   *node
-	waiter *waitline.Waiter
+	waiter *waitqueue.Waiter
 	// began is when the request was sent, and later when a runner started it.
 	began time.Time
 }
@@ -71,7 +71,7 @@
 type node struct {
 	site     *site
 	name     ident.Node
-	line     waitline.Queue
+	line     waitqueue.Queue
 	local    fairshare.LocalUsage
 	waiting  map[ident.Tenant]int
 	own      int
@@ -92,7 +92,7 @@
 			site: fleet, name: ident.Node(fmt.Sprint("n-", index)), waiting: map[ident.Tenant]int{},
 			phase: time.Duration(fleet.random.Int64N(int64(reportInterval/tick))) * tick,
 		}
-		added.line.Yields = func(waiter *waitline.Waiter) bool { return added.local.Yields(waiter.Tenant, false, fleet.now) }
+		added.line.Yields = func(waiter *waitqueue.Waiter) bool { return added.local.Yields(waiter.Tenant, false, fleet.now) }
 		fleet.nodes = append(fleet.nodes, added)
 	}
 	return fleet
@@ -103,7 +103,7 @@
 }
 
 // admit gives a request a slot if its node's view is that one is free.
-func (n *node) admit(waiter *waitline.Waiter) bool {
+func (n *node) admit(waiter *waitqueue.Waiter) bool {
 	limit := float64(n.site.slots)
 	if !n.local.Yields(waiter.Tenant, false, n.site.now) {
 		limit *= 1 + queueRatio
@@ -120,7 +120,7 @@
 
 func (n *node) arrive(tenant ident.Tenant) {
 	now := n.site.now
-	waiter := &waitline.Waiter{Tenant: tenant, OnTime: now.Add(objective), Latest: now.Add(callerTimeout)}
+	waiter := &waitqueue.Waiter{Tenant: tenant, OnTime: now.Add(objective), Latest: now.Add(callerTimeout)}
 	n.site.count(n, tenant).sent++
 	if !n.line.MustWait(waiter) && n.admit(waiter) {
 		return
--- a/internal/handoff/deliver.go
+++ b/internal/handoff/deliver.go
@@ -10,9 +10,9 @@
 	"gopkg.in/tomb.v2"
 
 	"mallowlatch.example/mallowlatch/internal/event"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 )
 
 const (
@@ -44,7 +44,7 @@
 	Now           func() time.Time
 	// MemoryBudget accounts for the memory of the entry being delivered; nil accounts for nothing. It does not refuse an entry: a
 	// job that was accepted must reach the store.
-	MemoryBudget *heldbytes.NodeBudget
+	MemoryBudget *memorybudget.NodeBudget
 
 	mutex sync.Mutex
 	// rounds counts for each entry the rounds since it was added or since the last failed call, whichever was later: an
@@ -134,7 +134,7 @@
 		d.drop(summary, "the store has it")
 		return nil
 	}
-	counted := d.MemoryBudget.Open(heldbytes.Submission, heldbytes.Whose{Tenant: summary.Tenant})
+	counted := d.MemoryBudget.Open(memorybudget.Submission, memorybudget.Whose{Tenant: summary.Tenant})
 	counted.Set(summary.bytes)
 	defer counted.Release()
 	entry, err := d.Log.Load(job)
--- a/internal/handoff/held_test.go
+++ b/internal/handoff/held_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 
 	"mallowlatch.example/mallowlatch/internal/handoff"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/kv/kvtest"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
 // countedStore records how many bytes are accounted for while a job is delivered.
 type countedStore struct {
 	handoff.Store
-	budget  *heldbytes.NodeBudget
+	budget  *memorybudget.NodeBudget
 	maxHeld int64
 }
 
@@ -32,10 +32,10 @@
 // because it was accepted.
 func TestEntryThatIsHandedOverIsCounted(t *testing.T) {
 	d := newDelivery(t, kvtest.NewData(time.Now))
-	budget := heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(136 << 20))
+	budget := memorybudget.New[ident.Tenant, string](memorybudget.LimitsOf(136 << 20))
 	taken, all := budget.Load()
 	assert.Equal(t, taken, int64(0))
-	budget.Open(heldbytes.Job, heldbytes.Whose{}).Set(all)
+	budget.Open(memorybudget.Job, memorybudget.Whose{}).Set(all)
 	store := &countedStore{Store: d.records, budget: budget}
 	d.Store, d.MemoryBudget = store, budget
 
--- a/internal/jobentry/acceptance.go
+++ b/internal/jobentry/acceptance.go
@@ -13,7 +13,7 @@
 	"mallowlatch.example/mallowlatch/internal/handoff"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/outcome"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -27,7 +27,7 @@
 	// attemptID distinguishes this acceptance from others of the same job. reservation is the queue capacity reserved for
 	// the job, nil if the route has no limit.
 	attemptID   string
-	reservation *queueroom.Reservation
+	reservation *queuecapacity.Reservation
 	tries       int
 	// handedOff is true if workers store the job until the job store accepts it.
 	handedOff bool
@@ -78,12 +78,12 @@
 	a.requestReservation(ctx)
 	count := a.reservation.Count
 	switch a.reservation.Verdict {
-	case queueroom.NoAnswer:
+	case queuecapacity.NoAnswer:
 		a.recordFailure(failure.New(failure.CodeShardUnavailable, "no worker tells what waits on the route").WithRetryAfter(retryAfter))
 		return false
-	case queueroom.Uncertain:
+	case queuecapacity.Uncertain:
 		event.JobUnaccounted.Log(a.intake.Logger).Str("job", string(a.submission.ID)).Int("answers", count.Answers).Int("sure", count.Sure).Send()
-	case queueroom.Full:
+	case queuecapacity.Full:
 		return a.refuse(ctx)
 	}
 	return true
@@ -102,7 +102,7 @@
 	end := a.intake.now().Add(reserveRetryPeriod)
 	for {
 		a.reservation = a.intake.Workers.Reserve(ctx, a.route, a.submission, a.attemptID)
-		if a.reservation.Verdict != queueroom.NoAnswer || !a.intake.now().Before(end) || !pause(ctx, reserveRetryInterval) {
+		if a.reservation.Verdict != queuecapacity.NoAnswer || !a.intake.now().Before(end) || !pause(ctx, reserveRetryInterval) {
 			return
 		}
 	}
@@ -112,7 +112,7 @@
 func (a *acceptance) refuse(ctx context.Context) bool {
 	if a.intake.exists(ctx, a.submission.ID) {
 		// The store has the job: writing it again changes nothing.
-		a.reservation.Verdict = queueroom.Fits
+		a.reservation.Verdict = queuecapacity.Fits
 		return true
 	}
 	count, tokens, bound := a.reservation.Count, a.submission.Tokens(), a.route.MaximumQueuedTokens
@@ -123,14 +123,14 @@
 	}
 	a.recordFailure(failure.New(failure.CodeJobQuota, "%d tokens wait on the route and the job has %d, at most %d may wait",
 		count.Waiting, tokens, bound).
-		WithRetryAfter(queueroom.RetryAfter(count, tokens, bound, rand.Float64())))
+		WithRetryAfter(queuecapacity.RetryAfter(count, tokens, bound, rand.Float64())))
 	return false
 }
 
 // admitted reports whether the job needs no further check against the queue limit: its capacity is reserved, or there is
 // no limit.
 func (a *acceptance) admitted() bool {
-	return a.route.MaximumQueuedTokens <= 0 || (a.reservation != nil && a.reservation.Verdict == queueroom.Fits)
+	return a.route.MaximumQueuedTokens <= 0 || (a.reservation != nil && a.reservation.Verdict == queuecapacity.Fits)
 }
 
 // reservedWaitingTokens is the number of tokens queued when the job's capacity was reserved; zero if no reservation was
@@ -153,7 +153,7 @@
 
 // accountUnsure reports whether the route has an account that too few account holders are sure of.
 func (a *acceptance) accountUnsure() bool {
-	return a.reservation != nil && a.reservation.Verdict == queueroom.Uncertain
+	return a.reservation != nil && a.reservation.Verdict == queuecapacity.Uncertain
 }
 
 // storeLimit is the number of tokens that may be queued by the store's count.
--- a/internal/jobentry/acceptance_test.go
+++ b/internal/jobentry/acceptance_test.go
@@ -18,8 +18,8 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 	"mallowlatch.example/mallowlatch/internal/kv/kvtest"
 	"mallowlatch.example/mallowlatch/internal/outcome"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -42,7 +42,7 @@
 	// reservation is the answer of the account workers of the route; nil means that the route has none. attempts are the
 	// IDs of the attempts that asked, released counts the reservations that were given back, and keepBound is the last
 	// limit passed to Keep.
-	reservation *queueroom.Reservation
+	reservation *queuecapacity.Reservation
 	attempts    []string
 	released    int
 	keepBound   int
@@ -57,11 +57,11 @@
 }
 
 // Reserve answers like workers that have no account of the route, unless the test sets a reservation.
-func (h *fakeWorkers) Reserve(_ context.Context, _ *work.Route, _ *jobrecord.Submission, attempt string) *queueroom.Reservation {
+func (h *fakeWorkers) Reserve(_ context.Context, _ *work.Route, _ *jobrecord.Submission, attempt string) *queuecapacity.Reservation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.attempts = append(h.attempts, attempt)
-	reservation := queueroom.Reservation{Verdict: queueroom.Unsupported}
+	reservation := queuecapacity.Reservation{Verdict: queuecapacity.Unsupported}
 	if h.reservation != nil {
 		reservation = *h.reservation
 	}
@@ -126,8 +126,8 @@
 }
 
 // fits is the answer of account workers that have free capacity.
-func fits() *queueroom.Reservation {
-	return &queueroom.Reservation{Verdict: queueroom.Fits, Count: queueroom.Count{Answers: 2, Sure: 2}}
+func fits() *queuecapacity.Reservation {
+	return &queuecapacity.Reservation{Verdict: queuecapacity.Fits, Count: queuecapacity.Count{Answers: 2, Sure: 2}}
 }
 
 // TestJobWhoseRoomIsReservedIsNotCountedAgain runs with the store down: workers are asked to store the job without a
@@ -154,7 +154,7 @@
 	workers := &fakeWorkers{}
 	intake, _ := newIntake(workers)
 	assert.NilError(t, submit(intake, "taken", 10))
-	full := &queueroom.Reservation{Verdict: queueroom.Full, Count: queueroom.Count{Answers: 2, Sure: 2, Waiting: bound, Freed: 10}}
+	full := &queuecapacity.Reservation{Verdict: queuecapacity.Full, Count: queuecapacity.Count{Answers: 2, Sure: 2, Waiting: bound, Freed: 10}}
 	workers.reservation = full
 	refused := mustRefuse(t, submit(intake, "a", 10))
 	assert.Equal(t, refused.Code, failure.CodeJobQuota)
@@ -171,7 +171,7 @@
 // own count, less what the workers know of and a reserve, and workers accept it on their disks by their own count, for
 // which they are given the limit. If no account holder answers, nothing is accepted.
 func TestUnsureAccountFallsBackToOtherCounts(t *testing.T) {
-	workers := &fakeWorkers{reservation: &queueroom.Reservation{Verdict: queueroom.Uncertain, Count: queueroom.Count{Answers: 1, Unlisted: 30}}}
+	workers := &fakeWorkers{reservation: &queuecapacity.Reservation{Verdict: queuecapacity.Uncertain, Count: queuecapacity.Count{Answers: 1, Unlisted: 30}}}
 	intake, store := newIntake(workers)
 	assert.NilError(t, submit(intake, "a", 50))
 	assert.Equal(t, mustRefuse(t, submit(intake, "b", 10)).Code, failure.CodeJobQuota)
@@ -180,7 +180,7 @@
 	assert.NilError(t, submit(intake, "c", 1))
 	assert.Equal(t, workers.keepBound, bound)
 	store.SetFaults(kvtest.PagedFaults{})
-	workers.reservation.Verdict = queueroom.NoAnswer
+	workers.reservation.Verdict = queuecapacity.NoAnswer
 	refused := mustRefuse(t, submit(intake, "d", 1))
 	assert.Equal(t, refused.Outcome, outcome.NotRun)
 	assert.Assert(t, refused.RetryAfter > 0)
@@ -345,7 +345,7 @@
 func TestNodeThatIsCutOffRefusesAtOnce(t *testing.T) {
 	workers := &fakeWorkers{}
 	intake, _ := newIntake(workers)
-	intake.Reachability = &reach.Watch{}
+	intake.Reachability = &reachability.Watch{}
 	for range 3 {
 		intake.Reachability.Failed(time.Now().Add(-2 * time.Second))
 	}
@@ -370,7 +370,7 @@
 	assert.NilError(t, submit(intake, "a", 10))
 	_, err := intake.Results(context.Background(), "", "a", 0, 0)
 	assert.NilError(t, err)
-	intake.Reachability = &reach.Watch{}
+	intake.Reachability = &reachability.Watch{}
 	for range 3 {
 		intake.Reachability.Failed(time.Now().Add(-2 * time.Second))
 	}
--- a/internal/jobentry/intake.go
+++ b/internal/jobentry/intake.go
@@ -19,8 +19,8 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/outcome"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -61,7 +61,7 @@
 	Results(ctx context.Context, job ident.Job, from int, wait time.Duration) (held work.Held, sure bool)
 	// Reserve asks for queue capacity for a job beside everything that waits on the route. attempt identifies the attempt
 	// to accept the job; an attempt may ask again.
-	Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation
+	Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queuecapacity.Reservation
 	// StoreHandoff asks workers to store a job on disk until the store accepts it. bound is the number of tokens that may be
 	// queued by their own count; zero turns that check off. The error is a *failure.Error.
 	StoreHandoff(ctx context.Context, bound int, submission *jobrecord.Submission) error
@@ -85,7 +85,7 @@
 	// LinkBytes is the bandwidth of the node's link in bytes per second; zero means unknown.
 	LinkBytes float64
 	// Reachability records whether other processes answer this node; nil disables the check.
-	Reachability *reach.Watch
+	Reachability *reachability.Watch
 	Logger       zerolog.Logger
 
 	// Now is the monotonic clock; nil uses the machine's.
--- a/internal/jobpeer/compatibility_test.go
+++ b/internal/jobpeer/compatibility_test.go
@@ -15,7 +15,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobpeer"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -82,10 +82,10 @@
 		assert.Assert(t, found)
 		assert.Equal(t, owner.Node, wanted, "runner %s", runner)
 	}
-	var roster queueroom.Roster
-	var registered []queueroom.Worker
+	var roster queuecapacity.Roster
+	var registered []queuecapacity.Worker
 	for _, worker := range workers {
-		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
+		registered = append(registered, queuecapacity.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
 	roster.Update(registered, time.Now())
 	for route, wanted := range map[string]string{"r": "w4 w6 w7", "s": "w3 w2 w5"} {
--- a/internal/jobpeer/demand.go
+++ b/internal/jobpeer/demand.go
@@ -10,11 +10,11 @@
 	"github.com/rs/zerolog"
 
 	"mallowlatch.example/mallowlatch/internal/demand"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/failure"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 )
 
@@ -23,7 +23,7 @@
 	Client  *WorkerClient
 	Runners *runnertable.Table
 	// Ends receives the workers' records of poison requests; nil ignores them.
-	Ends *endwatch.Watch
+	Ends *poisonwatch.Watch
 	// Tenants reports the slots that tenants use and wait for; nil reports nothing.
 	Tenants Tenants
 	// Waiters reports the requests that wait for slots rationed by workers; nil reports nothing.
--- a/internal/jobpeer/keep_test.go
+++ b/internal/jobpeer/keep_test.go
@@ -20,7 +20,7 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 	"mallowlatch.example/mallowlatch/internal/kv/kvtest"
 	"mallowlatch.example/mallowlatch/internal/outcome"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
@@ -290,12 +290,12 @@
 	assert.Equal(t, asked[len(asked)-1], "w")
 }
 
-// TestCallsToWorkersUpdateReachability has workers become unresponsive: the reach.Watch must report that from the
+// TestCallsToWorkersUpdateReachability has workers become unresponsive: the reachability.Watch must report that from the
 // regular calls, and also the first worker that answers again.
 func TestCallsToWorkersUpdateReachability(t *testing.T) {
 	peers := []*peer{{unresponsive: true}, {unresponsive: true}, {unresponsive: true}, {unresponsive: true, keep: keptReply}}
 	client := newWorkerClient(t, oneZone, peers...)
-	client.Copies, client.Reach = 3, &reach.Watch{}
+	client.Copies, client.Reach = 3, &reachability.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
 	assert.Assert(t, keep(client) != nil)
 	assert.Assert(t, client.Reach.Partitioned(later()))
--- a/internal/jobpeer/poisonrecords.go
+++ b/internal/jobpeer/poisonrecords.go
@@ -8,10 +8,10 @@
 
 	"gopkg.in/tomb.v2"
 
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 )
 
 // Nodes share records of poison requests (requests that end their runners) without the store. A front sends its records to two
@@ -36,7 +36,7 @@
 )
 
 // SendPoisonRecords sends this node's records of poison requests to workers until the tomb dies.
-func (h *WorkerClient) SendPoisonRecords(parent *tomb.Tomb, watch *endwatch.Watch) {
+func (h *WorkerClient) SendPoisonRecords(parent *tomb.Tomb, watch *poisonwatch.Watch) {
 	parent.Go(func() error {
 		ctx := parent.Context(context.Background())
 		for turn := 0; ; {
@@ -100,7 +100,7 @@
 // PoisonRecordSync sends a worker's records of poison requests to all other workers and reads the records that it lacks.
 type PoisonRecordSync struct {
 	Node  ident.Node
-	Watch *endwatch.Watch
+	Watch *poisonwatch.Watch
 	// Workers returns the most recently read list of all workers.
 	Workers func() []jobrecord.Worker
 	Peers   *Peers
--- a/internal/jobpeer/poisonrecords_test.go
+++ b/internal/jobpeer/poisonrecords_test.go
@@ -15,12 +15,12 @@
 	"storj.io/drpc"
 
 	"mallowlatch.example/mallowlatch/internal/demand"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobpeer"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/jobworker"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 )
@@ -49,7 +49,7 @@
 // endsNode is a node of the fleet.
 type endsNode struct {
 	name  string
-	watch *endwatch.Watch
+	watch *poisonwatch.Watch
 }
 
 type endsConn struct {
@@ -92,8 +92,8 @@
 	return func(to string) (drpc.Conn, error) { return &endsConn{fleet: f, from: from, to: to}, nil }
 }
 
-func (f *endsFleet) newWatch(name string, table *runnertable.Table) *endwatch.Watch {
-	watch := &endwatch.Watch{
+func (f *endsFleet) newWatch(name string, table *runnertable.Table) *poisonwatch.Watch {
+	watch := &poisonwatch.Watch{
 		Book: poison.NewBook(1e9 + int64(len(f.nodes))), Runners: table, Tomb: f.tomb, Logger: zerolog.Nop(), Now: time.Now,
 	}
 	f.nodes = append(f.nodes, &endsNode{name: name, watch: watch})
--- a/internal/jobpeer/queuecapacity.go
+++ b/internal/jobpeer/queuecapacity.go
@@ -8,21 +8,21 @@
 
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/jsoncall"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
 // RoomRequest asks an account holder to reserve queue capacity, releases capacity, or reports the jobs that a worker has on
 // disk and runs.
 type RoomRequest struct {
-	Ask     *queueroom.CapacityRequest `json:"ask,omitempty"`
-	Release *queueroom.Release         `json:"release,omitempty"`
-	News    *queueroom.Report          `json:"news,omitempty"`
+	Ask     *queuecapacity.CapacityRequest `json:"ask,omitempty"`
+	Release *queuecapacity.Release         `json:"release,omitempty"`
+	News    *queuecapacity.Report          `json:"news,omitempty"`
 }
 
 // RoomReply contains the answer to Ask, nil if nothing was asked.
 type RoomReply struct {
-	Answer *queueroom.Answer `json:"answer,omitempty"`
+	Answer *queuecapacity.Answer `json:"answer,omitempty"`
 }
 
 // awaitWorkersInterval is the interval at which awaitWorkers checks for a list of workers.
@@ -33,12 +33,12 @@
 
 // Reserve asks the holders of a route's account for capacity for a job and waits for the answers of a majority. attempt
 // identifies the attempt to submit the job; the same attempt may ask again.
-func (h *WorkerClient) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queueroom.Reservation {
+func (h *WorkerClient) Reserve(ctx context.Context, route *work.Route, submission *jobrecord.Submission, attempt string) *queuecapacity.Reservation {
 	h.awaitWorkers(ctx)
 	asking := &capacityRequest{
-		client: h, workers: h.accountHolders(route.Name), question: &queueroom.CapacityRequest{
+		client: h, workers: h.accountHolders(route.Name), question: &queuecapacity.CapacityRequest{
 			Route: route.Name, Tenant: submission.Tenant, Attempt: attempt,
-			ReservedJob: queueroom.ReservedJob{Job: submission.ID, Tokens: submission.Tokens()},
+			ReservedJob: queuecapacity.ReservedJob{Job: submission.ID, Tokens: submission.Tokens()},
 		},
 	}
 	return asking.run(ctx, route.MaximumQueuedTokens)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (h *WorkerClient) accountHolders(route string) []queueroom.Worker {
+func (h *WorkerClient) accountHolders(route string) []queuecapacity.Worker {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.roster.AccountHolders(route, h.Copies-1, h.Now())
@@ -66,18 +66,18 @@
 // capacityRequest is the state of one reservation.
 type capacityRequest struct {
 	client   *WorkerClient
-	workers  []queueroom.Worker
-	question *queueroom.CapacityRequest
+	workers  []queuecapacity.Worker
+	question *queuecapacity.CapacityRequest
 }
 
 // capacityAnswer is the result of one call.
 type capacityAnswer struct {
-	answer *queueroom.Answer
+	answer *queuecapacity.Answer
 	// unsupported means that the worker's build does not support queue accounts.
 	unsupported bool
 }
 
-func (r *capacityRequest) run(ctx context.Context, bound int) *queueroom.Reservation {
+func (r *capacityRequest) run(ctx context.Context, bound int) *queuecapacity.Reservation {
 	replies := make(chan capacityAnswer, len(r.workers))
 	for _, worker := range r.workers {
 		// Each call gets a new tomb, because the last calls outlive the request.
@@ -86,8 +86,8 @@
 			return nil
 		})
 	}
-	reservation := &queueroom.Reservation{Release: r.release}
-	var answers []*queueroom.Answer
+	reservation := &queuecapacity.Reservation{Release: r.release}
+	var answers []*queuecapacity.Answer
 	unsupported := false
 	for range r.workers {
 		reply := <-replies
@@ -96,14 +96,14 @@
 			continue
 		}
 		answers = append(answers, reply.answer)
-		reservation.Count = queueroom.Combine(answers)
-		reservation.Verdict = queueroom.Decide(reservation.Count, len(r.workers), r.question.Tokens, bound)
-		if reservation.Verdict > queueroom.Unsupported {
+		reservation.Count = queuecapacity.Combine(answers)
+		reservation.Verdict = queuecapacity.Decide(reservation.Count, len(r.workers), r.question.Tokens, bound)
+		if reservation.Verdict > queuecapacity.Unsupported {
 			return reservation
 		}
 	}
 	if unsupported {
-		reservation.Verdict = queueroom.Unsupported
+		reservation.Verdict = queuecapacity.Unsupported
 	}
 	return reservation
 }
@@ -116,7 +116,7 @@
 
 // release releases the capacity in the background, because the calls outlive the request.
 func (r *capacityRequest) release() {
-	request := &RoomRequest{Release: &queueroom.Release{Job: r.question.Job, Attempt: r.question.Attempt}}
+	request := &RoomRequest{Release: &queuecapacity.Release{Job: r.question.Job, Attempt: r.question.Attempt}}
 	for _, worker := range r.workers {
 		new(tomb.Tomb).Go(func() error {
 			// An account holder that is not reached releases the capacity when the reservation expires.
@@ -146,7 +146,7 @@
 }
 
 // ReportQueueUse implements jobworker.Accounts.
-func (p *Peers) ReportQueueUse(ctx context.Context, address string, news *queueroom.Report) error {
+func (p *Peers) ReportQueueUse(ctx context.Context, address string, news *queuecapacity.Report) error {
 	return p.call(ctx, address, methodRoom, &RoomRequest{News: news}, &RoomReply{})
 }
 
--- a/internal/jobpeer/workerclient.go
+++ b/internal/jobpeer/workerclient.go
@@ -15,8 +15,8 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/jsoncall"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -51,7 +51,7 @@
 	Seeds    []string
 	SeedsFor time.Duration
 	// Reach records whether workers answer; nil records nothing.
-	Reach *reach.Watch
+	Reach *reachability.Watch
 	Now   func() time.Time
 
 	mutex sync.Mutex
@@ -68,7 +68,7 @@
 	// batches are the workers' reports about their batch work, by address.
 	batches map[string]asof.Fact[demand.Batch]
 	// roster are the workers that may hold queue accounts.
-	roster queueroom.Roster
+	roster queuecapacity.Roster
 	// lastRegistered is when each worker was last registered, by address.
 	lastRegistered map[string]time.Time
 }
@@ -236,9 +236,9 @@
 	}
 	h.workersRead = h.Now()
 	h.recordRegistered(workers)
-	registered := make([]queueroom.Worker, 0, len(workers))
+	registered := make([]queuecapacity.Worker, 0, len(workers))
 	for _, worker := range workers {
-		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
+		registered = append(registered, queuecapacity.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
 	h.roster.Update(registered, h.Now())
 }
--- a/internal/jobworker/accounts.go
+++ b/internal/jobworker/accounts.go
@@ -8,14 +8,14 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
 // Accounts calls the workers that hold the accounts of waiting tokens.
 type Accounts interface {
 	// ReportQueueUse sends the worker at an address the jobs that this one stores and runs.
-	ReportQueueUse(ctx context.Context, address string, report *queueroom.Report) error
+	ReportQueueUse(ctx context.Context, address string, report *queuecapacity.Report) error
 }
 
 const (
@@ -37,8 +37,8 @@
 
 // account is this worker's part in the accounts of waiting tokens. The worker's mutex guards it.
 type account struct {
-	ledger queueroom.Ledger
-	roster queueroom.Roster
+	ledger queuecapacity.Ledger
+	roster queuecapacity.Roster
 	// revision is that of the open jobs listed in the ledger; zero until they are read.
 	revision int64
 	// holderSince is when the worker became an account holder, by route; zero if there was nothing to find out before.
@@ -47,7 +47,7 @@
 
 // ReserveQueueCapacity reserves capacity in the queue for a job of another node, and returns the tokens that wait beside it, or nil while
 // this worker knows too little to answer.
-func (w *Worker) ReserveQueueCapacity(question *queueroom.CapacityRequest) *queueroom.Answer {
+func (w *Worker) ReserveQueueCapacity(question *queuecapacity.CapacityRequest) *queuecapacity.Answer {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
@@ -68,14 +68,14 @@
 }
 
 // ReleaseQueueCapacity releases the capacity reserved by an attempt.
-func (w *Worker) ReleaseQueueCapacity(release *queueroom.Release) {
+func (w *Worker) ReleaseQueueCapacity(release *queuecapacity.Release) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.account.ledger.Release(release)
 }
 
 // RecordAccountReport stores a report of what another worker stores and runs.
-func (w *Worker) RecordAccountReport(update *queueroom.Report) {
+func (w *Worker) RecordAccountReport(update *queuecapacity.Report) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.account.ledger.Apply(update, w.Now())
@@ -83,27 +83,27 @@
 
 // recordOwnJobs stores what this worker runs itself. The caller must hold the mutex.
 func (w *Worker) recordOwnJobs(now time.Time) {
-	update := &queueroom.Report{}
+	update := &queuecapacity.Report{}
 	for id, job := range w.jobs {
-		update.Left = append(update.Left, queueroom.UnfinishedJob{Job: id, Tokens: job.unfinishedTokens()})
+		update.Left = append(update.Left, queuecapacity.UnfinishedJob{Job: id, Tokens: job.unfinishedTokens()})
 	}
 	w.account.ledger.Apply(update, now)
 }
 
 // handoffJobs returns the jobs on this worker's disk. It may wait for the disk and must not be called under the mutex.
-func (w *Worker) handoffJobs() []queueroom.DiskJob {
+func (w *Worker) handoffJobs() []queuecapacity.DiskJob {
 	if w.Handoff == nil {
 		return nil
 	}
-	var stored []queueroom.DiskJob
+	var stored []queuecapacity.DiskJob
 	for _, entry := range w.Handoff.Entries() {
 		stored = append(stored, handoffJob(entry.Job, entry.Queue(), entry.Tokens))
 	}
 	return stored
 }
 
-func handoffJob(job ident.Job, queue jobrecord.Queue, tokens int) queueroom.DiskJob {
-	return queueroom.DiskJob{Route: queue.Route, Tenant: queue.Tenant, ReservedJob: queueroom.ReservedJob{Job: job, Tokens: tokens}}
+func handoffJob(job ident.Job, queue jobrecord.Queue, tokens int) queuecapacity.DiskJob {
+	return queuecapacity.DiskJob{Route: queue.Route, Tenant: queue.Tenant, ReservedJob: queuecapacity.ReservedJob{Job: job, Tokens: tokens}}
 }
 
 // queuedTokens returns the tokens that wait in a queue, in the view of this worker alone. The caller must hold the mutex.
@@ -115,9 +115,9 @@
 
 // updateAccount stores the open jobs and the registered workers. The caller must hold the mutex.
 func (w *Worker) updateAccount(now time.Time) {
-	registered := make([]queueroom.Worker, 0, len(w.live.Workers))
+	registered := make([]queuecapacity.Worker, 0, len(w.live.Workers))
 	for _, worker := range w.live.Workers {
-		registered = append(registered, queueroom.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
+		registered = append(registered, queuecapacity.Worker{Node: worker.Node, Zone: worker.Zone, Address: worker.Address})
 	}
 	w.account.roster.Update(registered, now)
 	for _, open := range w.live.Open {
@@ -132,7 +132,7 @@
 	sinceByRoute := map[string]time.Time{}
 	for _, route := range w.boundedRoutes() {
 		holders := w.account.roster.AccountHolders(route.Name, w.Tolerance, now)
-		if !slices.ContainsFunc(holders, func(holder queueroom.Worker) bool { return holder.Node == w.Node }) {
+		if !slices.ContainsFunc(holders, func(holder queuecapacity.Worker) bool { return holder.Node == w.Node }) {
 			continue
 		}
 		holderSince, known := w.account.holderSince[route.Name]
@@ -166,7 +166,7 @@
 	unresponsive := map[string]bool{}
 	for w.pause(accountReportEvery) {
 		stored := w.handoffJobs()
-		w.RecordAccountReport(&queueroom.Report{Kept: stored})
+		w.RecordAccountReport(&queuecapacity.Report{Kept: stored})
 		for address, update := range w.accountUpdates(stored) {
 			ctx, cancel := context.WithTimeout(w.ctx, accountReportTimeout)
 			err := w.Accounts.ReportQueueUse(ctx, address, update)
@@ -181,14 +181,14 @@
 }
 
 // accountUpdates returns the reports to send, by the address of the account holder.
-func (w *Worker) accountUpdates(stored []queueroom.DiskJob) map[string]*queueroom.Report {
+func (w *Worker) accountUpdates(stored []queuecapacity.DiskJob) map[string]*queuecapacity.Report {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.Now()
 	if len(stored) == 0 && len(w.jobs) == 0 {
 		return nil
 	}
-	updates := map[string]*queueroom.Report{}
+	updates := map[string]*queuecapacity.Report{}
 	for _, route := range w.boundedRoutes() {
 		update := w.accountUpdate(route, stored)
 		if len(update.Kept) == 0 && len(update.Left) == 0 {
@@ -199,7 +199,7 @@
 				continue
 			}
 			if updates[holder.Address] == nil {
-				updates[holder.Address] = &queueroom.Report{}
+				updates[holder.Address] = &queuecapacity.Report{}
 			}
 			all := updates[holder.Address]
 			all.Kept, all.Left = append(all.Kept, update.Kept...), append(all.Left, update.Left...)
@@ -210,8 +210,8 @@
 
 // accountUpdate returns the report for a route: the jobs on this worker's disk, and, if much is waiting, the remaining
 // tokens of those that run here. The caller must hold the mutex.
-func (w *Worker) accountUpdate(route *work.Route, stored []queueroom.DiskJob) queueroom.Report {
-	var update queueroom.Report
+func (w *Worker) accountUpdate(route *work.Route, stored []queuecapacity.DiskJob) queuecapacity.Report {
+	var update queuecapacity.Report
 	for _, job := range stored {
 		if job.Route == route.Name {
 			update.Kept = append(update.Kept, job)
@@ -222,7 +222,7 @@
 	}
 	for id, job := range w.jobs {
 		if left := job.unfinishedTokens(); job.header.Route == route.Name && left < job.header.Tokens {
-			update.Left = append(update.Left, queueroom.UnfinishedJob{Job: id, Tokens: left})
+			update.Left = append(update.Left, queuecapacity.UnfinishedJob{Job: id, Tokens: left})
 		}
 	}
 	return update
--- a/internal/jobworker/assign.go
+++ b/internal/jobworker/assign.go
@@ -9,9 +9,9 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/failure"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/kv"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -97,7 +97,7 @@
 }
 
 // startAssigned reads an assigned job and starts it. A job that cannot be read is claimed again like any other.
-func (w *Worker) startAssigned(assigned jobrecord.Assigned, state *openJob, reservation *heldbytes.Held) {
+func (w *Worker) startAssigned(assigned jobrecord.Assigned, state *openJob, reservation *memorybudget.Held) {
 	ctx, cancel := w.callContext()
 	defer cancel()
 	err := w.startJob(ctx, claimedJob{entry: assigned.Open, claim: assigned.Claim, isNew: true, reservation: reservation})
@@ -122,7 +122,7 @@
 	// isNew is set for a job that was never claimed before and therefore has no results.
 	isNew bool
 	// reservation is the memory reserved for the job.
-	reservation *heldbytes.Held
+	reservation *memorybudget.Held
 }
 
 // startJob reads a claimed job and runs it. If the job does not run, its memory reservation is released.
--- a/internal/jobworker/claim.go
+++ b/internal/jobworker/claim.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/event"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/kv"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -95,7 +95,7 @@
 			continue
 		}
 		overBudget[candidate.entry.Tenant] = true
-		if !errors.Is(err, heldbytes.ErrOwnerLimit) && now.Sub(candidate.unclaimed) > delay+overtakingPeriod {
+		if !errors.Is(err, memorybudget.ErrOwnerLimit) && now.Sub(candidate.unclaimed) > delay+overtakingPeriod {
 			return
 		}
 	}
@@ -140,7 +140,7 @@
 // assumedItems is the number of items that a job being claimed is assumed to add before it is read.
 const assumedItems = 10
 
-// startClaim claims a candidate in the background. The error wraps heldbytes.ErrOver if there is no memory for the job.
+// startClaim claims a candidate in the background. The error wraps memorybudget.ErrOver if there is no memory for the job.
 // The caller must hold the mutex.
 func (w *Worker) startClaim(candidate *openJob) error {
 	reservation, overBudget := w.reserve(candidate.entry, w.Now())
@@ -164,7 +164,7 @@
 }
 
 // claimOrRelease takes a job over, or releases this node's claim of it if there is no memory for the job.
-func (w *Worker) claimOrRelease(entry jobrecord.Open, lease kv.LeaseID, reservation *heldbytes.Held, overBudget error) error {
+func (w *Worker) claimOrRelease(entry jobrecord.Open, lease kv.LeaseID, reservation *memorybudget.Held, overBudget error) error {
 	if overBudget != nil {
 		return w.releaseUnserved(entry, lease)
 	}
@@ -215,7 +215,7 @@
 
 // claim takes a job over from the beginning or from where another node stopped. The memory reservation is released on
 // failure.
-func (w *Worker) claim(entry jobrecord.Open, lease kv.LeaseID, reservation *heldbytes.Held) error {
+func (w *Worker) claim(entry jobrecord.Open, lease kv.LeaseID, reservation *memorybudget.Held) error {
 	ctx, cancel := w.callContext()
 	defer cancel()
 	claim, err := w.Records.Claim(ctx, entry, w.Node, lease)
--- a/internal/jobworker/dispatch.go
+++ b/internal/jobworker/dispatch.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mallowlatch.example/mallowlatch/internal/batchroom"
+	"mallowlatch.example/mallowlatch/internal/batchcapacity"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -230,14 +230,14 @@
 		}
 	}
 	if w.demand.Any(now) {
-		free -= batchroom.OwnerReserve(slots)
+		free -= batchcapacity.OwnerReserve(slots)
 	}
 	return max(free, 0)
 }
 
 // free returns how many more items a single runner could take. The caller must hold the mutex.
 func (w *Worker) free(runner work.Runner, now time.Time) int {
-	reported := batchroom.ReportedWork{
+	reported := batchcapacity.ReportedWork{
 		Online: w.demand.Online(runner.ID, "", now), Reported: w.demand.Any(now), Orphans: w.orphanRuns.runsAt(runner.ID, now),
 	}
 	return w.orphanRuns.limitFree(runner.ID, w.gaugeOf(runner.ID).gauge.FreeSlots(runner.Slots, w.batchRunsAt(runner.ID, now), reported, now), now)
--- a/internal/jobworker/handoff.go
+++ b/internal/jobworker/handoff.go
@@ -8,11 +8,11 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/failure"
 	"mallowlatch.example/mallowlatch/internal/handoff"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/outcome"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 )
 
 // handoffRetryAfter is when a client may retry at a worker that did not store its job.
@@ -34,10 +34,10 @@
 	if refused != nil {
 		return refused
 	}
-	reservation, err := w.Budget.Reserve(heldbytes.Submission, heldbytes.Whose{Tenant: entry.Tenant}, entry.Bytes())
+	reservation, err := w.Budget.Reserve(memorybudget.Submission, memorybudget.Whose{Tenant: entry.Tenant}, entry.Bytes())
 	if err != nil {
 		return failure.New(failure.CodeOverloaded, "this worker holds as much as it can").WithCause(err).
-			WithRetryAfter(heldbytes.RetryAfter(rand.Float64()))
+			WithRetryAfter(memorybudget.RetryAfter(rand.Float64()))
 	}
 	defer reservation.Release()
 	if err := w.Handoff.Put(entry); err != nil {
@@ -47,7 +47,7 @@
 		}
 		return failed.WithRetryAfter(handoffRetryAfter)
 	}
-	w.RecordAccountReport(&queueroom.Report{Kept: []queueroom.DiskJob{handoffJob(entry.Job, entry.Queue(), entry.Tokens())}})
+	w.RecordAccountReport(&queuecapacity.Report{Kept: []queuecapacity.DiskJob{handoffJob(entry.Job, entry.Queue(), entry.Tokens())}})
 	event.JobStoredLocally.Log(w.Logger).Str("job", string(entry.Job)).Int("items", len(entry.Items)).Int("turn", entry.Turn).
 		Int("tokens", entry.Tokens()).Int("waiting", waiting).Send()
 	return nil
--- a/internal/jobworker/job.go
+++ b/internal/jobworker/job.go
@@ -8,9 +8,9 @@
 
 	"mallowlatch.example/mallowlatch/internal/clock"
 	"mallowlatch.example/mallowlatch/internal/event"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/poison"
 	"mallowlatch.example/mallowlatch/internal/progress"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -31,7 +31,7 @@
 	recordedBytes int64
 	// reservation is the job's part of the node's memory budget; headerBytes and values are the sizes of its header and of
 	// the stored values that contain its bodies.
-	reservation *heldbytes.Held
+	reservation *memorybudget.Held
 	headerBytes int64
 	values      []int64
 	// changed is closed and replaced when results are recorded.
--- a/internal/jobworker/memory.go
+++ b/internal/jobworker/memory.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/event"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/progress"
 )
 
@@ -32,14 +32,14 @@
 	rejected   int
 	loggedFull time.Time
 	// mirrored is the reservation for the output stored for other workers.
-	mirrored *heldbytes.Held
+	mirrored *memorybudget.Held
 }
 
 // recordRefusal records that a job did not fit.
 func (m *memory) recordRefusal(err error, now time.Time) {
 	m.rejected++
 	m.refusedAt = now
-	if !errors.Is(err, heldbytes.ErrOwnerLimit) {
+	if !errors.Is(err, memorybudget.ErrOwnerLimit) {
 		m.fullAt = now
 	}
 }
@@ -50,14 +50,14 @@
 }
 
 // reserve reserves the memory for a job that is about to be read, evicting results that can be read from the store if
-// necessary. The error wraps heldbytes.ErrOver. The caller must hold the mutex.
-func (w *Worker) reserve(entry jobrecord.Open, now time.Time) (*heldbytes.Held, error) {
+// necessary. The error wraps memorybudget.ErrOver. The caller must hold the mutex.
+func (w *Worker) reserve(entry jobrecord.Open, now time.Time) (*memorybudget.Held, error) {
 	for {
-		reservation, err := w.Budget.Reserve(heldbytes.Job, heldbytes.Whose{Tenant: entry.Tenant}, entry.Size())
+		reservation, err := w.Budget.Reserve(memorybudget.Job, memorybudget.Whose{Tenant: entry.Tenant}, entry.Size())
 		if err == nil {
 			return reservation, nil
 		}
-		if errors.Is(err, heldbytes.ErrOwnerLimit) || !w.evictResults() {
+		if errors.Is(err, memorybudget.ErrOwnerLimit) || !w.evictResults() {
 			w.memory.recordRefusal(err, now)
 			return nil, err
 		}
@@ -91,9 +91,9 @@
 		job.reservation.Set(job.bytes())
 	}
 	w.accountMirrored(now)
-	for w.Budget.Exceeds(heldbytes.Kept) && w.finished.evictOldest() {
+	for w.Budget.Exceeds(memorybudget.Kept) && w.finished.evictOldest() {
 	}
-	for w.Budget.Exceeds(heldbytes.Job) && w.evictResults() {
+	for w.Budget.Exceeds(memorybudget.Job) && w.evictResults() {
 	}
 	w.logMemory(now)
 }
@@ -105,7 +105,7 @@
 		return
 	}
 	if w.memory.mirrored == nil {
-		w.memory.mirrored = w.Budget.Open(heldbytes.Kept, heldbytes.Whose{})
+		w.memory.mirrored = w.Budget.Open(memorybudget.Kept, memorybudget.Whose{})
 	}
 	w.memory.mirrored.Set(w.mirrorStore().SetMaxBytes(int64(mirrorBudgetFraction*float64(limit)), now))
 }
--- a/internal/jobworker/memory_test.go
+++ b/internal/jobworker/memory_test.go
@@ -15,12 +15,12 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 	"mallowlatch.example/mallowlatch/internal/failure"
 	"mallowlatch.example/mallowlatch/internal/handoff"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/jobworker"
 	"mallowlatch.example/mallowlatch/internal/kv"
 	"mallowlatch.example/mallowlatch/internal/kv/kvtest"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/outcome"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -65,7 +65,7 @@
 
 func newMemoryRig(t *testing.T) *memoryRig {
 	m := &memoryRig{group: newGroup(t), caller: &fakeCaller{held: true}, log: &logBuffer{}}
-	m.budget, m.logger = heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(smallWorker)), zerolog.New(m.log)
+	m.budget, m.logger = memorybudget.New[ident.Tenant, string](memorybudget.LimitsOf(smallWorker)), zerolog.New(m.log)
 	m.worker = m.start("w", kvtest.NewPaged(m.data), m.caller, nil, oneRunner("i-1"))
 	time.Sleep(time.Second)
 	return m
@@ -243,7 +243,7 @@
 func TestJobLargerThanTheRoomIsTakenAlone(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		m := newMemoryRig(t)
-		m.budget.SetLimits(heldbytes.LimitsOf(16 << 20))
+		m.budget.SetLimits(memorybudget.LimitsOf(16 << 20))
 		m.caller.hold(false)
 		m.submitOf("a", "one", largeItems, largeItem)
 		m.submitOf("a", "two", largeItems, largeItem)
@@ -257,7 +257,7 @@
 func TestClaimsWithoutRoomAreGivenBackAtAStart(t *testing.T) {
 	simulated.Test(t, func(t *testing.T) {
 		m := newMemoryRig(t)
-		m.budget.SetLimits(heldbytes.LimitsOf(1 << 30))
+		m.budget.SetLimits(memorybudget.LimitsOf(1 << 30))
 		for job := range 7 {
 			m.submitOf("", fmt.Sprint("j", job), largeItems, largeItem)
 		}
@@ -265,7 +265,7 @@
 		_, jobs := m.bodies()
 		assert.Equal(t, jobs, 7)
 		m.end("w")
-		m.budget = heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(smallWorker))
+		m.budget = memorybudget.New[ident.Tenant, string](memorybudget.LimitsOf(smallWorker))
 		m.worker = m.start("w", kvtest.NewPaged(m.data), m.caller, nil, oneRunner("i-1"))
 		m.budget = nil
 		m.add("other", oneRunner("i-1"), runnerOwnedBy(t, "other", "w", "other"))
@@ -290,7 +290,7 @@
 		ran := 0
 		simulated.Test(t, func(t *testing.T) {
 			m := newMemoryRig(t)
-			m.budget.SetLimits(heldbytes.LimitsOf(memory))
+			m.budget.SetLimits(memorybudget.LimitsOf(memory))
 			m.caller.hold(false)
 			m.caller.takes = 500 * time.Millisecond
 			m.submitOf("", "job", largeItems, largeItem)
--- a/internal/jobworker/results.go
+++ b/internal/jobworker/results.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -97,7 +97,7 @@
 	id          ident.Job
 	at          time.Time
 	bytes       int64
-	reservation *heldbytes.Held
+	reservation *memorybudget.Held
 }
 
 func (f *finishedJobs) find(id ident.Job) (work.Held, bool) {
@@ -106,11 +106,11 @@
 }
 
 // add caches the results of a finished job if they fit in the node's budget.
-func (f *finishedJobs) add(budget *heldbytes.NodeBudget, job *jobRun, now time.Time) {
+func (f *finishedJobs) add(budget *memorybudget.NodeBudget, job *jobRun, now time.Time) {
 	size := job.recordedBytes
-	reservation, err := budget.Reserve(heldbytes.Kept, heldbytes.Whose{}, size)
+	reservation, err := budget.Reserve(memorybudget.Kept, memorybudget.Whose{}, size)
 	for err != nil && f.evictOldest() {
-		reservation, err = budget.Reserve(heldbytes.Kept, heldbytes.Whose{}, size)
+		reservation, err = budget.Reserve(memorybudget.Kept, memorybudget.Whose{}, size)
 	}
 	if err != nil {
 		// The results can be read from the store.
--- a/internal/jobworker/worker.go
+++ b/internal/jobworker/worker.go
@@ -18,20 +18,20 @@
 	"github.com/rs/zerolog"
 	"gopkg.in/tomb.v2"
 
-	"mallowlatch.example/mallowlatch/internal/batchroom"
+	"mallowlatch.example/mallowlatch/internal/batchcapacity"
 	"mallowlatch.example/mallowlatch/internal/changefeed"
 	"mallowlatch.example/mallowlatch/internal/demand"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/fairshare"
 	"mallowlatch.example/mallowlatch/internal/handoff"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/kv"
 	"mallowlatch.example/mallowlatch/internal/lending"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/progress"
-	"mallowlatch.example/mallowlatch/internal/queueroom"
+	"mallowlatch.example/mallowlatch/internal/queuecapacity"
 	"mallowlatch.example/mallowlatch/internal/routetable"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -110,7 +110,7 @@
 	Routes  *routetable.Table
 	Caller  work.Caller
 	// PoisonWatch tracks which items terminate the runners that run them; nil lets every item run.
-	PoisonWatch *endwatch.Watch
+	PoisonWatch *poisonwatch.Watch
 	// Key is used to compute the fingerprints of items.
 	Key     poison.Key
 	Options Options
@@ -135,7 +135,7 @@
 	// Restarted is set if the deployment had started before this process did.
 	Restarted bool
 	// Budget bounds the memory that the worker uses for jobs; nil sets no bound.
-	Budget *heldbytes.NodeBudget
+	Budget *memorybudget.NodeBudget
 	// MirrorJournal also stores the output of other workers' items on this node's disk; nil stores it in memory only.
 	MirrorJournal *progress.Journal
 	// Registry is notified when a worker is emptied.
@@ -234,7 +234,7 @@
 
 // runnerGauge is a runner's gauge, the time of the last poll of its report, and its shortage of slots.
 type runnerGauge struct {
-	gauge  batchroom.Gauge
+	gauge  batchcapacity.Gauge
 	polled time.Time
 	short  shortage
 }
@@ -265,7 +265,7 @@
 	parent.Go(w.borrowLoop)
 	parent.Go(w.retireLoop)
 	// Jobs on the disk are counted before the first request for capacity is answered.
-	w.RecordAccountReport(&queueroom.Report{Kept: w.handoffJobs()})
+	w.RecordAccountReport(&queuecapacity.Report{Kept: w.handoffJobs()})
 	if w.Accounts != nil {
 		parent.Go(w.accountLoop)
 	}
--- a/internal/jobworker/worker_test.go
+++ b/internal/jobworker/worker_test.go
@@ -17,12 +17,12 @@
 
 	"mallowlatch.example/mallowlatch/internal/connpool"
 	"mallowlatch.example/mallowlatch/internal/demand"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/jobrecord"
 	"mallowlatch.example/mallowlatch/internal/jobworker"
 	"mallowlatch.example/mallowlatch/internal/kv"
 	"mallowlatch.example/mallowlatch/internal/kv/kvtest"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/routetable"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -119,7 +119,7 @@
 	tables  map[ident.Node]*runnertable.Table
 	tombs   map[ident.Node]*tomb.Tomb
 	// budget bounds the memory of each worker, if it is set; logger receives their log lines.
-	budget *heldbytes.NodeBudget
+	budget *memorybudget.NodeBudget
 	logger zerolog.Logger
 	// suspended is for how long the workers' machines were suspended: real time is ahead by that, their timers are not.
 	suspended atomic.Int64
--- a/internal/heldbytes/budget.go
+++ b/internal/memorybudget/budget.go
@@ -1,7 +1,7 @@
-// Package heldbytes accounts for the memory that a node uses for buffered data: bodies of requests and jobs, results and answers. It
+// Package memorybudget accounts for the memory that a node uses for buffered data: bodies of requests and jobs, results and answers. It
 // refuses a reservation at once if it would exceed a limit, so that a node does not run out of memory and no single tenant or connection
 // uses the whole budget. The package does no I/O.
-package heldbytes
+package memorybudget
 
 import (
 	"fmt"
--- a/internal/heldbytes/budget_test.go
+++ b/internal/memorybudget/budget_test.go
@@ -1,4 +1,4 @@
-package heldbytes_test
+package memorybudget_test
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 )
 
 const (
@@ -21,15 +21,17 @@
 )
 
 type (
-	budget      = heldbytes.Budget[string, int]
-	reservation = heldbytes.Reservation[string, int]
-	owner       = heldbytes.Owner[string, int]
+	budget      = memorybudget.Budget[string, int]
+	reservation = memorybudget.Reservation[string, int]
+	owner       = memorybudget.Owner[string, int]
 )
 
-func newBudget(memory int64) *budget { return heldbytes.New[string, int](heldbytes.LimitsOf(memory)) }
+func newBudget(memory int64) *budget {
+	return memorybudget.New[string, int](memorybudget.LimitsOf(memory))
+}
 
 // mustReserve reserves bytes and fails the test if they are refused.
-func mustReserve(t *testing.T, of *budget, kind heldbytes.Kind, whose owner, bytes int64) *reservation {
+func mustReserve(t *testing.T, of *budget, kind memorybudget.Kind, whose owner, bytes int64) *reservation {
 	t.Helper()
 	made, err := of.Reserve(kind, whose, bytes)
 	assert.NilError(t, err)
@@ -43,13 +45,13 @@
 	held := newBudget(smallFront)
 	taken := 0
 	for connection := range 100 {
-		if _, err := held.Reserve(heldbytes.Submission, owner{Connection: connection + 1}, itemsBody); err == nil {
+		if _, err := held.Reserve(memorybudget.Submission, owner{Connection: connection + 1}, itemsBody); err == nil {
 			taken++
 		}
 	}
 	assert.Assert(t, taken > 10 && taken < 100, "%d jobs were taken", taken)
 	for request := range 1435 {
-		mustReserve(t, held, heldbytes.Request, owner{Connection: 1000 + request}, 4*kilobyte)
+		mustReserve(t, held, memorybudget.Request, owner{Connection: 1000 + request}, 4*kilobyte)
 	}
 	tally := held.TakeTally()
 	assert.Equal(t, tally.TotalRefused(), 100-taken)
@@ -60,14 +62,14 @@
 func TestAnswersFitBesideRequests(t *testing.T) {
 	held := newBudget(smallFront)
 	for connection := 1; ; connection++ {
-		if _, err := held.Reserve(heldbytes.Request, owner{Connection: connection}, megabyte); err != nil {
-			assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
+		if _, err := held.Reserve(memorybudget.Request, owner{Connection: connection}, megabyte); err != nil {
+			assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
 			break
 		}
 	}
 	answers := int64(0)
 	for connection := 1; ; connection++ {
-		if _, err := held.Reserve(heldbytes.Answer, owner{Connection: connection}, 64*kilobyte); err != nil {
+		if _, err := held.Reserve(memorybudget.Answer, owner{Connection: connection}, 64*kilobyte); err != nil {
 			break
 		}
 		answers += 64 * kilobyte
@@ -81,12 +83,12 @@
 	held := newBudget(smallFront)
 	hot := 0
 	for ; ; hot++ {
-		if _, err := held.Reserve(heldbytes.Request, owner{Tenant: "hot", Connection: hot + 1}, 64*kilobyte); err != nil {
+		if _, err := held.Reserve(memorybudget.Request, owner{Tenant: "hot", Connection: hot + 1}, 64*kilobyte); err != nil {
 			break
 		}
 	}
 	for other := range hot / 2 {
-		mustReserve(t, held, heldbytes.Request, owner{Tenant: "other", Connection: -1 - other}, 60*kilobyte)
+		mustReserve(t, held, memorybudget.Request, owner{Tenant: "other", Connection: -1 - other}, 60*kilobyte)
 	}
 }
 
@@ -94,21 +96,21 @@
 // left for other connections.
 func TestOneConnectionLeavesSpaceForOthers(t *testing.T) {
 	held := newBudget(smallFront)
-	one := mustReserve(t, held, heldbytes.Request, owner{Connection: 1}, 4*megabyte)
+	one := mustReserve(t, held, memorybudget.Request, owner{Connection: 1}, 4*megabyte)
 	for one.Grow(megabyte) == nil {
 	}
-	mustReserve(t, held, heldbytes.Request, owner{Connection: 2}, 4*megabyte)
-	mustReserve(t, held, heldbytes.Request, owner{Connection: 3}, 4*megabyte)
+	mustReserve(t, held, memorybudget.Request, owner{Connection: 2}, 4*megabyte)
+	mustReserve(t, held, memorybudget.Request, owner{Connection: 3}, 4*megabyte)
 }
 
 func TestReservationIsReleasedOnce(t *testing.T) {
 	held := newBudget(smallFront)
-	first := mustReserve(t, held, heldbytes.Request, owner{Tenant: "a", Connection: 1}, 1000)
-	second := mustReserve(t, held, heldbytes.Request, owner{Tenant: "a", Connection: 2}, 10)
+	first := mustReserve(t, held, memorybudget.Request, owner{Tenant: "a", Connection: 1}, 1000)
+	second := mustReserve(t, held, memorybudget.Request, owner{Tenant: "a", Connection: 2}, 10)
 	first.Release()
 	first.Release()
 	first.Shrink(5)
-	assert.ErrorIs(t, first.Grow(1), heldbytes.ErrBudgetExceeded)
+	assert.ErrorIs(t, first.Grow(1), memorybudget.ErrBudgetExceeded)
 	assert.Equal(t, held.TakeTally().Held, int64(10))
 	second.Shrink(20)
 	assert.Equal(t, held.TakeTally().Held, int64(0))
@@ -117,18 +119,18 @@
 // TestLoweredLimitsRefuseUntilReservationsFit lowers the limits below the current total, as when settings are reloaded with less memory.
 func TestLoweredLimitsRefuseUntilReservationsFit(t *testing.T) {
 	held := newBudget(smallFront)
-	large := mustReserve(t, held, heldbytes.Request, owner{Connection: 1}, 4*megabyte)
-	held.SetLimits(heldbytes.LimitsOf(megabyte))
-	_, err := held.Reserve(heldbytes.Request, owner{Connection: 2}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
+	large := mustReserve(t, held, memorybudget.Request, owner{Connection: 1}, 4*megabyte)
+	held.SetLimits(memorybudget.LimitsOf(megabyte))
+	_, err := held.Reserve(memorybudget.Request, owner{Connection: 2}, 1)
+	assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
 	large.Release()
-	mustReserve(t, held, heldbytes.Request, owner{Connection: 2}, 1)
+	mustReserve(t, held, memorybudget.Request, owner{Connection: 2}, 1)
 }
 
 // TestNilBudgetRefusesNothing uses the nil budget of a node whose settings set no limit.
 func TestNilBudgetRefusesNothing(t *testing.T) {
 	var none *budget
-	made, err := none.Reserve(heldbytes.Request, owner{}, 1<<60)
+	made, err := none.Reserve(memorybudget.Request, owner{}, 1<<60)
 	assert.NilError(t, err)
 	assert.NilError(t, made.Grow(1<<60))
 	made.Shrink(1)
@@ -142,7 +144,7 @@
 }
 
 type modelReservation struct {
-	kind     heldbytes.Kind
+	kind     memorybudget.Kind
 	whose    owner
 	bytes    int64
 	released bool
@@ -160,7 +162,7 @@
 }
 
 // allows reports whether the limits admit more bytes for an owner.
-func (m *model) allows(limits heldbytes.Limits, kind heldbytes.Kind, whose owner, bytes int64) bool {
+func (m *model) allows(limits memorybudget.Limits, kind memorybudget.Kind, whose owner, bytes int64) bool {
 	all := m.sum(func(owner) bool { return true })
 	tenant := m.sum(func(other owner) bool { return other.Tenant == whose.Tenant })
 	connection := m.sum(func(other owner) bool { return other.Connection == whose.Connection })
@@ -172,13 +174,13 @@
 // admit exactly what its limits allow, and its total must be the sum of the reservations after each step.
 func TestRandomReservationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := heldbytes.LimitsOf(rapid.Int64Range(100, 10_000).Draw(t, "memory"))
-		held := heldbytes.New[string, int](limits)
+		limits := memorybudget.LimitsOf(rapid.Int64Range(100, 10_000).Draw(t, "memory"))
+		held := memorybudget.New[string, int](limits)
 		reference := &model{made: map[*reservation]*modelReservation{}}
 		var order []*reservation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			bytes := rapid.Int64Range(0, 600).Draw(t, "bytes")
-			kind := heldbytes.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
+			kind := memorybudget.Kind(rapid.IntRange(0, 3).Draw(t, "kind"))
 			step := rapid.IntRange(0, 3).Draw(t, "step")
 			if step == 0 || len(order) == 0 {
 				whose := owner{Tenant: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant"), Connection: rapid.IntRange(0, 3).Draw(t, "connection")}
@@ -201,14 +203,14 @@
 }
 
 // changeRandom grows, shrinks or releases a random reservation.
-func changeRandom(t *rapid.T, limits heldbytes.Limits, reference *model, order []*reservation, step int, bytes int64) {
+func changeRandom(t *rapid.T, limits memorybudget.Limits, reference *model, order []*reservation, step int, bytes int64) {
 	chosen := rapid.SampledFrom(order).Draw(t, "reservation")
 	one := reference.made[chosen]
 	switch step {
 	case 1:
 		fits := !one.released && reference.allows(limits, one.kind, one.whose, bytes)
 		err := chosen.Grow(bytes)
-		if fits != (err == nil) || (err != nil && !errors.Is(err, heldbytes.ErrBudgetExceeded)) {
+		if fits != (err == nil) || (err != nil && !errors.Is(err, memorybudget.ErrBudgetExceeded)) {
 			t.Fatalf("growing %v by %d: fits %v, %v", one, bytes, fits, err)
 		}
 		if err == nil {
@@ -230,7 +232,7 @@
 	for connection := range 16 {
 		running.Go(func() {
 			for range 500 {
-				made, err := held.Reserve(heldbytes.Request, owner{Tenant: "t", Connection: connection + 1}, 4*kilobyte)
+				made, err := held.Reserve(memorybudget.Request, owner{Tenant: "t", Connection: connection + 1}, 4*kilobyte)
 				if err != nil {
 					continue
 				}
@@ -250,17 +252,17 @@
 // into three quarters of its budget. A job that exceeds the budget of any worker must be admitted if it is the only one.
 func TestOnlyJobIsAdmittedWhateverItsSize(t *testing.T) {
 	held := newBudget(smallFront)
-	first := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 100*megabyte)
-	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "b"}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
+	first := mustReserve(t, held, memorybudget.Job, owner{Tenant: "a"}, 100*megabyte)
+	_, err := held.Reserve(memorybudget.Job, owner{Tenant: "b"}, 1)
+	assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
 	first.Release()
 	taken := 0
 	for ; ; taken++ {
-		if _, err = held.Reserve(heldbytes.Job, owner{}, 8*megabyte*3/4); err != nil {
+		if _, err = held.Reserve(memorybudget.Job, owner{}, 8*megabyte*3/4); err != nil {
 			break
 		}
 	}
-	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
+	assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
 	assert.Assert(t, taken >= 2, "%d jobs were taken", taken)
 	assert.Assert(t, held.TakeTally().Peak >= 100*megabyte)
 	assert.Assert(t, held.TakeTally().Held <= smallFront/5*3/4)
@@ -270,25 +272,25 @@
 // tenant's limit must wrap ErrShare.
 func TestTenantLimitIsDistinguishedFromTotal(t *testing.T) {
 	held := newBudget(smallFront)
-	mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, 12*megabyte)
-	_, err := held.Reserve(heldbytes.Job, owner{Tenant: "a"}, 6*megabyte)
-	assert.ErrorIs(t, err, heldbytes.ErrOwnerLimit)
-	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
-	mustReserve(t, held, heldbytes.Job, owner{Tenant: "b"}, 6*megabyte)
-	_, err = held.Reserve(heldbytes.Job, owner{Tenant: "c"}, 6*megabyte)
-	assert.Assert(t, errors.Is(err, heldbytes.ErrBudgetExceeded) && !errors.Is(err, heldbytes.ErrOwnerLimit), err)
+	mustReserve(t, held, memorybudget.Job, owner{Tenant: "a"}, 12*megabyte)
+	_, err := held.Reserve(memorybudget.Job, owner{Tenant: "a"}, 6*megabyte)
+	assert.ErrorIs(t, err, memorybudget.ErrOwnerLimit)
+	assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
+	mustReserve(t, held, memorybudget.Job, owner{Tenant: "b"}, 6*megabyte)
+	_, err = held.Reserve(memorybudget.Job, owner{Tenant: "c"}, 6*megabyte)
+	assert.Assert(t, errors.Is(err, memorybudget.ErrBudgetExceeded) && !errors.Is(err, memorybudget.ErrOwnerLimit), err)
 }
 
 // TestOutputOfJobsIsCountedBeyondTheLimits has the output of a job exceed the budget: it must be counted, because the memory is in use.
 func TestOutputOfJobsIsCountedBeyondTheLimits(t *testing.T) {
 	held := newBudget(smallFront)
-	job := mustReserve(t, held, heldbytes.Job, owner{Tenant: "a"}, megabyte)
+	job := mustReserve(t, held, memorybudget.Job, owner{Tenant: "a"}, megabyte)
 	job.Set(smallFront)
-	assert.Assert(t, held.Exceeds(heldbytes.Job) && held.Exceeds(heldbytes.Kept))
-	_, err := held.Reserve(heldbytes.Kept, owner{}, 1)
-	assert.ErrorIs(t, err, heldbytes.ErrBudgetExceeded)
+	assert.Assert(t, held.Exceeds(memorybudget.Job) && held.Exceeds(memorybudget.Kept))
+	_, err := held.Reserve(memorybudget.Kept, owner{}, 1)
+	assert.ErrorIs(t, err, memorybudget.ErrBudgetExceeded)
 	job.Set(kilobyte)
-	assert.Assert(t, !held.Exceeds(heldbytes.Kept))
+	assert.Assert(t, !held.Exceeds(memorybudget.Kept))
 	job.Release()
 	job.Set(megabyte)
 	now, all := held.Load()
--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -5,21 +5,21 @@
 	"math/rand/v2"
 
 	"mallowlatch.example/mallowlatch/internal/failure"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 )
 
 // OutOfMemory returns the error for a request that exceeds the node's free memory. The request has not run.
 func OutOfMemory(err error) *failure.Error {
 	return failure.New(failure.CodeOverloaded, "the node holds as much as it can").WithCause(err).
-		WithRetryAfter(heldbytes.RetryAfter(rand.Float64()))
+		WithRetryAfter(memorybudget.RetryAfter(rand.Float64()))
 }
 
 // initialBodyBuffer is the size of the first buffer, in bytes, for a body of unknown length.
 const initialBodyBuffer = 8 << 10
 
 // ReadBody reads a whole body. The given length, zero if unknown, is reserved already; each growth of the buffer is reserved
-// before it is allocated. The error wraps heldbytes.ErrOver if a reservation fails.
-func ReadBody(source io.Reader, held *heldbytes.Held, length int64) ([]byte, error) {
+// before it is allocated. The error wraps memorybudget.ErrOver if a reservation fails.
+func ReadBody(source io.Reader, held *memorybudget.Held, length int64) ([]byte, error) {
 	// One extra byte lets the read of EOF succeed without growing the buffer.
 	body := make([]byte, 0, length+1)
 	for {
--- a/internal/online/bufferedstream.go
+++ b/internal/online/bufferedstream.go
@@ -10,7 +10,7 @@
 
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/eventstream"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 )
 
 const (
@@ -60,7 +60,7 @@
 	events []eventstream.Event
 	// bytes is the total size of the buffered events, for which the reservation holds memory.
 	bytes       int64
-	reservation *heldbytes.Held
+	reservation *memorybudget.Held
 	// endError is why the reading ended; io.EOF at the end of the answer.
 	endError error
 }
@@ -190,7 +190,7 @@
 	s.slot.unreadFor = s.slot.now().Sub(s.lastRead)
 	// The writer still uses the bytes of the last event.
 	s.reader.Keep()
-	s.reservation = s.exchange.forwarder.MemoryBudget.Open(heldbytes.Answer, s.exchange.memoryOwner())
+	s.reservation = s.exchange.forwarder.MemoryBudget.Open(memorybudget.Answer, s.exchange.memoryOwner())
 	for {
 		next, err := s.read(false)
 		if err == nil {
--- a/internal/online/bufferedstream_test.go
+++ b/internal/online/bufferedstream_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/online"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/simulated"
@@ -145,7 +145,7 @@
 type slowCallerSite struct {
 	forwarder *online.Forwarder
 	caller    *pacedCaller
-	held      *heldbytes.NodeBudget
+	held      *memorybudget.NodeBudget
 }
 
 func newSlowCallerSite(memory int64, events []string, pause func(int) time.Duration) *slowCallerSite {
@@ -153,7 +153,7 @@
 	table.Replace([]work.Runner{{ID: "1", Service: "s", Zone: "z", Slots: 4}}, time.Now(), true)
 	site := &slowCallerSite{
 		caller: &pacedCaller{events: events, pause: pause},
-		held:   heldbytes.New[ident.Tenant, string](heldbytes.LimitsOf(memory)),
+		held:   memorybudget.New[ident.Tenant, string](memorybudget.LimitsOf(memory)),
 	}
 	site.forwarder = &online.Forwarder{Runners: table, Caller: site.caller, MemoryBudget: site.held, Logger: zerolog.Nop(), Now: time.Now}
 	return site
--- a/internal/online/exchange.go
+++ b/internal/online/exchange.go
@@ -10,12 +10,12 @@
 	"mallowlatch.example/mallowlatch/internal/connpool"
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/failure"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/outcome"
 	"mallowlatch.example/mallowlatch/internal/poison"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -34,7 +34,7 @@
 	paused []ident.Incarnation
 	// queue is where the request waits for a slot, waiter its entry there.
 	queue  *queue
-	waiter *waitline.Waiter
+	waiter *waitqueue.Waiter
 	// runs counts the attempts that a runner may have executed.
 	runs int
 	// headSent is set once the head was sent to the caller. After that an error can only be signalled by breaking the answer
@@ -214,7 +214,7 @@
 		e.recordCompleted()
 	}
 	// None of these is a fault of the runner.
-	if err == nil || errors.Is(err, errCallerGone) || errors.Is(err, heldbytes.ErrBudgetExceeded) {
+	if err == nil || errors.Is(err, errCallerGone) || errors.Is(err, memorybudget.ErrBudgetExceeded) {
 		return err
 	}
 	e.recordBroken(flight)
--- a/internal/online/fair.go
+++ b/internal/online/fair.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 	"mallowlatch.example/mallowlatch/internal/event"
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 const (
@@ -88,7 +88,7 @@
 // beginPick counts a slot for a request that is about to choose a runner, and reports whether the request yields. Requests
 // that choose at the same moment count each other, so that no more of them than allowed are treated as within their tenant's
 // bound. A call of slotTaken or cancelPick must follow.
-func (q *queue) beginPick(waiter *waitline.Waiter) (yields bool) {
+func (q *queue) beginPick(waiter *waitqueue.Waiter) (yields bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	yields = q.yields(waiter)
@@ -97,25 +97,25 @@
 }
 
 // cancelPick undoes beginPick for a request that got no slot.
-func (q *queue) cancelPick(waiter *waitline.Waiter) {
+func (q *queue) cancelPick(waiter *waitqueue.Waiter) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.tenantShares.Release(waiter.Tenant)
 }
 
 // recordSlotTaken records that a request was sent to a runner. The caller holds the mutex.
-func (q *queue) recordSlotTaken(waiter *waitline.Waiter) {
+func (q *queue) recordSlotTaken(waiter *waitqueue.Waiter) {
 	if waiter.Tenant == "" {
 		return
 	}
 	if q.unanswered == nil {
-		q.unanswered = map[*waitline.Waiter]time.Time{}
+		q.unanswered = map[*waitqueue.Waiter]time.Time{}
 	}
 	q.unanswered[waiter] = q.now()
 }
 
 // recordSlotReleased records that a request released its slot. The caller holds the mutex.
-func (q *queue) recordSlotReleased(waiter *waitline.Waiter) {
+func (q *queue) recordSlotReleased(waiter *waitqueue.Waiter) {
 	q.tenantShares.Release(waiter.Tenant)
 	delete(q.unanswered, waiter)
 }
@@ -141,11 +141,11 @@
 }
 
 // yields reports whether a request may only take slots that no other request wants. The caller holds the mutex.
-func (q *queue) yields(waiter *waitline.Waiter) bool {
+func (q *queue) yields(waiter *waitqueue.Waiter) bool {
 	return q.tenantShares.Yields(waiter.Tenant, waiter.Kind > q.mostUrgent, q.now())
 }
 
-func (q *queue) isYielding(waiter *waitline.Waiter) bool {
+func (q *queue) isYielding(waiter *waitqueue.Waiter) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.yields(waiter)
@@ -159,7 +159,7 @@
 }
 
 // slotUnused records that a request released a slot without using it.
-func (q *queue) slotUnused(waiter *waitline.Waiter) {
+func (q *queue) slotUnused(waiter *waitqueue.Waiter) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.pending.FreedUnused()
@@ -177,7 +177,7 @@
 }
 
 // recordHeldBack counts a rejected request if it yields.
-func (q *queue) recordHeldBack(waiter *waitline.Waiter) {
+func (q *queue) recordHeldBack(waiter *waitqueue.Waiter) {
 	if !q.isYielding(waiter) {
 		return
 	}
@@ -195,7 +195,7 @@
 // yieldingRetryDelay returns when the caller of a rejected request that yields may retry: once the slots expected to become
 // free have served those rejected before it, limited to the delay that the caller is expected to honour. The caller holds the
 // mutex.
-func (q *queue) yieldingRetryDelay(waiter *waitline.Waiter) time.Duration {
+func (q *queue) yieldingRetryDelay(waiter *waitqueue.Waiter) time.Duration {
 	now := q.now()
 	q.heldBack.retryTimes = slices.DeleteFunc(q.heldBack.retryTimes, now.After)
 	honoured := time.Duration(honouredFraction * float64(waiter.Latest.Sub(now)))
@@ -219,7 +219,7 @@
 	}
 }
 
-func (q *queue) recordOnTime(waiter *waitline.Waiter, onTime bool) {
+func (q *queue) recordOnTime(waiter *waitqueue.Waiter, onTime bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	delete(q.unanswered, waiter)
--- a/internal/online/forwarder.go
+++ b/internal/online/forwarder.go
@@ -16,12 +16,12 @@
 
 	"mallowlatch.example/mallowlatch/internal/clock"
 	"mallowlatch.example/mallowlatch/internal/connpool"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/failure"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
 	"mallowlatch.example/mallowlatch/internal/ident"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/outcome"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
@@ -55,9 +55,9 @@
 	Runners *runnertable.Table
 	Caller  work.Caller
 	// PoisonWatch identifies requests that end the runners that run them; if nil, no request is refused for that.
-	PoisonWatch *endwatch.Watch
+	PoisonWatch *poisonwatch.Watch
 	// MemoryBudget limits the memory that the node uses on behalf of callers; nil sets no limit.
-	MemoryBudget *heldbytes.NodeBudget
+	MemoryBudget *memorybudget.NodeBudget
 	// Key is the key of request fingerprints.
 	Key    poison.Key
 	Logger zerolog.Logger
--- a/internal/online/poison_test.go
+++ b/internal/online/poison_test.go
@@ -12,12 +12,12 @@
 	"gopkg.in/tomb.v2"
 	"gotest.tools/v3/assert"
 
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/failure"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/online"
 	"mallowlatch.example/mallowlatch/internal/outcome"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
@@ -31,7 +31,7 @@
 // newWatchedRequest returns a request under which some runners have ended.
 func newWatchedRequest(forwarder *online.Forwarder, caller work.Caller, ends int) *watchedRequest {
 	forwarder.Key = poison.Key("k")
-	forwarder.PoisonWatch = &endwatch.Watch{
+	forwarder.PoisonWatch = &poisonwatch.Watch{
 		Book: poison.NewBook(1), Runners: forwarder.Runners, Caller: caller, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
 	}
 	w := &watchedRequest{forwarder: forwarder, request: &work.Request{
--- a/internal/online/queue.go
+++ b/internal/online/queue.go
@@ -16,7 +16,7 @@
 	"mallowlatch.example/mallowlatch/internal/fairshare"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -46,11 +46,11 @@
 	notifyOwners func()
 
 	mutex   sync.Mutex
-	pending waitline.Queue
+	pending waitqueue.Queue
 	// memoryWaiters are the requests that ran already and wait for a runner with free memory.
 	memoryWaiters []chan struct{}
 	// woken contains the channel that is closed to wake each waiting request.
-	woken map[*waitline.Waiter]chan struct{}
+	woken map[*waitqueue.Waiter]chan struct{}
 	// checkScheduled is set while the timer runs.
 	checkScheduled bool
 	// meanFirstEvent is the mean time from the sending of a request to its first event.
@@ -62,7 +62,7 @@
 	tenantShares fairshare.LocalUsage
 	heldBack     heldBackStats
 	// unanswered contains when requests of tenants were sent to runners whose answers have not begun.
-	unanswered map[*waitline.Waiter]time.Time
+	unanswered map[*waitqueue.Waiter]time.Time
 	// answerCounts counts the answers that began on time and late, by tenant, since the last log line.
 	answerCounts map[ident.Tenant][2]int
 	// extraYielding is how many requests that yield may still take slots that other nodes freed, until the next check.
@@ -74,7 +74,7 @@
 
 // waiter returns the queue entry of a request, given the time until which its answer is on time, and the time until which
 // it is of any use.
-func (q *queue) waiter(request *work.Request, route *work.Route, onTime, latest time.Time) *waitline.Waiter {
+func (q *queue) waiter(request *work.Request, route *work.Route, onTime, latest time.Time) *waitqueue.Waiter {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	kind := route.Priority
@@ -83,14 +83,14 @@
 	if latest.Before(onTime) {
 		onTime = latest
 	}
-	return &waitline.Waiter{
+	return &waitqueue.Waiter{
 		Tenant: request.Tenant, Rank: request.Rank, Kind: kind, OnTime: onTime.Add(-q.meanFirstEvent), Latest: latest.Add(-q.meanFirstEvent),
 	}
 }
 
 // slotTaken records that a request got a slot after beginPick, and wakes the next one, since more slots may be free. vacant
 // says that the slot was vacated by a caller that was cut off, waited that the request waited in the queue.
-func (q *queue) slotTaken(waiter *waitline.Waiter, runner ident.Incarnation, vacant, waited bool) {
+func (q *queue) slotTaken(waiter *waitqueue.Waiter, runner ident.Incarnation, vacant, waited bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.pending.SlotTaken()
@@ -110,7 +110,7 @@
 }
 
 // slotFreed records that a request released its slot after a time, and wakes the next one.
-func (q *queue) slotFreed(waiter *waitline.Waiter, after time.Duration) {
+func (q *queue) slotFreed(waiter *waitqueue.Waiter, after time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.now()
@@ -132,7 +132,7 @@
 	q.logHeldBack()
 	q.logLate()
 	tally, waitFactor := q.pending.Tally()
-	if tally == (waitline.Tally{}) {
+	if tally == (waitqueue.Tally{}) {
 		return
 	}
 	event.PlacesShort.Log(q.logger).Str("service", q.service).Int("waited", tally.Waited).Int("turned_away", tally.Rejected).
@@ -150,7 +150,7 @@
 }
 
 // mustWait reports whether there are waiting requests that a new one must not pass.
-func (q *queue) mustWait(waiter *waitline.Waiter) bool {
+func (q *queue) mustWait(waiter *waitqueue.Waiter) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.pending.MustWait(waiter)
@@ -158,7 +158,7 @@
 
 // wait returns nil when a request should try to get a slot. The error wraps errNoSlotInTime if it would not get one in time.
 // If again is set, the request waited before and found no slot, and is put at the head of the queue.
-func (q *queue) wait(ctx context.Context, waiter *waitline.Waiter, again bool) error {
+func (q *queue) wait(ctx context.Context, waiter *waitqueue.Waiter, again bool) error {
 	woken := q.enqueue(waiter, again)
 	if woken == nil {
 		return errNoSlotInTime
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (q *queue) enqueue(waiter *waitline.Waiter, again bool) <-chan struct{} {
+func (q *queue) enqueue(waiter *waitqueue.Waiter, again bool) <-chan struct{} {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.now()
@@ -196,14 +196,14 @@
 }
 
 // join adds a request to the queue and returns true, unless it would not get a slot in time. The caller holds the mutex.
-func (q *queue) join(waiter *waitline.Waiter, rationed bool, now time.Time) bool {
+func (q *queue) join(waiter *waitqueue.Waiter, rationed bool, now time.Time) bool {
 	if rationed {
 		return q.pending.JoinRationed(waiter, now)
 	}
 	return q.pending.Join(waiter, now)
 }
 
-func (q *queue) leave(waiter *waitline.Waiter) {
+func (q *queue) leave(waiter *waitqueue.Waiter) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if _, waits := q.woken[waiter]; !waits {
@@ -260,7 +260,7 @@
 
 // retryDelay returns when the caller of a rejected request may retry: once all requests that wait now are expected to have a
 // slot. The delay is randomised over up to twice that time, so that callers rejected together do not return as another burst.
-func (q *queue) retryDelay(waiter *waitline.Waiter) time.Duration {
+func (q *queue) retryDelay(waiter *waitqueue.Waiter) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.yields(waiter) {
@@ -331,7 +331,7 @@
 	found := f.queues.byName[service]
 	if found == nil {
 		found = &queue{
-			service: service, now: f.Now, logger: f.Logger, woken: map[*waitline.Waiter]chan struct{}{}, lastLogged: f.Now(), mostUrgent: math.MaxInt,
+			service: service, now: f.Now, logger: f.Logger, woken: map[*waitqueue.Waiter]chan struct{}{}, lastLogged: f.Now(), mostUrgent: math.MaxInt,
 			freeSlots: func() int { return f.Runners.Free(service, f.Now()) }, slowCallers: newSlowCallers(),
 			rationed: func() bool { return f.Runners.IsRationed(service, f.Now()) }, notifyOwners: f.RequestSlots,
 		}
--- a/internal/online/relay.go
+++ b/internal/online/relay.go
@@ -9,7 +9,7 @@
 
 	"mallowlatch.example/mallowlatch/internal/eventstream"
 	"mallowlatch.example/mallowlatch/internal/failure"
-	"mallowlatch.example/mallowlatch/internal/heldbytes"
+	"mallowlatch.example/mallowlatch/internal/memorybudget"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
@@ -38,9 +38,9 @@
 }
 
 // relayBody relays an answer that is not a stream. The whole body is read before the head is sent, so that a truncated body is
-// never taken for a complete one. The error wraps heldbytes.ErrOver if the node lacks the memory for it.
+// never taken for a complete one. The error wraps memorybudget.ErrOver if the node lacks the memory for it.
 func (e *exchange) relayBody(flight *runnertable.Flight, reply *work.Reply) error {
-	held, err := e.forwarder.MemoryBudget.Reserve(heldbytes.Answer, e.memoryOwner(), min(max(reply.Length, 0), maximumBodyBytes))
+	held, err := e.forwarder.MemoryBudget.Reserve(memorybudget.Answer, e.memoryOwner(), min(max(reply.Length, 0), maximumBodyBytes))
 	if err != nil {
 		return fmt.Errorf("reserving memory for the runner's answer: %w", err)
 	}
@@ -67,8 +67,8 @@
 const maximumBodyBytes = 8 << 20
 
 // memoryOwner returns the owner to whom the memory for the request and its answer is charged.
-func (e *exchange) memoryOwner() heldbytes.Whose {
-	return heldbytes.Whose{Tenant: e.request.Tenant, Connection: e.request.Connection}
+func (e *exchange) memoryOwner() memorybudget.Whose {
+	return memorybudget.Whose{Tenant: e.request.Tenant, Connection: e.request.Connection}
 }
 
 // relayEvents relays whole events. The head is sent with the first event: until then another runner can still be asked from
--- a/internal/online/slot.go
+++ b/internal/online/slot.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/runnertable"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 // slot is the runner slot that one attempt uses. It is released once: when the runner's answer is read whole, even if its
@@ -14,7 +14,7 @@
 type slot struct {
 	flight *runnertable.Flight
 	queue  *queue
-	waiter *waitline.Waiter
+	waiter *waitqueue.Waiter
 	now    func() time.Time
 	// sent is when the attempt was sent.
 	sent time.Time
--- a/internal/online/slowcallers.go
+++ b/internal/online/slowcallers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 // maxBlockedFraction of the shortest objective is the total time for which a caller may block its runner while other requests
@@ -103,7 +103,7 @@
 
 // slotVacated records that a caller was cut off, and wakes the first waiting request to take its slot at the runner. The time
 // for which the caller used the slot is not counted as a run.
-func (q *queue) slotVacated(waiter *waitline.Waiter, runner ident.Incarnation) {
+func (q *queue) slotVacated(waiter *waitqueue.Waiter, runner ident.Incarnation) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.slowCallers.vacant = append(q.slowCallers.vacant, vacancy{runner: runner, until: q.now().Add(vacancyTTL)})
--- a/internal/online/storm_test.go
+++ b/internal/online/storm_test.go
@@ -16,11 +16,11 @@
 	"gotest.tools/v3/assert"
 
 	"mallowlatch.example/mallowlatch/internal/connpool"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/failure"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/online"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -203,7 +203,7 @@
 			table := runnertable.New("z")
 			node := &online.Forwarder{Runners: table, Caller: site, Key: poison.Key("k"), Logger: zerolog.Nop(), Now: time.Now}
 			if watched {
-				node.PoisonWatch = &endwatch.Watch{
+				node.PoisonWatch = &poisonwatch.Watch{
 					Book: poison.NewBook(int64(index + 1)), Runners: table, Caller: site, Tomb: supervisor, Logger: zerolog.Nop(), Now: time.Now,
 				}
 			}
--- a/internal/orphans/load_test.go
+++ b/internal/orphans/load_test.go
@@ -16,7 +16,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/orphans"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -77,7 +77,7 @@
 // request is a request of the model.
 type request struct {
 	arrivedAt time.Duration
-	waiter    *waitline.Waiter
+	waiter    *waitqueue.Waiter
 	flight    *runnertable.Flight
 	front     *front
 	answered  time.Duration
@@ -88,8 +88,8 @@
 type front struct {
 	node     ident.Node
 	table    *runnertable.Table
-	queue    waitline.Queue
-	requests map[*waitline.Waiter]*request
+	queue    waitqueue.Queue
+	requests map[*waitqueue.Waiter]*request
 	// reported is the state reported to each owner; reportAt is when owners that lack an update are called.
 	reported [owners]reported
 	reportAt time.Duration
@@ -145,7 +145,7 @@
 	m.addLeftRuns(p.leftOnline, requestDuration)
 	for index := range p.fronts {
 		f := &front{
-			node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitline.Waiter]*request{},
+			node: ident.Node(fmt.Sprintf("f-%02d", index)), table: runnertable.New("z"), requests: map[*waitqueue.Waiter]*request{},
 			reportAt: time.Duration(m.random.Int64N(int64(demand.RefreshInterval))),
 		}
 		for index := range f.reported {
@@ -237,7 +237,7 @@
 func (m *model) arrive(f *front) {
 	req := &request{arrivedAt: m.now, front: f}
 	m.all = append(m.all, req)
-	req.waiter = &waitline.Waiter{
+	req.waiter = &waitqueue.Waiter{
 		OnTime: m.moment().Add(objective - firstEvent), Latest: m.moment().Add(callerTimeout - firstEvent),
 	}
 	if f.queue.Len() == 0 && m.pick(f, req) {
--- a/internal/endwatch/persist.go
+++ b/internal/poisonwatch/persist.go
@@ -1,4 +1,4 @@
-package endwatch
+package poisonwatch
 
 import (
 	"encoding/json"
--- a/internal/endwatch/watch.go
+++ b/internal/poisonwatch/watch.go
@@ -1,8 +1,8 @@
-// Package endwatch finds out whether a runner ended when its answers broke off, and which requests it was running. This
+// Package poisonwatch finds out whether a runner ended when its answers broke off, and which requests it was running. This
 // distinguishes requests that end their runners from requests whose connections were reset or went silent while their
 // runners are alive or left as planned. It passes the ends to a book of records, stores these records on disk, and says
 // which requests are refused because of them.
-package endwatch
+package poisonwatch
 
 import (
 	"context"
--- a/internal/endwatch/watch_test.go
+++ b/internal/poisonwatch/watch_test.go
@@ -1,4 +1,4 @@
-package endwatch_test
+package poisonwatch_test
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"gotest.tools/v3/assert"
 
 	"mallowlatch.example/mallowlatch/internal/connpool"
-	"mallowlatch.example/mallowlatch/internal/endwatch"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/poison"
+	"mallowlatch.example/mallowlatch/internal/poisonwatch"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
 	"mallowlatch.example/mallowlatch/internal/simulated"
 	"mallowlatch.example/mallowlatch/internal/work"
@@ -46,11 +46,11 @@
 
 var broken = work.Runner{ID: "r", Service: "s", Zone: "z"}
 
-func newWatch(t *testing.T, answers ...error) (*endwatch.Watch, *fakeCaller) {
+func newWatch(t *testing.T, answers ...error) (*poisonwatch.Watch, *fakeCaller) {
 	table := runnertable.New("z")
 	table.Replace([]work.Runner{broken}, time.Now(), true)
 	probes := &fakeCaller{answers: answers}
-	watch := &endwatch.Watch{
+	watch := &poisonwatch.Watch{
 		Book: poison.NewBook(1), Runners: table, Caller: probes, Tomb: new(tomb.Tomb), Logger: zerolog.Nop(), Now: time.Now,
 	}
 	stop := make(chan struct{})
--- a/internal/queueroom/ledger.go
+++ b/internal/queuecapacity/ledger.go
@@ -1,4 +1,4 @@
-package queueroom
+package queuecapacity
 
 import (
 	"cmp"
--- a/internal/queueroom/queueroom.go
+++ b/internal/queuecapacity/queuecapacity.go
@@ -1,9 +1,9 @@
-// Package queueroom accounts for the tokens queued on a batch route, so that their bound holds whether jobs are accepted by
+// Package queuecapacity accounts for the tokens queued on a batch route, so that their bound holds whether jobs are accepted by
 // the metadata store or on the disks of workers. Several workers hold the account of each route. A node that accepts a job
 // reserves its tokens at a majority of them before anything is written, and combines their answers; any two majorities have an
 // account holder in common. The package also decides whether a job fits, estimates when a refused caller may retry, and ranks
 // the workers that hold an account. It makes no calls and reads no clock.
-package queueroom
+package queuecapacity
 
 import (
 	"mallowlatch.example/mallowlatch/internal/ident"
--- a/internal/reach/reach.go
+++ b/internal/reachability/reachability.go
@@ -1,7 +1,7 @@
-// Package reach detects that a node is partitioned from all others, as opposed to single calls that fail. A partitioned node
+// Package reachability detects that a node is partitioned from all others, as opposed to single calls that fail. A partitioned node
 // detects this shortly after the partition began, and can then refuse at once the requests that it cannot serve. Times are
 // arguments; the package makes no calls.
-package reach
+package reachability
 
 import (
 	"sync"
--- a/internal/reach/reach_test.go
+++ b/internal/reachability/reachability_test.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import (
 	"testing"
--- a/internal/runnertable/zoneload.go
+++ b/internal/runnertable/zoneload.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/zoneroom"
+	"mallowlatch.example/mallowlatch/internal/zonebalance"
 )
 
 const (
@@ -39,14 +39,14 @@
 
 // skips says whether a runner is excluded because its zone is unreachable.
 func (c pickContext) skips(candidate *entry) bool {
-	return c.skipUnreachable && c.zones[candidate.zoneIndex].state == zoneroom.Unreachable
+	return c.skipUnreachable && c.zones[candidate.zoneIndex].state == zonebalance.Unreachable
 }
 
 // zoneSummary is what a choice uses about one zone.
 type zoneSummary struct {
-	load zoneroom.ZoneLoad
+	load zonebalance.ZoneLoad
 	// state is the reachability of the zone; the node's own zone always counts as reachable.
-	state zoneroom.State
+	state zonebalance.State
 	// othersOnline and slots are the online work of other nodes and the slots at the runners there, weighted by the
 	// age of the reports.
 	othersOnline, slots float64
@@ -59,7 +59,7 @@
 func (t *Table) summarizeZones(request PickRequest, now time.Time) []zoneSummary {
 	zones := make([]zoneSummary, len(t.zones.names))
 	for index, zone := range t.zones.names {
-		zones[index] = zoneSummary{load: zoneroom.ZoneLoad{Zone: zone}, state: t.zoneState(zone, now)}
+		zones[index] = zoneSummary{load: zonebalance.ZoneLoad{Zone: zone}, state: t.zoneState(zone, now)}
 	}
 	entries := t.services[request.Service]
 	for _, known := range entries {
@@ -104,7 +104,7 @@
 // skipUnreachable says whether runners in unreachable zones are excluded: as long as a zone that is not unreachable
 // has an eligible runner, however loaded it is.
 func skipUnreachable(zones []zoneSummary) bool {
-	return slices.ContainsFunc(zones, func(summary zoneSummary) bool { return summary.eligible && summary.state != zoneroom.Unreachable })
+	return slices.ContainsFunc(zones, func(summary zoneSummary) bool { return summary.eligible && summary.state != zonebalance.Unreachable })
 }
 
 // targetZone returns the zone that a request should go to. The caller holds the mutex.
@@ -113,9 +113,9 @@
 	if request.Class != Online || own < 0 || len(zones) < 2 {
 		return t.zone
 	}
-	var others []zoneroom.ZoneLoad
+	var others []zonebalance.ZoneLoad
 	for index, summary := range zones {
-		if index != own && summary.state == zoneroom.Reachable && summary.load.Slots > 0 {
+		if index != own && summary.state == zonebalance.Reachable && summary.load.Slots > 0 {
 			others = append(others, summary.load)
 		}
 	}
@@ -123,11 +123,11 @@
 		return t.zone
 	}
 	if t.zones.spillovers == nil {
-		t.zones.spillovers = map[string]*zoneroom.Spillover{}
+		t.zones.spillovers = map[string]*zonebalance.Spillover{}
 	}
 	spillover := t.zones.spillovers[request.Service]
 	if spillover == nil {
-		spillover = &zoneroom.Spillover{}
+		spillover = &zonebalance.Spillover{}
 		t.zones.spillovers[request.Service] = spillover
 	}
 	return spillover.Choose(zones[own].load, others, transferCost(request), random.Float64())
--- a/internal/runnertable/zones.go
+++ b/internal/runnertable/zones.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/zoneroom"
+	"mallowlatch.example/mallowlatch/internal/zonebalance"
 )
 
 const (
@@ -28,11 +28,11 @@
 type zones struct {
 	// names holds the zones of all runners, sorted.
 	names        []ident.Zone
-	reachability map[ident.Zone]*zoneroom.Reachability
+	reachability map[ident.Zone]*zonebalance.Reachability
 	// spillovers are by service.
-	spillovers map[string]*zoneroom.Spillover
+	spillovers map[string]*zonebalance.Spillover
 	// reported is the state of each zone as last returned by ZoneChanges.
-	reported   map[ident.Zone]zoneroom.State
+	reported   map[ident.Zone]zonebalance.State
 	departures map[Departure]int
 }
 
@@ -79,12 +79,12 @@
 	defer t.mutex.Unlock()
 	var changes []ZoneChange
 	for zone := range t.zones.reachability {
-		if unreachable := t.zoneState(zone, now) == zoneroom.Unreachable; unreachable != (t.zones.reported[zone] == zoneroom.Unreachable) {
+		if unreachable := t.zoneState(zone, now) == zonebalance.Unreachable; unreachable != (t.zones.reported[zone] == zonebalance.Unreachable) {
 			changes = append(changes, ZoneChange{Zone: zone, Unreachable: unreachable})
 		}
 	}
 	if t.zones.reported == nil {
-		t.zones.reported = map[ident.Zone]zoneroom.State{}
+		t.zones.reported = map[ident.Zone]zonebalance.State{}
 	}
 	for _, change := range changes {
 		t.zones.reported[change.Zone] = t.zoneState(change.Zone, now)
@@ -121,12 +121,12 @@
 	t.reachabilityOf(zone).TimedOut(by, sent, now)
 }
 
-func (t *Table) reachabilityOf(zone ident.Zone) *zoneroom.Reachability {
+func (t *Table) reachabilityOf(zone ident.Zone) *zonebalance.Reachability {
 	known := t.zones.reachability[zone]
 	if known == nil {
-		known = &zoneroom.Reachability{}
+		known = &zonebalance.Reachability{}
 		if t.zones.reachability == nil {
-			t.zones.reachability = map[ident.Zone]*zoneroom.Reachability{}
+			t.zones.reachability = map[ident.Zone]*zonebalance.Reachability{}
 		}
 		t.zones.reachability[zone] = known
 	}
@@ -136,10 +136,10 @@
 // zoneState returns the reachability of a zone. If the node's own zone does not answer either, the node itself is
 // partitioned, which proves nothing about the other zones: their runners may still respond. The caller holds the
 // mutex.
-func (t *Table) zoneState(zone ident.Zone, now time.Time) zoneroom.State {
+func (t *Table) zoneState(zone ident.Zone, now time.Time) zonebalance.State {
 	known, own := t.zones.reachability[zone], t.zones.reachability[t.zone]
-	if known == nil || zone == t.zone || (own != nil && own.State(now) == zoneroom.Unreachable) {
-		return zoneroom.Reachable
+	if known == nil || zone == t.zone || (own != nil && own.State(now) == zonebalance.Unreachable) {
+		return zonebalance.Reachable
 	}
 	return known.State(now)
 }
@@ -162,7 +162,7 @@
 	if zone != pick.targetZone {
 		cost += transferCost(request)
 	}
-	if pick.zones[candidate.zoneIndex].state != zoneroom.Reachable {
+	if pick.zones[candidate.zoneIndex].state != zonebalance.Reachable {
 		cost += unresponsiveCost
 	}
 	if !candidate.share.Within(shareLifetime, now) {
--- a/internal/runnertable/zones_test.go
+++ b/internal/runnertable/zones_test.go
@@ -12,7 +12,7 @@
 	"mallowlatch.example/mallowlatch/internal/demand"
 	"mallowlatch.example/mallowlatch/internal/ident"
 	"mallowlatch.example/mallowlatch/internal/runnertable"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
@@ -46,10 +46,10 @@
 	table *runnertable.Table
 	// polled is when each worker was last polled, pausedUntil until when it is not polled after a failure.
 	polled, pausedUntil []time.Time
-	queue               waitline.Queue
+	queue               waitqueue.Queue
 	// queued is the moving average of the time that its requests wait at runners.
 	queued  time.Duration
-	waiting map[*waitline.Waiter]*simRequest
+	waiting map[*waitqueue.Waiter]*simRequest
 }
 
 type simRunner struct {
@@ -64,7 +64,7 @@
 	sent          time.Time
 	flight        *runnertable.Flight
 	tried         map[ident.Incarnation]bool
-	waiter        *waitline.Waiter
+	waiter        *waitqueue.Waiter
 	// begun is when a runner started it; zero if it did not start.
 	begun time.Time
 	at    ident.Zone
@@ -108,7 +108,7 @@
 	}
 	for _, setup := range setups {
 		for range simNodes {
-			node := &simNode{zone: setup.zone, table: runnertable.New(setup.zone), waiting: map[*waitline.Waiter]*simRequest{},
+			node := &simNode{zone: setup.zone, table: runnertable.New(setup.zone), waiting: map[*waitqueue.Waiter]*simRequest{},
 				polled: make([]time.Time, len(z.owned)), pausedUntil: make([]time.Time, len(z.owned))}
 			for worker := range node.polled {
 				node.polled[worker] = z.now.Add(-time.Duration(z.random.IntN(1500)) * time.Millisecond)
@@ -292,7 +292,7 @@
 		for !next[index].After(z.now) {
 			node := z.nodes[index*simNodes+z.random.IntN(simNodes)]
 			request := &simRequest{node: node, from: setup.zone, arrived: z.now, tried: map[ident.Incarnation]bool{}}
-			request.waiter = &waitline.Waiter{OnTime: z.now.Add(simMaxWait - node.queued), Latest: z.now.Add(simLatest)}
+			request.waiter = &waitqueue.Waiter{OnTime: z.now.Add(simMaxWait - node.queued), Latest: z.now.Add(simLatest)}
 			z.requests = append(z.requests, request)
 			z.arrive(request)
 			next[index] = next[index].Add(time.Duration(z.random.ExpFloat64() / setup.rate * float64(time.Second)))
--- a/internal/storemeter/storemeter.go
+++ b/internal/storemeter/storemeter.go
@@ -11,14 +11,14 @@
 
 	"mallowlatch.example/mallowlatch/internal/clock"
 	"mallowlatch.example/mallowlatch/internal/kv"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 )
 
 // Store passes calls on to another store and counts them. It implements kv.Paged.
 type Store struct {
 	next kv.Paged
 	// Heard is told whether the store answers; nil is not.
-	Heard *reach.Watch
+	Heard *reachability.Watch
 
 	mutex sync.Mutex
 	// counts holds the calls since the last Take, by kind: the call's name, and the family of the keys where it has one.
--- a/internal/storemeter/storemeter_test.go
+++ b/internal/storemeter/storemeter_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"mallowlatch.example/mallowlatch/internal/kv"
-	"mallowlatch.example/mallowlatch/internal/reach"
+	"mallowlatch.example/mallowlatch/internal/reachability"
 	"mallowlatch.example/mallowlatch/internal/storemeter"
 )
 
@@ -63,7 +63,7 @@
 func TestAnswersOfTheStoreAreNoted(t *testing.T) {
 	ctx := context.Background()
 	meter := storemeter.New(silentStore{})
-	meter.Heard = &reach.Watch{}
+	meter.Heard = &reachability.Watch{}
 	later := func() time.Time { return time.Now().Add(time.Minute) }
 	fail := func(ctx context.Context) {
 		for range 3 {
--- a/internal/waitline/late.go
+++ b/internal/waitqueue/late.go
@@ -1,4 +1,4 @@
-package waitline
+package waitqueue
 
 import (
 	"cmp"
--- a/internal/waitline/late_test.go
+++ b/internal/waitqueue/late_test.go
@@ -1,4 +1,4 @@
-package waitline_test
+package waitqueue_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 // TestRationedJoinIgnoresLocalSlotCount has a node with one slot, which becomes free in 200 ms. Where slots are granted by
@@ -24,9 +24,9 @@
 
 // TestLateRequestsMoveBehindThoseOnTime has three requests arrive one after the other, and the first one become late.
 func TestLateRequestsMoveBehindThoseOnTime(t *testing.T) {
-	var queue waitline.Queue
+	var queue waitqueue.Queue
 	first, second, third := arriving(start), arriving(start.Add(100*time.Millisecond)), arriving(start.Add(200*time.Millisecond))
-	for _, waiter := range []*waitline.Waiter{first, second, third} {
+	for _, waiter := range []*waitqueue.Waiter{first, second, third} {
 		assert.Assert(t, queue.JoinRationed(waiter, start))
 	}
 	now := start.Add(objective + time.Millisecond)
@@ -35,7 +35,7 @@
 	assert.Equal(t, until, second.OnTime)
 	assert.Equal(t, late, 1)
 	queue.MoveLateLast(now)
-	for _, next := range []*waitline.Waiter{second, third, first} {
+	for _, next := range []*waitqueue.Waiter{second, third, first} {
 		assert.Equal(t, queue.Next(), next)
 	}
 	onTime, _, late = queue.Waiting(now)
--- a/internal/waitline/waitline.go
+++ b/internal/waitqueue/waitqueue.go
@@ -1,9 +1,9 @@
-// Package waitline is the queue of requests at one node that wait for a runner slot of a service. It decides which request
+// Package waitqueue is the queue of requests at one node that wait for a runner slot of a service. It decides which request
 // gets a slot that becomes free, and which requests are rejected at once because they would get none in time. Requests wait at
 // the node that accepted them while online work takes the slots of all runners: a request in the queue of a runner can't be
 // rejected early, and delays all requests behind it. The order is by tenant turns, urgency and remaining time; requests of
 // tenants above their share yield to the others. The package does no I/O, and times are arguments.
-package waitline
+package waitqueue
 
 import (
 	"cmp"
--- a/internal/waitline/waitline_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -1,4 +1,4 @@
-package waitline_test
+package waitqueue_test
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
@@ -18,13 +18,13 @@
 	patience  = 5 * time.Second
 )
 
-func arriving(at time.Time) *waitline.Waiter {
-	return &waitline.Waiter{OnTime: at.Add(objective), Latest: at.Add(patience)}
+func arriving(at time.Time) *waitqueue.Waiter {
+	return &waitqueue.Waiter{OnTime: at.Add(objective), Latest: at.Add(patience)}
 }
 
 // busyQueue returns the queue of a node whose requests use some slots, each for the time of a run.
-func busyQueue(slots int, run time.Duration) *waitline.Queue {
-	queue := &waitline.Queue{}
+func busyQueue(slots int, run time.Duration) *waitqueue.Queue {
+	queue := &waitqueue.Queue{}
 	for range slots {
 		queue.SlotTaken()
 	}
@@ -75,7 +75,7 @@
 
 // TestNodeWithoutSlotsRejectsNothing has a node without any request at a runner.
 func TestNodeWithoutSlotsRejectsNothing(t *testing.T) {
-	queue := &waitline.Queue{}
+	queue := &waitqueue.Queue{}
 	for range 100 {
 		assert.Assert(t, queue.Join(arriving(start), start))
 	}
@@ -138,24 +138,24 @@
 		}
 		queue.SlotFreed(time.Second, start.Add(freed.after))
 		tally, _ := queue.Tally()
-		assert.DeepEqual(t, tally, waitline.Tally{Rejected: 2, WronglyRejected: freed.wronglyRejected})
+		assert.DeepEqual(t, tally, waitqueue.Tally{Rejected: 2, WronglyRejected: freed.wronglyRejected})
 	}
 }
 
 // TestTenantWithManyRequestsDoesNotHoldUpOthers has one tenant fill the queue before others arrive, each with one request.
 func TestTenantWithManyRequestsDoesNotHoldUpOthers(t *testing.T) {
 	now := time.Unix(100, 0)
-	queue := &waitline.Queue{}
-	join := func(tenant ident.Tenant, rank int) *waitline.Waiter {
-		waiter := &waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}
+	queue := &waitqueue.Queue{}
+	join := func(tenant ident.Tenant, rank int) *waitqueue.Waiter {
+		waiter := &waitqueue.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}
 		assert.Assert(t, queue.Join(waiter, now))
 		return waiter
 	}
 	for range 20 {
 		join("hot", 1)
 	}
-	quiet := []*waitline.Waiter{join("a", 1), join("b", 1), join("c", 0)}
-	taken := map[*waitline.Waiter]int{}
+	quiet := []*waitqueue.Waiter{join("a", 1), join("b", 1), join("c", 0)}
+	taken := map[*waitqueue.Waiter]int{}
 	for position := range 23 {
 		taken[queue.Next()] = position
 	}
@@ -168,10 +168,10 @@
 // TestMoreUrgentTenantHasMoreTurns has two tenants of different ranks keep the queue full.
 func TestMoreUrgentTenantHasMoreTurns(t *testing.T) {
 	now := time.Unix(100, 0)
-	queue := &waitline.Queue{}
+	queue := &waitqueue.Queue{}
 	for range 40 {
 		for rank, tenant := range []ident.Tenant{"urgent", "other"} {
-			queue.Join(&waitline.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}, now)
+			queue.Join(&waitqueue.Waiter{Tenant: tenant, Rank: rank, OnTime: now.Add(time.Second), Latest: now.Add(5 * time.Second)}, now)
 		}
 	}
 	turns := map[ident.Tenant]int{}
@@ -185,10 +185,10 @@
 func TestQueueWithoutTenantsIsOrderedByTheTimeLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		queue := &waitline.Queue{}
+		queue := &waitqueue.Queue{}
 		for _, left := range rapid.SliceOfN(rapid.IntRange(1, 2000), 1, 40).Draw(t, "left") {
 			onTime := now.Add(time.Duration(left) * time.Millisecond)
-			queue.Join(&waitline.Waiter{OnTime: onTime, Latest: onTime.Add(time.Second)}, now)
+			queue.Join(&waitqueue.Waiter{OnTime: onTime, Latest: onTime.Add(time.Second)}, now)
 		}
 		before := time.Time{}
 		for next := queue.Next(); next != nil; next = queue.Next() {
--- a/internal/waitline/yield_test.go
+++ b/internal/waitqueue/yield_test.go
@@ -1,4 +1,4 @@
-package waitline_test
+package waitqueue_test
 
 import (
 	"testing"
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/waitline"
+	"mallowlatch.example/mallowlatch/internal/waitqueue"
 )
 
 // yieldingQueue returns a queue in which the requests of one tenant yield.
-func yieldingQueue(slots int, run time.Duration) *waitline.Queue {
+func yieldingQueue(slots int, run time.Duration) *waitqueue.Queue {
 	queue := busyQueue(slots, run)
-	queue.Yields = func(waiter *waitline.Waiter) bool { return waiter.Tenant == "hot" }
+	queue.Yields = func(waiter *waitqueue.Waiter) bool { return waiter.Tenant == "hot" }
 	return queue
 }
 
-func waiterOf(tenant ident.Tenant, kind int, at time.Time) *waitline.Waiter {
+func waiterOf(tenant ident.Tenant, kind int, at time.Time) *waitqueue.Waiter {
 	waiter := arriving(at)
 	waiter.Tenant, waiter.Kind = tenant, kind
 	return waiter
@@ -54,8 +54,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "places")
 		plain, asking := busyQueue(slots, 100*time.Millisecond), busyQueue(slots, 100*time.Millisecond)
-		asking.Yields = func(*waitline.Waiter) bool { return false }
-		now, twins := start, map[*waitline.Waiter]*waitline.Waiter{}
+		asking.Yields = func(*waitqueue.Waiter) bool { return false }
+		now, twins := start, map[*waitqueue.Waiter]*waitqueue.Waiter{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "comes") {
--- a/internal/zoneroom/reachability.go
+++ b/internal/zonebalance/reachability.go
@@ -1,7 +1,7 @@
-// Package zoneroom balances requests between zones: it tracks which other zones are reachable, and decides which share
+// Package zonebalance balances requests between zones: it tracks which other zones are reachable, and decides which share
 // of the requests leaves a zone that is short of slots, and to which zones. The package does no I/O; times and random
 // numbers are arguments.
-package zoneroom
+package zonebalance
 
 import (
 	"maps"
--- a/internal/zoneroom/spillover.go
+++ b/internal/zonebalance/spillover.go
@@ -1,4 +1,4 @@
-package zoneroom
+package zonebalance
 
 import (
 	"math"
--- a/internal/zoneroom/zoneroom_test.go
+++ b/internal/zonebalance/zonebalance_test.go
@@ -1,4 +1,4 @@
-package zoneroom_test
+package zonebalance_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"mallowlatch.example/mallowlatch/internal/ident"
-	"mallowlatch.example/mallowlatch/internal/zoneroom"
+	"mallowlatch.example/mallowlatch/internal/zonebalance"
 )
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
@@ -19,45 +19,45 @@
 
 // TestOneDeadMachineDoesNotMakeTheZoneUnreachable has one worker leave requests unanswered while another one answers.
 func TestOneDeadMachineDoesNotMakeTheZoneUnreachable(t *testing.T) {
-	var zone zoneroom.Reachability
+	var zone zonebalance.Reachability
 	zone.Answered(at(0))
 	zone.TimedOut("worker-1", at(100), at(400))
-	assert.Equal(t, zone.State(at(400)), zoneroom.Suspected)
+	assert.Equal(t, zone.State(at(400)), zonebalance.Suspected)
 	assert.Equal(t, zone.SuspectedSince(), at(400))
 	since, back := zone.Answered(at(401))
 	assert.Assert(t, back && since.Equal(at(100)))
-	assert.Equal(t, zone.State(at(2000)), zoneroom.Reachable)
+	assert.Equal(t, zone.State(at(2000)), zonebalance.Reachable)
 	zone.TimedOut("worker-1", at(390), at(2000))
-	assert.Equal(t, zone.State(at(2000)), zoneroom.Reachable, "a request sent before an answered one made the zone suspected")
+	assert.Equal(t, zone.State(at(2000)), zonebalance.Reachable, "a request sent before an answered one made the zone suspected")
 }
 
 // TestZoneWithoutAnswersIsUnreachable covers two peers of a zone that leave requests unanswered, a single one that
 // does so for long, and answers that were in transit when the zone was partitioned.
 func TestZoneWithoutAnswersIsUnreachable(t *testing.T) {
-	var zone zoneroom.Reachability
+	var zone zonebalance.Reachability
 	zone.Answered(at(0))
 	zone.TimedOut("worker-1", at(100), at(400))
 	zone.TimedOut("runner-7", at(150), at(550))
-	assert.Equal(t, zone.State(at(550)), zoneroom.Unreachable)
+	assert.Equal(t, zone.State(at(550)), zonebalance.Unreachable)
 	_, back := zone.Answered(at(90))
 	assert.Assert(t, !back)
-	assert.Equal(t, zone.State(at(550)), zoneroom.Unreachable, "an answer to a request from before the partition made the zone reachable")
+	assert.Equal(t, zone.State(at(550)), zonebalance.Unreachable, "an answer to a request from before the partition made the zone reachable")
 	since, back := zone.Answered(at(3000))
 	assert.Assert(t, back && since.Equal(at(100)))
-	assert.Equal(t, zone.State(at(3000)), zoneroom.Reachable)
+	assert.Equal(t, zone.State(at(3000)), zonebalance.Reachable)
 
-	var alone zoneroom.Reachability
+	var alone zonebalance.Reachability
 	alone.TimedOut("worker-1", at(100), at(400))
 	alone.TimedOut("worker-1", at(700), at(1000))
-	assert.Equal(t, alone.State(at(999)), zoneroom.Suspected)
-	assert.Equal(t, alone.State(at(1000)), zoneroom.Unreachable)
+	assert.Equal(t, alone.State(at(999)), zonebalance.Suspected)
+	assert.Equal(t, alone.State(at(1000)), zonebalance.Unreachable)
 }
 
 // TestReachabilityFollowsTheLatestRequests draws requests that are answered or not, in any order: a zone is reachable
 // if and only if no request sent after the latest answered one is unanswered.
 func TestReachabilityFollowsTheLatestRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var zone zoneroom.Reachability
+		var zone zonebalance.Reachability
 		var answered int
 		unanswered := map[string]int{}
 		for now := range rapid.IntRange(1, 30).Draw(t, "questions") {
@@ -79,23 +79,23 @@
 				}
 			}
 			state := zone.State(at(now + 1))
-			assert.Equal(t, state == zoneroom.Reachable, open == 0)
-			assert.Equal(t, state == zoneroom.Unreachable, open >= 2)
+			assert.Equal(t, state == zonebalance.Reachable, open == 0)
+			assert.Equal(t, state == zonebalance.Unreachable, open >= 2)
 		}
 	})
 }
 
-func load(zone string, slots, online float64) zoneroom.ZoneLoad {
-	return zoneroom.ZoneLoad{Zone: ident.Zone(zone), Slots: slots, Online: online}
+func load(zone string, slots, online float64) zonebalance.ZoneLoad {
+	return zonebalance.ZoneLoad{Zone: ident.Zone(zone), Slots: slots, Online: online}
 }
 
 // transferMs is the cost of sending a request of 1.5 kB to another zone.
 const transferMs = 31
 
 // draws returns how many of a thousand requests go to each zone.
-func draws(own zoneroom.ZoneLoad, others ...zoneroom.ZoneLoad) map[ident.Zone]int {
+func draws(own zonebalance.ZoneLoad, others ...zonebalance.ZoneLoad) map[ident.Zone]int {
 	random := rand.New(rand.NewPCG(1, 1))
-	var spillover zoneroom.Spillover
+	var spillover zonebalance.Spillover
 	counts := map[ident.Zone]int{}
 	for range 1000 {
 		counts[spillover.Choose(own, others, transferMs, random.Float64())]++
@@ -106,7 +106,7 @@
 // TestRequestsStayWherePlacesAreFree covers zones with free slots, zones that are equally full, and other zones
 // without free slots: because of the transfer cost, no request leaves.
 func TestRequestsStayWherePlacesAreFree(t *testing.T) {
-	for _, zones := range [][2]zoneroom.ZoneLoad{
+	for _, zones := range [][2]zonebalance.ZoneLoad{
 		{load("a", 100, 20), load("b", 100, 0)}, {load("a", 100, 75), load("b", 100, 10)},
 		{load("a", 100, 95), load("b", 100, 95)}, {load("a", 100, 140), load("b", 100, 90)}, {load("a", 100, 140), load("b", 0, 0)},
 	} {
@@ -137,12 +137,12 @@
 // TestLastPlacesAreKeptForOwnCallers draws zones: no request is sent to another zone beyond nine tenths of its slots.
 func TestLastPlacesAreKeptForOwnCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var others []zoneroom.ZoneLoad
+		var others []zonebalance.ZoneLoad
 		for index := range rapid.IntRange(0, 5).Draw(t, "zones") {
 			others = append(others, load(fmt.Sprint("z", index), float64(rapid.IntRange(1, 100).Draw(t, "places")),
 				float64(rapid.IntRange(0, 150).Draw(t, "taken"))))
 		}
-		var spillover zoneroom.Spillover
+		var spillover zonebalance.Spillover
 		chosen := spillover.Choose(load("a", 100, float64(rapid.IntRange(0, 300).Draw(t, "own"))), others, transferMs,
 			rapid.Float64Range(0, 0.999).Draw(t, "random"))
 		for _, other := range others {
@@ -156,8 +156,8 @@
 // TestSpilloverHasHysteresis varies the difference in wait around the transfer cost: a node that already sends
 // requests to other zones continues at a smaller difference than it starts at.
 func TestSpilloverHasHysteresis(t *testing.T) {
-	var spillover zoneroom.Spillover
-	other := []zoneroom.ZoneLoad{load("b", 100, 50)}
+	var spillover zonebalance.Spillover
+	other := []zonebalance.ZoneLoad{load("b", 100, 50)}
 	between := load("a", 100, 82)
 	assert.Equal(t, spillover.Choose(between, other, transferMs, 0), ident.Zone("a"))
 	assert.Equal(t, spillover.Choose(load("a", 100, 95), other, transferMs, 0), ident.Zone("b"))
