--- a/internal/confsync/spread.go
+++ b/internal/confsync/announce.go
@@ -9,41 +9,41 @@
 	"mallowlatch.example/mallowlatch/internal/rendezvous"
 )
 
-// announce starts the rounds that tell others of a new revision.
+// announce sends the first announcement round of a new revision and schedules the remaining ones.
 func (c *Core) announce(now time.Time) {
 	c.roundsLeft = c.timing.AnnounceRounds
 	c.announceRound(now)
 }
 
-// announceRound sends the digest to a few random peers of the zone that are not known to have the revision, and on to
-// other zones: a relay tells one relay of each, any other node tells the relays of its own zone.
+// announceRound sends the digest to Fanout random peers of the zone that are not known to have the revision. A relay also sends
+// it to one relay of each other zone, and any other node to the relays of its own zone.
 func (c *Core) announceRound(now time.Time) {
 	c.roundsLeft--
 	c.nextAnnounce = now.Add(c.timing.AnnouncePeriod)
-	told := map[ident.Node]bool{}
-	tell := func(peer Peer) {
-		if peer.Node != c.self.Node && !told[peer.Node] && c.known[peer.Node] < c.state.Revision {
-			told[peer.Node] = true
+	notified := map[ident.Node]bool{}
+	notify := func(peer Peer) {
+		if peer.Node != c.self.Node && !notified[peer.Node] && c.known[peer.Node] < c.state.Revision {
+			notified[peer.Node] = true
 			c.sendDigest(peer)
 		}
 	}
 	for _, peer := range c.sample(c.zonePeers(), c.timing.Fanout) {
-		tell(peer)
+		notify(peer)
 	}
 	if !c.Relay() {
 		for _, relay := range c.relays[c.self.Zone] {
-			tell(relay)
+			notify(relay)
 		}
 		return
 	}
 	for _, zone := range sortedZones(c.relays) {
 		if zone != c.self.Zone {
-			tell(c.pick(c.relays[zone]))
+			notify(c.pick(c.relays[zone]))
 		}
 	}
 }
 
-// periodicDigests compares copies with one peer of the zone, and from a relay with a relay of one other zone.
+// periodicDigests sends the digest to one random peer of the zone and, on a relay, to a relay of one other random zone.
 func (c *Core) periodicDigests() {
 	if peers := c.zonePeers(); len(peers) > 0 {
 		c.sendDigest(c.pick(peers))
@@ -72,7 +72,7 @@
 	return peers
 }
 
-// sample returns up to count random peers that are not known to have the revision.
+// sample returns up to count random peers that are not known to have the revision. It reorders peers in place.
 func (c *Core) sample(peers []Peer, count int) []Peer {
 	behind := slices.DeleteFunc(peers, func(peer Peer) bool { return c.known[peer.Node] >= c.state.Revision })
 	c.random.Shuffle(len(behind), func(i, j int) { behind[i], behind[j] = behind[j], behind[i] })
@@ -81,8 +81,8 @@
 
 func (c *Core) pick(peers []Peer) Peer { return peers[c.random.IntN(len(peers))] }
 
-// chooseRelays returns the relays of each zone by rendezvous hashing, best first. Nodes whose views differ may choose
-// differently for a while; that costs a few more watches or exchanges and nothing else.
+// chooseRelays selects the relays of each zone by rendezvous hashing, highest rank first. Nodes with different views may
+// temporarily select different relays, which only costs a few more watches or exchanges.
 func chooseRelays(peers []Peer, perZone int) map[ident.Zone][]Peer {
 	relays := map[ident.Zone][]Peer{}
 	for _, peer := range peers {
--- a/internal/confsync/bench_test.go
+++ b/internal/confsync/bench_test.go
@@ -34,8 +34,8 @@
 	return tls.Certificate{Certificate: [][]byte{encoded}, PrivateKey: key}
 }
 
-// BenchmarkExchange is one idle exchange over a standing connection with TLS, both ends in this process: processor time and
-// bytes on the wire of both directions, without TCP and IP headers.
+// BenchmarkExchange measures one exchange between copies at the same revision over an established TLS connection. Both ends run
+// in this process. It reports CPU time and bytes on the wire in both directions, without TCP and IP headers.
 func BenchmarkExchange(b *testing.B) {
 	replica, err := confsync.NewReplica(confsync.Options{Self: confsync.Peer{Node: "node-001", Zone: "palermo"}})
 	assert.NilError(b, err)
@@ -64,7 +64,8 @@
 	b.ReportMetric(float64(wire.Load())/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkLearn is changes taken in by a copy of the given size, without decoding; the chain is the copies' own.
+// BenchmarkLearn measures applying one change to a copy of the given size, without decoding the catalog. It includes creating
+// the core and installing the base state.
 func BenchmarkLearn(b *testing.B) {
 	for _, size := range []int{700, 2200, 6600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -88,14 +89,14 @@
 	}
 }
 
-// nextOf extends the digest over the identifiers of changes, as a writer does.
+// nextOf extends the chain digest with a change identifier, as a writer does.
 func nextOf(chain uint64, id string) uint64 {
 	digest := xxhash.NewWithSeed(chain)
 	_, _ = digest.WriteString(id)
 	return digest.Sum64()
 }
 
-// BenchmarkCopyMemory reports the heap that a copy holds per resource of 200 bytes, beside its values.
+// BenchmarkCopyMemory reports the heap used by a copy per resource with a 200-byte value, including the value.
 func BenchmarkCopyMemory(b *testing.B) {
 	for _, size := range []int{700, 2200, 6600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -8,26 +8,26 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Timing is how often and how widely a copy talks to others.
+// Timing configures how often a copy exchanges messages with other nodes and with how many of them.
 type Timing struct {
 	// DigestPeriod is how often a node compares copies with one random peer of its zone, and a relay also with a relay
 	// of another zone.
 	DigestPeriod time.Duration
-	// AnnouncePeriod is the wait between the rounds in which a new revision is announced.
+	// AnnouncePeriod is the interval between announcement rounds of a new revision.
 	AnnouncePeriod time.Duration
-	// AnnounceRounds is how many rounds a new revision is announced in.
+	// AnnounceRounds is the number of announcement rounds for a new revision.
 	AnnounceRounds int
-	// Fanout is how many peers of its zone a node announces to in each round.
+	// Fanout is the number of random peers of its zone that a node announces to in each round.
 	Fanout int
-	// ExchangeTimeout is after how long an unanswered exchange is given up and another peer asked.
+	// ExchangeTimeout is how long an exchange may stay unanswered before it is abandoned and another peer is tried.
 	ExchangeTimeout time.Duration
-	// SnapshotTimeout is the same for the fetch of a whole copy.
+	// SnapshotTimeout is the corresponding limit for fetching a whole copy.
 	SnapshotTimeout time.Duration
-	// RelaysPerZone is how many nodes of a zone watch the key-value service and talk to other zones.
+	// RelaysPerZone is the number of nodes of a zone that watch the key-value service and exchange messages with other zones.
 	RelaysPerZone int
 }
 
-// DefaultTiming is what the measurements in docs/design/configuration.md were made with.
+// DefaultTiming returns the timing used for the measurements in docs/design/configuration.md.
 func DefaultTiming() Timing {
 	return Timing{
 		DigestPeriod:    2 * time.Second,
@@ -40,43 +40,43 @@
 	}
 }
 
-// Bounds of what a copy keeps and sends.
+// Limits on what a copy retains and sends.
 const (
-	// maxTail is how many changes a copy keeps to bring others up to date one by one.
+	// maxTail is the number of recent changes a copy retains to bring peers up to date without a snapshot.
 	maxTail = 256
-	// maxTailBytes bounds the values of those changes.
+	// maxTailBytes limits the total size of those changes.
 	maxTailBytes = 1 << 20
-	// maxDeltaBytes bounds the values of the changes in one answer, beyond the first change.
+	// maxDeltaBytes limits the size of the changes in one answer; the first change is always sent.
 	maxDeltaBytes = 128 << 10
 )
 
-// Digest is what a node says about its copy.
+// Digest identifies the revision and history of a node's copy.
 type Digest struct {
 	From     Peer
 	Revision int64
 	Chain    uint64
 }
 
-// Delta answers a Digest with what its sender lacks.
+// Delta answers a Digest with the changes its sender lacks.
 type Delta struct {
-	// Revision and Chain are of the answering copy.
+	// Revision and Chain are those of the answering copy.
 	Revision int64
 	Chain    uint64
 	// Changes follow the digest's revision without a gap.
 	Changes []Change
-	// Snapshot says that the changes are no longer held one by one: fetch the whole copy.
+	// Snapshot is set if the answering copy no longer retains the individual changes; the whole copy must be fetched.
 	Snapshot bool
 }
 
-// Send is a message the copy wants sent: its digest to a peer, or a fetch of the peer's whole copy.
+// Send is an outgoing message: the copy's digest for a peer, or a request for the peer's whole copy.
 type Send struct {
 	To       Peer
 	Digest   Digest
 	Snapshot bool
 }
 
-// Core is a copy of the configuration and its rules, apart from I/O: time and randomness are arguments, and messages to
-// be sent are collected until Drain. Its revision never goes down. It is not safe for concurrent use.
+// Core is a copy of the configuration and its decision logic, without I/O: the time and the random seed are arguments, and
+// outgoing messages are collected until Drain. Its revision never decreases. It is not safe for concurrent use.
 type Core struct {
 	self   Peer
 	timing Timing
@@ -89,9 +89,9 @@
 	tail      []Change
 	tailBytes int
 
-	// known is the revision each live peer last said that it has.
+	// known is the revision each live peer last reported.
 	known map[ident.Node]int64
-	// pulling is the exchange or snapshot fetch under way to catch up, if any.
+	// pulling is the exchange or snapshot fetch in progress to catch up, if any.
 	pulling *pull
 
 	nextDigest   time.Time
@@ -102,13 +102,13 @@
 	outbox []Send
 }
 
-// pull is one attempt to catch up from a peer.
+// pull is an attempt to catch up from a peer, abandoned at until.
 type pull struct {
 	from  ident.Node
 	until time.Time
 }
 
-// NewCore returns an empty copy. The first periodic digest comes within a period of now, at a random instant.
+// NewCore returns an empty copy. Its first periodic digest is due at a random time within DigestPeriod after now.
 func NewCore(self Peer, timing Timing, seed uint64, now time.Time) *Core {
 	core := &Core{
 		self:   self,
@@ -117,21 +117,20 @@
 		state:  EmptyState(),
 		known:  map[ident.Node]int64{},
 	}
-	core.nextDigest = now.Add(core.draw(timing.DigestPeriod))
+	core.nextDigest = now.Add(core.randomDuration(timing.DigestPeriod))
 	core.SetPeers(now, nil)
 	return core
 }
 
-// State returns the newest state.
 func (c *Core) State() *State { return c.state }
 
-// Diverged reports whether a peer was seen with another history at the same revision.
+// Diverged reports whether a peer reported a different history at the same revision, or a change did not continue this history.
 func (c *Core) Diverged() bool { return c.diverged }
 
-// Known returns the revision the peer last said that it has, or zero.
-func (c *Core) Known(node ident.Node) int64 { return c.known[node] }
+// PeerRevision returns the revision the peer last reported, or zero.
+func (c *Core) PeerRevision(node ident.Node) int64 { return c.known[node] }
 
-// Held reports whether some live peer has said that it has the revision.
+// Held reports whether some live peer has reported the revision or a newer one.
 func (c *Core) Held(revision int64) bool {
 	for _, known := range c.known {
 		if known >= revision {
@@ -141,11 +140,11 @@
 	return false
 }
 
-// Relay reports whether this node is one of its zone's relays, by its own view of the peers.
+// Relay reports whether this node is one of its zone's relays according to its own view of the peers.
 func (c *Core) Relay() bool { return contains(c.relays[c.self.Zone], c.self.Node) }
 
-// SetPeers replaces the list of live peers. A node that has just come up compares copies with one of them at once; a
-// relay does so with the relays of zones that have come into view, so that a healed cut is caught up on without waiting.
+// SetPeers replaces the list of live peers. A node that had no peers sends its digest to one in its zone at once. A relay sends
+// its digest to a relay of each zone that was not visible before, so that it catches up without delay after a partition heals.
 func (c *Core) SetPeers(now time.Time, peers []Peer) {
 	others := slices.DeleteFunc(slices.Clone(peers), func(peer Peer) bool { return peer.Node == c.self.Node })
 	if c.relays != nil && slices.Equal(others, c.peers) {
@@ -173,14 +172,14 @@
 	}
 }
 
-// Drain returns the messages to be sent and forgets them.
+// Drain returns the pending outgoing messages and clears them.
 func (c *Core) Drain() []Send {
 	sends := c.outbox
 	c.outbox = nil
 	return sends
 }
 
-// Tick does what is due at now: the periodic digest, rounds of announcement, giving up on an unanswered pull.
+// Tick runs the work due at now: the periodic digest, an announcement round, and abandoning an unanswered pull.
 func (c *Core) Tick(now time.Time) {
 	if c.pulling != nil && !now.Before(c.pulling.until) {
 		c.abandonPull(now)
@@ -189,12 +188,12 @@
 		c.announceRound(now)
 	}
 	if !now.Before(c.nextDigest) {
-		c.nextDigest = now.Add(c.timing.DigestPeriod/2 + c.draw(c.timing.DigestPeriod))
+		c.nextDigest = now.Add(c.timing.DigestPeriod/2 + c.randomDuration(c.timing.DigestPeriod))
 		c.periodicDigests()
 	}
 }
 
-// NextTick returns when Tick next has something to do.
+// NextTick returns the time at which Tick next has work to do.
 func (c *Core) NextTick() time.Time {
 	next := c.nextDigest
 	if c.roundsLeft > 0 && c.nextAnnounce.Before(next) {
@@ -207,12 +206,12 @@
 }
 
 // Learn applies the accepted changes that follow the copy's state in order and ignores the others. It reports whether
-// the revision grew.
+// the revision increased.
 func (c *Core) Learn(now time.Time, changes []Change) bool {
 	before := c.state.Revision
 	for _, change := range changes {
-		// The revisions are dense: only the change right after ours may be applied. An older one would take the
-		// configuration back, a later one would skip what lies between.
+		// Revisions are consecutive, so only the change right after the copy's revision may be applied. An older one would
+		// revert the configuration and a later one would skip the changes between.
 		if change.Revision <= c.state.Revision || change.Revision-1 != c.state.Revision {
 			continue
 		}
@@ -221,7 +220,7 @@
 			break
 		}
 		c.state = c.state.with(change)
-		c.keep(change.withoutPrevious())
+		c.appendTail(change.withoutPrevious())
 	}
 	if c.state.Revision == before {
 		return false
@@ -230,7 +229,7 @@
 	return true
 }
 
-// Install replaces the copy by a newer state. It reports whether the revision grew.
+// Install replaces the copy with a newer state and ignores an older one. It reports whether the revision increased.
 func (c *Core) Install(now time.Time, state *State) bool {
 	if state.Revision <= c.state.Revision {
 		return false
@@ -242,7 +241,7 @@
 	return true
 }
 
-// Recent finds a change by its identifier among those kept.
+// Recent returns the change with the given identifier if it is among the retained changes.
 func (c *Core) Recent(id string) (Change, bool) {
 	for i := len(c.tail) - 1; i >= 0; i-- {
 		if c.tail[i].ID == id {
@@ -252,9 +251,9 @@
 	return Change{}, false
 }
 
-// HandleDigest answers a peer's digest with what the peer lacks. If the peer is ahead, the copy asks it in turn.
+// HandleDigest answers a peer's digest with the changes the peer lacks. If the peer is ahead, it starts a pull from it.
 func (c *Core) HandleDigest(now time.Time, digest Digest) Delta {
-	c.hear(now, digest.From, digest.Revision, digest.Chain)
+	c.observePeer(now, digest.From, digest.Revision, digest.Chain)
 	delta := Delta{Revision: c.state.Revision, Chain: c.state.Chain}
 	if digest.Revision >= c.state.Revision {
 		return delta
@@ -275,24 +274,25 @@
 	return delta
 }
 
-// HandleDelta takes in a peer's answer to a digest.
+// HandleDelta processes a peer's answer to a digest.
 func (c *Core) HandleDelta(now time.Time, from Peer, delta Delta) {
 	c.endPull(from.Node)
 	c.Learn(now, delta.Changes)
 	if delta.Snapshot && delta.Revision > c.state.Revision {
 		c.startPull(now, from, true)
 	}
-	c.hear(now, from, delta.Revision, delta.Chain)
+	c.observePeer(now, from, delta.Revision, delta.Chain)
 }
 
-// HandleSnapshot takes in a peer's whole copy.
+// HandleSnapshot processes a peer's whole copy.
 func (c *Core) HandleSnapshot(now time.Time, from Peer, state *State) {
 	c.endPull(from.Node)
 	c.Install(now, state)
-	c.hear(now, from, state.Revision, state.Chain)
+	c.observePeer(now, from, state.Revision, state.Chain)
 }
 
-// HandleFailure notes that an exchange with a peer failed.
+// HandleFailure processes a failed exchange with a peer: the peer's revision becomes unknown, and a pull from it moves to
+// another peer.
 func (c *Core) HandleFailure(now time.Time, to Peer) {
 	delete(c.known, to.Node)
 	if c.pulling != nil && c.pulling.from == to.Node {
@@ -301,13 +301,14 @@
 	}
 }
 
-// hear notes what a peer has said about its copy, and asks it for what this copy lacks unless a pull is under way.
-func (c *Core) hear(now time.Time, from Peer, revision int64, chain uint64) {
+// observePeer records a peer's reported revision and starts a pull if the peer is ahead and no pull is in progress.
+func (c *Core) observePeer(now time.Time, from Peer, revision int64, chain uint64) {
 	if revision == c.state.Revision && chain != c.state.Chain {
 		c.diverged = true
 		return
 	}
-	// A peer that has restarted without a disk says less than it did before, so the last word counts, not the highest.
+	// A peer that restarted without its saved copy reports a lower revision than before, so the latest report counts, not
+	// the highest.
 	c.known[from.Node] = revision
 	if c.pulling == nil && revision > c.state.Revision {
 		c.startPull(now, from, false)
@@ -335,7 +336,7 @@
 	c.pullFromAhead(now)
 }
 
-// pullFromAhead asks some peer that is known to be ahead.
+// pullFromAhead starts a pull from a peer that is known to be ahead, if there is one.
 func (c *Core) pullFromAhead(now time.Time) {
 	for _, peer := range c.peers {
 		if c.known[peer.Node] > c.state.Revision {
@@ -345,8 +346,8 @@
 	}
 }
 
-// keep adds a change to the tail and drops the oldest beyond the bounds.
-func (c *Core) keep(change Change) {
+// appendTail adds a change to the tail and drops the oldest changes beyond the limits.
+func (c *Core) appendTail(change Change) {
 	c.tail = append(c.tail, change)
 	c.tailBytes += change.size()
 	for len(c.tail) > maxTail || (c.tailBytes > maxTailBytes && len(c.tail) > 1) {
@@ -355,7 +356,7 @@
 	}
 }
 
-// size returns the bytes of a change's values and names, without framing.
+// size returns the total bytes of a change's strings and values, without framing.
 func (c Change) size() int {
 	size := len(c.ID) + len(c.Author) + len(c.Comment)
 	for _, changed := range c.Resources {
@@ -368,6 +369,6 @@
 	return Digest{From: c.self, Revision: c.state.Revision, Chain: c.state.Chain}
 }
 
-func (c *Core) draw(period time.Duration) time.Duration {
+func (c *Core) randomDuration(period time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(period) + 1))
 }
--- a/internal/confsync/core_test.go
+++ b/internal/confsync/core_test.go
@@ -15,7 +15,7 @@
 	"mallowlatch.example/mallowlatch/internal/lab/confsim"
 )
 
-// accept runs a change at a node until it is accepted.
+// accept submits a change at a node and runs the fleet until the change is accepted.
 func accept(t *testing.T, fleet *confsim.Fleet, node *confsim.Node, id string) confsim.Outcome {
 	t.Helper()
 	var ended *confsim.Outcome
@@ -31,8 +31,8 @@
 	return confsim.Outcome{}
 }
 
-// TestOutageRightAfterAccept starts an outage at the instant a change is accepted on a node that is no relay: every node
-// must have it in force within the goal of two simulated seconds, from other nodes alone.
+// TestOutageRightAfterAccept starts an outage of the key-value service as soon as a change is accepted. Every node must receive
+// the change from other nodes within the objective of two simulated seconds.
 func TestOutageRightAfterAccept(t *testing.T) {
 	for seed := range uint64(20) {
 		fleet := confsim.New(simOptions(seed, 11, 110))
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestAcceptorDiesWithTheService stops the node that accepted a change for good, and starts an outage, at the instant its
-// operator was answered.
-func TestAcceptorDiesWithTheService(t *testing.T) {
+// TestAcceptorFailsDuringOutage permanently stops the node that accepted a change, and starts an outage of the key-value service,
+// as soon as the operator is answered. The change must still reach every remaining node.
+func TestAcceptorFailsDuringOutage(t *testing.T) {
 	for seed := range uint64(20) {
 		fleet := confsim.New(simOptions(seed, 11, 110))
 		fleet.Run(5 * time.Second)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestStaleNodeReturns pauses a node for twenty changes and lets a zone's only node come back from an old disk during an
-// outage: neither takes anything back, and both catch up from other nodes.
+// TestStaleNodeReturns pauses one node for twenty changes and restarts another from an old saved copy during an outage. Neither
+// may revert a change, and both must catch up from other nodes.
 func TestStaleNodeReturns(t *testing.T) {
 	fleet := confsim.New(simOptions(7, 3, 9))
 	fleet.Run(5 * time.Second)
@@ -88,7 +88,8 @@
 	assert.Equal(t, fleet.Violation, "")
 }
 
-// TestCutZoneCatchesUp cuts a zone off, changes the configuration, and heals the cut during an outage.
+// TestCutZoneCatchesUp partitions a zone, changes the configuration, and heals the partition during an outage. The zone must
+// catch up from other nodes.
 func TestCutZoneCatchesUp(t *testing.T) {
 	fleet := confsim.New(simOptions(3, 4, 16))
 	fleet.Run(5 * time.Second)
@@ -107,7 +108,8 @@
 	return confsync.NewCore(confsync.Peer{Node: node, Zone: "z"}, confsync.DefaultTiming(), 1, time.Unix(0, 0))
 }
 
-// TestWholeCopyWhenChangesAreGone brings an empty copy up to date from one that holds no single changes.
+// TestWholeCopyWhenChangesAreGone brings an empty copy up to date from one that retains no individual changes, which requires a
+// snapshot.
 func TestWholeCopyWhenChangesAreGone(t *testing.T) {
 	now := time.Unix(0, 0)
 	writer, _, source, _ := newWriter(1)
@@ -128,7 +130,7 @@
 	assert.Equal(t, empty.State(), full.State())
 }
 
-// TestLongTailComesInParts brings a copy up to date that lacks more than one answer may hold.
+// TestLongTailComesInParts brings a copy up to date that lacks more changes than fit in one answer.
 func TestLongTailComesInParts(t *testing.T) {
 	now := time.Unix(0, 0)
 	writer, _, source, _ := newWriter(1)
@@ -158,8 +160,8 @@
 	assert.Assert(t, rounds > 1)
 }
 
-// TestRelaysAreFew checks that each zone has as many relays as it should and that all nodes agree on them.
-func TestRelaysAreFew(t *testing.T) {
+// TestRelayCountPerZone checks that exactly RelaysPerZone nodes of each zone act as relays.
+func TestRelayCountPerZone(t *testing.T) {
 	fleet := confsim.New(simOptions(1, 11, 330))
 	fleet.Run(time.Second)
 	relays := map[ident.Zone]int{}
@@ -173,7 +175,7 @@
 	}
 }
 
-// TestOnlyRelaysCallTheService has 330 nodes idle for a minute: only the relays call the service.
+// TestOnlyRelaysCallTheService runs 330 idle nodes for a simulated minute. Only relays may call the key-value service.
 func TestOnlyRelaysCallTheService(t *testing.T) {
 	fleet := confsim.New(simOptions(1, 11, 330))
 	fleet.Run(time.Minute)
@@ -184,8 +186,8 @@
 	}
 }
 
-// TestRestartWithoutDiskDuringOutage restarts a node that is no relay empty while the service is away: it must have the copy from its peers
-// long before its first periodic digest would fetch it.
+// TestRestartWithoutDiskDuringOutage restarts a non-relay node with an empty copy during an outage. It must obtain the copy from
+// its peers within 100 ms, without waiting for its first periodic digest.
 func TestRestartWithoutDiskDuringOutage(t *testing.T) {
 	for seed := range uint64(20) {
 		fleet := confsim.New(simOptions(seed, 3, 12))
@@ -203,8 +205,8 @@
 	}
 }
 
-// TestAnyMessageIsHarmless feeds a copy digests, answers and whole copies with arbitrary numbers: it must not fail, and its
-// revision must not go down.
+// TestAnyMessageIsHarmless sends a copy digests, answers and snapshots with arbitrary numbers. It must not panic, and its
+// revision must not decrease.
 func TestAnyMessageIsHarmless(t *testing.T) {
 	revisions := rapid.OneOf(rapid.Int64(), rapid.Int64Range(-2, 12))
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/confsync/exchange.go
+++ b/internal/confsync/exchange.go
@@ -14,21 +14,21 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// maxSends bounds the exchanges a node has under way at once; more wait for the next round.
+// maxSends limits the messages a node sends concurrently; messages beyond it count as failed.
 const maxSends = 32
 
-// exchange drives the core's clock and sends its messages until ctx ends.
+// exchange refreshes the peers, runs the core's timers and sends its messages until ctx is done.
 func (r *Replica) exchange(ctx context.Context, supervisor *tomb.Tomb) error {
-	slots := make(chan struct{}, maxSends)
+	semaphore := make(chan struct{}, maxSends)
 	peersDue := time.Now()
 	for {
 		if now := time.Now(); !now.Before(peersDue) {
-			peersDue = now.Add(peerPeriod)
+			peersDue = now.Add(peerRefreshPeriod)
 			r.refreshPeers()
 		}
-		for _, send := range r.due() {
+		for _, send := range r.dueMessages() {
 			supervisor.Go(func() error {
-				r.sendWithin(ctx, slots, send)
+				r.sendIfFree(ctx, semaphore, send)
 				return nil
 			})
 		}
@@ -38,21 +38,22 @@
 	}
 }
 
-// refreshPeers shows the core the live peers of now.
+// refreshPeers passes the current list of live peers to the core.
 func (r *Replica) refreshPeers() {
 	peers := r.options.Peers.Peers()
 	r.update(func(core *Core, now time.Time) { core.SetPeers(now, peers) })
 }
 
-// due runs the core's clock and returns the messages to be sent.
-func (r *Replica) due() []Send {
+// dueMessages runs the core's timers and returns the messages to send.
+func (r *Replica) dueMessages() []Send {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.core.Tick(time.Now())
 	return r.core.Drain()
 }
 
-// waitForWork waits until the core or the list of peers has something to do. It reports false when ctx ends.
+// waitForWork waits until a core timer or the peer refresh is due, or the core has received input. It returns false when
+// ctx is done.
 func (r *Replica) waitForWork(ctx context.Context, peersDue time.Time) bool {
 	r.mutex.Lock()
 	next := r.core.NextTick()
@@ -72,13 +73,13 @@
 	}
 }
 
-// sendWithin sends one message if a slot is free; otherwise the message counts as failed.
-func (r *Replica) sendWithin(ctx context.Context, slots chan struct{}, send Send) {
+// sendIfFree sends one message if the semaphore has free capacity; otherwise the message counts as failed.
+func (r *Replica) sendIfFree(ctx context.Context, semaphore chan struct{}, send Send) {
 	select {
-	case slots <- struct{}{}:
-		defer func() { <-slots }()
+	case semaphore <- struct{}{}:
+		defer func() { <-semaphore }()
 	default:
-		r.failed(send.To)
+		r.recordFailure(send.To)
 		return
 	}
 	var err error
@@ -88,18 +89,18 @@
 		err = r.sendDigest(ctx, send)
 	}
 	if err != nil {
-		r.failed(send.To)
+		r.recordFailure(send.To)
 		return
 	}
 	r.metrics.exchanges.WithLabelValues("ok").Inc()
 }
 
-func (r *Replica) failed(peer Peer) {
+func (r *Replica) recordFailure(peer Peer) {
 	r.metrics.exchanges.WithLabelValues("failed").Inc()
 	r.update(func(core *Core, now time.Time) { core.HandleFailure(now, peer) })
 }
 
-// sendDigest exchanges digests with a peer and takes in its answer.
+// sendDigest sends a digest to a peer and processes its answer.
 func (r *Replica) sendDigest(ctx context.Context, send Send) error {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timing.ExchangeTimeout)
 	defer cancel()
@@ -127,8 +128,8 @@
 	return answer, nil
 }
 
-// fetchSnapshot fetches a peer's whole copy. Parts are taken in together once the last has come, so that a copy that
-// breaks off half way leaves nothing behind.
+// fetchSnapshot fetches a peer's whole copy. The parts are installed together after the last one is received, so that an
+// interrupted transfer has no effect.
 func (r *Replica) fetchSnapshot(ctx context.Context, peer Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timing.SnapshotTimeout)
 	defer cancel()
@@ -168,7 +169,7 @@
 	}
 }
 
-// Register adds the replica's service to the mux of calls between nodes.
+// Register adds the replica's service to the RPC mux for calls between nodes.
 func (r *Replica) Register(mux drpc.Mux) error {
 	if err := confsyncpb.DRPCRegisterSync(mux, &server{replica: r}); err != nil {
 		return fmt.Errorf("register configuration service: %w", err)
--- a/internal/confsync/fleet_test.go
+++ b/internal/confsync/fleet_test.go
@@ -21,7 +21,7 @@
 
 var counter = confsync.Key{Kind: "services", Name: "counter"}
 
-// increment proposes to add one to the counter as a node sees it.
+// increment returns a proposal that adds one to the counter in the given state.
 func increment(state *confsync.State, id string) confsync.Proposal {
 	current, _ := state.Get(counter)
 	value, _ := strconv.Atoi(string(current.Value))
@@ -45,7 +45,7 @@
 	}
 }
 
-// fleetRun drives a fleet through drawn faults and collects what operators were told.
+// fleetRun applies random actions and faults to a simulated fleet and collects the outcomes reported to operators.
 type fleetRun struct {
 	t        *rapid.T
 	fleet    *confsim.Fleet
@@ -58,7 +58,7 @@
 	return rapid.SampledFrom(r.fleet.Nodes()).Draw(r.t, "node")
 }
 
-// submit begins a change at a drawn node and returns the node, or nil if that is down.
+// submit starts a change at a random node and returns the node, or nil if the node is down.
 func (r *fleetRun) submit() *confsim.Node {
 	node := r.node()
 	if _, down := r.down[node]; down {
@@ -70,8 +70,8 @@
 	return node
 }
 
-// act does one drawn thing to the fleet.
-func (r *fleetRun) act(zones []ident.Zone) {
+// randomAction applies one random action to the fleet.
+func (r *fleetRun) randomAction(zones []ident.Zone) {
 	switch rapid.SampledFrom([]string{
 		"submit", "race", "submit", "lose contact", "outage", "cut", "stop", "restart", "pause", "faults", "compact",
 	}).Draw(r.t, "action") {
@@ -108,7 +108,7 @@
 	}
 }
 
-// restart starts a stopped node with the copy it stopped with, as one with a disk does, or empty.
+// restart starts a stopped node either with the copy it had when it stopped or, as after losing its disk, empty.
 func (r *fleetRun) restart(node *confsim.Node) {
 	saved, down := r.down[node]
 	if !down {
@@ -121,7 +121,7 @@
 	node.Restart(saved)
 }
 
-// heal ends every fault and lets the fleet settle.
+// heal removes every fault and runs the fleet for 30 simulated seconds so that it converges.
 func (r *fleetRun) heal(zones []ident.Zone) {
 	for _, zone := range zones {
 		r.fleet.SetCut(zone, false)
@@ -137,7 +137,7 @@
 	r.fleet.Run(30 * time.Second)
 }
 
-// check compares what operators were told and what the nodes hold with the log of accepted changes.
+// check compares the outcomes reported to operators and the state of every node with the log of accepted changes.
 func (r *fleetRun) check() {
 	assert.Equal(r.t, r.fleet.Violation, "")
 	store := kvtest.NewStore(r.fleet.Data(), 1)
@@ -149,7 +149,7 @@
 	accepted := map[string]int64{}
 	for i, change := range log {
 		assert.Equal(r.t, change.Revision, int64(len(log)-i))
-		// Each increment was made of the one before it: no update is lost.
+		// Each increment builds on the previous one, so no update is lost.
 		assert.Equal(r.t, string(change.Resources[0].Resource.Value), strconv.Itoa(len(log)-i))
 		_, twice := accepted[change.ID]
 		assert.Assert(r.t, !twice, "%s accepted twice", change.ID)
@@ -178,9 +178,10 @@
 	}
 }
 
-// TestAcceptedChangesHoldEverywhere draws operators that race, lost answers and requests, requests held up, outages, cuts,
-// stops, lost disks, pauses and compactions. The revision never goes down on any node, operators are never told wrong,
-// no update is lost, and in the end every node holds every accepted change.
+// TestAcceptedChangesHoldEverywhere combines random concurrent changes, lost and duplicated messages between nodes, lost answers
+// and lost or rate-limited requests to the key-value service, outages, partitions, stops, lost disks, pauses and compactions. No
+// node's revision may decrease, operators must receive correct outcomes, no update may be lost, and after the faults end every
+// node must have every accepted change.
 func TestAcceptedChangesHoldEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
@@ -190,7 +191,7 @@
 		options.Duplicate = rapid.Float64Range(0, 0.3).Draw(t, "duplicate")
 		run := &fleetRun{t: t, fleet: confsim.New(options), down: map[*confsim.Node]*confsync.State{}}
 		for range rapid.IntRange(5, 40).Draw(t, "actions") {
-			run.act(run.fleet.Zones())
+			run.randomAction(run.fleet.Zones())
 			run.fleet.Run(time.Duration(rapid.IntRange(0, 2000).Draw(t, "milliseconds")) * time.Millisecond)
 		}
 		run.heal(run.fleet.Zones())
@@ -198,7 +199,7 @@
 	})
 }
 
-// coreCopy is a copy without a node.
+// coreCopy implements confsync.LocalCopy with a bare core.
 type coreCopy struct{ core *confsync.Core }
 
 func (c *coreCopy) State() *confsync.State                   { return c.core.State() }
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -10,37 +10,38 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// Timing of a relay's reading of the key-value service.
+// Timing of a relay's reads of the key-value service.
 const (
-	// headPollPeriod is how often the head is read although the watch is silent: a watch may hang unnoticed.
+	// headPollPeriod is how often the head is read in addition to the watch, because a watch may hang undetected.
 	headPollPeriod = 30 * time.Second
-	// relayPeriod is how often a node looks whether it is, or still is, a relay.
-	relayPeriod = 1 * time.Second
-	// aloneGrace is how long a node that has just started and knows no other waits before it takes itself for its zone's
-	// only relay: until membership has joined, every node of a fleet would.
-	aloneGrace = 1 * time.Second
-	// Bounds of the wait after a failure. Each wait is drawn evenly between half its bound and the bound.
-	minFollowDelay = 500 * time.Millisecond
-	maxFollowDelay = 10 * time.Second
+	// relayCheckPeriod is how often a node checks whether it is a relay.
+	relayCheckPeriod = 1 * time.Second
+	// startupGrace is how long a starting node without known peers waits before it may act as its zone's only relay. Without
+	// it, every node of a fleet would act as a relay until it has joined membership.
+	startupGrace = 1 * time.Second
+	// Limits of the exponential backoff after a failure. Each delay is uniformly random between half the current bound and
+	// the bound.
+	minFollowBackoff = 500 * time.Millisecond
+	maxFollowBackoff = 10 * time.Second
 )
 
-// errGap means that a watch skipped a change.
+// errGap reports that a watch skipped a change.
 const errGap = failure.Kind("confsync: a change is missing from the watch")
 
-// errWatchClosed means that a watch ended.
+// errWatchClosed reports that a watch ended.
 const errWatchClosed = failure.Kind("confsync: watch closed")
 
 // follow keeps the copy up to date from the key-value service while this node is a relay.
 func (r *Replica) follow(ctx context.Context) error {
 	if len(r.options.Peers.Peers()) == 0 {
-		_ = sleepContext(ctx, aloneGrace)
+		_ = sleepContext(ctx, startupGrace)
 	}
 	r.refreshPeers()
-	bound := minFollowDelay
+	bound := minFollowBackoff
 	failing := false
 	for ctx.Err() == nil {
 		if !r.Relay() {
-			_ = sleepContext(ctx, relayPeriod)
+			_ = sleepContext(ctx, relayCheckPeriod)
 			continue
 		}
 		started := time.Now()
@@ -48,23 +49,24 @@
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		if time.Since(started) > maxFollowDelay {
-			bound = minFollowDelay
+		if time.Since(started) > maxFollowBackoff {
+			bound = minFollowBackoff
 			failing = false
 		}
 		r.metrics.followRetries.Inc()
 		if !failing {
-			// An outage is told once, not at each retry.
+			// Log an outage once, not at each retry.
 			event.ConfigFollowFailed.Log(r.options.Logger).Err(err).Send()
 		}
 		failing = true
-		_ = sleepContext(ctx, upperHalf(bound))
-		bound = min(2*bound, maxFollowDelay)
+		_ = sleepContext(ctx, jitterUpperHalf(bound))
+		bound = min(2*bound, maxFollowBackoff)
 	}
 	return nil
 }
 
-// followOnce catches up and follows the watch until it fails or this node is no longer a relay; the latter returns nil.
+// followOnce catches up and follows the watch until an error occurs, ctx is done or this node is no longer a relay. It
+// returns nil in the last two cases.
 func (r *Replica) followOnce(ctx context.Context) error {
 	newest, err := r.remote.follow(ctx, r)
 	if err != nil {
@@ -79,12 +81,12 @@
 	event.ConfigFollowing.Log(r.options.Logger).Int64("revision", newest.revision).Send()
 	poll := time.NewTicker(headPollPeriod)
 	defer poll.Stop()
-	relay := time.NewTicker(relayPeriod)
+	relay := time.NewTicker(relayCheckPeriod)
 	defer relay.Stop()
 	for {
 		select {
 		case response, open := <-responses:
-			if err := r.learnResponse(response, open); err != nil {
+			if err := r.applyResponse(response, open); err != nil {
 				return err
 			}
 		case <-poll.C:
@@ -101,19 +103,19 @@
 	}
 }
 
-// learnResponse takes in a response of a watch, or its end.
-func (r *Replica) learnResponse(response kv.WatchResponse, open bool) error {
+// applyResponse processes a watch response; open is false if the watch has closed.
+func (r *Replica) applyResponse(response kv.WatchResponse, open bool) error {
 	if !open {
 		return fmt.Errorf("watch changes: %w", errWatchClosed)
 	}
 	if response.Err != nil {
 		return fmt.Errorf("watch changes: %w", response.Err)
 	}
-	return r.learnEvents(response)
+	return r.applyEvents(response)
 }
 
-// learnEvents takes in the changes of a watch's response; deletions only trim the history.
-func (r *Replica) learnEvents(response kv.WatchResponse) error {
+// applyEvents applies the changes of a watch response. Deletions are skipped because they only trim the history.
+func (r *Replica) applyEvents(response kv.WatchResponse) error {
 	for _, written := range response.Events {
 		if written.Deleted {
 			continue
--- a/internal/confsync/history.go
+++ b/internal/confsync/history.go
@@ -10,15 +10,16 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// History returns up to limit accepted changes with a revision below before, newest first; a before of zero means from
-// the newest on. The last MaxHistory changes are kept. Errors are *failure.Error with CodeConfigUnavailable.
+// History returns up to limit accepted changes with a revision below before, newest first. If before is zero or negative, it
+// starts at the newest change. The last MaxHistory changes are retained. Errors are *failure.Error with CodeConfigUnavailable,
+// or CodeNotFound if the key-value service reports the requested data as compacted.
 func (w *Writer) History(ctx context.Context, before int64, limit int) ([]Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout)
 	defer cancel()
 	if before <= 0 {
 		newest, err := w.remote.head(ctx)
 		if err != nil {
-			return nil, unreadable(err)
+			return nil, historyError(err)
 		}
 		before = newest.revision + 1
 	}
@@ -26,7 +27,7 @@
 	for revision := before - 1; revision > 0 && len(history) < limit; {
 		block, err := w.remote.block(ctx, revision)
 		if err != nil {
-			return nil, unreadable(err)
+			return nil, historyError(err)
 		}
 		kept := slices.DeleteFunc(block, func(change Change) bool { return change.Revision > revision })
 		if len(kept) == 0 {
@@ -39,8 +40,8 @@
 	return history, nil
 }
 
-// At returns the configuration as it stood at a kept revision, worked out backwards from the newest. Errors are
-// *failure.Error: CodeNotFound if the history does not reach back so far, CodeConfigUnavailable.
+// At returns the configuration at a retained revision, computed by undoing changes from the newest state. Errors are
+// *failure.Error: CodeNotFound if the revision does not exist or is no longer retained, or CodeConfigUnavailable.
 func (w *Writer) At(ctx context.Context, revision int64) (*State, error) {
 	_, earlier, err := w.rewind(ctx, revision)
 	return earlier, err
@@ -52,14 +53,14 @@
 	defer cancel()
 	_, newest, err = w.newest(ctx)
 	if err != nil {
-		return nil, nil, unreadable(err)
+		return nil, nil, historyError(err)
 	}
 	if revision > newest.Revision || revision < 0 {
 		return nil, nil, failure.New(failure.CodeNotFound, "there is no revision %d; the newest is %d", revision, newest.Revision)
 	}
 	earlier = newest
 	for earlier.Revision > revision {
-		earlier, err = w.oneBlockBack(ctx, earlier, revision)
+		earlier, err = w.undoBlock(ctx, earlier, revision)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -67,11 +68,11 @@
 	return newest, earlier, nil
 }
 
-// oneBlockBack undoes the changes of the block that state's revision is in, down to the target.
-func (w *Writer) oneBlockBack(ctx context.Context, state *State, target int64) (*State, error) {
+// undoBlock undoes the changes of the block that contains state's revision, down to the target revision.
+func (w *Writer) undoBlock(ctx context.Context, state *State, target int64) (*State, error) {
 	block, err := w.remote.block(ctx, state.Revision)
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, historyError(err)
 	}
 	slices.Reverse(block)
 	from := state.Revision
@@ -86,8 +87,9 @@
 	return state, nil
 }
 
-// Rollback returns a proposal that restores the configuration of an earlier revision as a new change. Expected holds
-// the revisions that the newest state had, so that a change accepted in between is a conflict and never undone unseen.
+// Rollback returns a proposal that restores the configuration of an earlier revision as a new change. Its Expected field has
+// the revisions of the newest state for the affected resources, so that a concurrent change to one of them causes a conflict
+// instead of being overwritten.
 func (w *Writer) Rollback(ctx context.Context, revision int64) (Proposal, error) {
 	current, earlier, err := w.rewind(ctx, revision)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return proposal, nil
 }
 
-func unreadable(cause error) error {
+func historyError(cause error) error {
 	if errors.Is(cause, kv.ErrCompacted) {
 		return failure.New(failure.CodeNotFound, "that part of the history is no longer kept").WithCause(cause)
 	}
--- a/internal/confsync/layout.go
+++ b/internal/confsync/layout.go
@@ -12,12 +12,12 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// ErrCorrupt means that a record cannot be decoded.
+// ErrCorrupt reports that a record cannot be decoded.
 const ErrCorrupt = failure.Kind("confsync: corrupt record")
 
-// Layout of the key-value service. The head and the resources share a prefix, so that one listing reads both at one
-// revision. Changes are numbered in decimal with leading zeros, so that a prefix without the last two digits lists a
-// hundred of them.
+// Key layout in the key-value service. The head and the resources share a prefix, so that one listing reads both at the same
+// revision. Change keys are zero-padded decimal revisions, so that the prefix without the last two digits lists a block of a
+// hundred changes.
 const (
 	statePrefix    = "mallowlatch/config/state/"
 	headKey        = statePrefix + "head"
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s%0*d", changePrefix, changeDigits, revision)
 }
 
-// blockPrefix is the prefix of the hundred changes around the revision.
+// blockPrefix returns the key prefix of the block of a hundred changes that contains the revision.
 func blockPrefix(revision int64) string {
 	key := changeKey(revision)
 	return key[:len(key)-blockDigits]
@@ -43,7 +43,7 @@
 
 func isResourceKey(key string) bool { return strings.HasPrefix(key, resourcePrefix) }
 
-// encode marshals a message of this package, which cannot fail.
+// encode marshals a message of this package. Marshalling these messages cannot fail, so it panics on an error.
 func encode(message proto.Message) []byte {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return changeFromWire(&wire), nil
 }
 
-// withoutPrevious returns the change as nodes keep and spread it.
+// withoutPrevious returns the change without previous resources, as nodes store and exchange it.
 func (c Change) withoutPrevious() Change {
 	stripped := c
 	stripped.Resources = make([]ChangedResource, len(c.Resources))
--- a/internal/confsync/metrics.go
+++ b/internal/confsync/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of a Replica. Bytes count the messages themselves, without framing, encryption and headers.
+// metrics are the gauges and counters of a Replica. Byte counts exclude framing, encryption and headers.
 type metrics struct {
 	revision      prometheus.Gauge
 	inForce       prometheus.Gauge
--- a/internal/confsync/publisher.go
+++ b/internal/confsync/publisher.go
@@ -9,18 +9,18 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 )
 
-// publisher decodes states and puts them in force. Decoding a large configuration takes tens of milliseconds, so it never
-// happens under a lock that readers of the snapshot or exchanges with other nodes need.
+// publisher decodes states and puts the resulting snapshots in force. Decoding a large configuration takes tens of
+// milliseconds, so it does not run under a lock that snapshot readers or exchanges with other nodes need.
 type publisher struct {
 	decode  Decode
 	logger  zerolog.Logger
 	metrics *metrics
 
-	// decoding is held while a state is decoded, so that snapshots are published in revision order. Those who wait for it
-	// find the newest state, so that a burst of changes is decoded a few times and not once for each.
+	// decoding is locked while a state is decoded, so that snapshots are published in revision order. Each caller reads the
+	// newest state after acquiring it, so that a burst of changes needs only a few decodes instead of one per change.
 	decoding sync.Mutex
-	// tried is the newest revision that was decoded or could not be; guarded by decoding.
-	tried int64
+	// lastAttempted is the newest revision for which decoding was attempted; guarded by decoding.
+	lastAttempted int64
 
 	mutex    sync.Mutex
 	snapshot *catalog.Snapshot
@@ -37,15 +37,16 @@
 	}
 }
 
-// publish puts the newest state in force, unless it already was, and returns once that is done.
+// publish decodes the newest state and puts it in force before it returns, unless decoding that revision was already
+// attempted. If decoding fails, the previous snapshot stays in force.
 func (p *publisher) publish(newest func() *State) {
 	p.decoding.Lock()
 	defer p.decoding.Unlock()
 	state := newest()
-	if state.Revision <= p.tried {
+	if state.Revision <= p.lastAttempted {
 		return
 	}
-	p.tried = state.Revision
+	p.lastAttempted = state.Revision
 	snapshot, err := p.decode(state)
 	if err != nil {
 		event.ConfigDecodeFailed.Log(p.logger).Int64("revision", state.Revision).Err(err).Send()
--- a/internal/confsync/remote.go
+++ b/internal/confsync/remote.go
@@ -8,16 +8,16 @@
 	"mallowlatch.example/mallowlatch/internal/kv"
 )
 
-// maxBlocks is how many listings of a hundred changes a node that fell behind reads before it takes the whole state.
+// maxBlocks is the number of hundred-change blocks a stale copy reads before it reads the whole state instead.
 const maxBlocks = 3
 
-// head is the newest accepted change, and the service's own revision of that record.
+// head identifies the newest accepted change and the key-value revision of the head record (modRevision).
 type head struct {
 	revision    int64
 	changeID    string
 	chain       uint64
 	modRevision int64
-	// readRevision is the service's revision that the record was read at; a watch may start after it.
+	// readRevision is the key-value revision at which the record was read; a watch may start after it.
 	readRevision int64
 }
 
@@ -26,14 +26,14 @@
 	store kv.Store
 }
 
-// CatchUp brings a copy up to date with the key-value service. It costs two calls when the copy is behind, one when it is
-// not, and never takes the copy back.
+// CatchUp brings a copy up to date with the key-value service and never reverts it. It makes one call if the copy is current,
+// and up to maxBlocks+1 more if it is behind: two calls in total when the missing changes are in one block.
 func CatchUp(ctx context.Context, store kv.Store, local LocalCopy) error {
 	_, err := remote{store: store}.follow(ctx, local)
 	return err
 }
 
-// follow brings the copy up to date and returns the head it caught up with.
+// follow brings the copy up to date and returns the head that it read.
 func (r remote) follow(ctx context.Context, local LocalCopy) (head, error) {
 	newest, err := r.head(ctx)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return newest, r.catchUp(ctx, local, newest.revision)
 }
 
-// head reads the head record; a service without one is at revision zero. It lists rather than gets the one key, because
-// a listing says which revision of the service it was read at: the record's own revision may be compacted long since.
+// head reads the head record; if there is none, the revision is zero. It uses List instead of Get because a listing returns
+// the key-value revision at which it was read. The record's own modification revision may already be compacted.
 func (r remote) head(ctx context.Context) (head, error) {
 	pairs, readRevision, err := r.store.List(ctx, headKey)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	newest := head{}
 	if len(pairs) > 0 {
-		if newest, err = headOf(pairs[0]); err != nil {
+		if newest, err = decodeHead(pairs[0]); err != nil {
 			return head{}, err
 		}
 	}
@@ -59,7 +59,7 @@
 	return newest, nil
 }
 
-func headOf(pair kv.Pair) (head, error) {
+func decodeHead(pair kv.Pair) (head, error) {
 	var wire confsyncpb.Head
 	if err := decode(pair.Value, &wire); err != nil {
 		return head{}, fmt.Errorf("configuration head: %w", err)
@@ -72,7 +72,7 @@
 	}, nil
 }
 
-// change reads one change record, or kv.ErrNotFound if there is none or it has been trimmed.
+// change reads one change record. It returns kv.ErrNotFound if the record does not exist or has been trimmed.
 func (r remote) change(ctx context.Context, revision int64) (Change, error) {
 	pair, err := r.store.Get(ctx, changeKey(revision))
 	if err != nil {
@@ -81,7 +81,7 @@
 	return decodeChange(pair.Value)
 }
 
-// block reads the kept changes of the hundred around the revision, in order.
+// block reads the retained changes of the block that contains the revision, in order.
 func (r remote) block(ctx context.Context, revision int64) ([]Change, error) {
 	pairs, _, err := r.store.List(ctx, blockPrefix(revision))
 	if err != nil {
@@ -98,7 +98,7 @@
 	return changes, nil
 }
 
-// state reads the head and every resource at one revision of the service.
+// state reads the head and every resource at one key-value revision.
 func (r remote) state(ctx context.Context) (*State, error) {
 	pairs, _, err := r.store.List(ctx, statePrefix)
 	if err != nil {
@@ -108,7 +108,7 @@
 	var resources []Resource
 	for _, pair := range pairs {
 		if !isResourceKey(pair.Key) {
-			if newest, err = headOf(pair); err != nil {
+			if newest, err = decodeHead(pair); err != nil {
 				return nil, err
 			}
 			continue
@@ -122,8 +122,8 @@
 	return NewState(newest.revision, newest.chain, resources), nil
 }
 
-// catchUp brings the copy to at least the target revision: by the changes between if they are few and kept, else by
-// the whole state.
+// catchUp brings the copy to the target revision or a newer one. It reads individual changes if they are retained and span at
+// most maxBlocks blocks, and the whole state otherwise.
 func (r remote) catchUp(ctx context.Context, local LocalCopy, target int64) error {
 	for range maxBlocks {
 		from := local.State().Revision + 1
@@ -136,7 +136,7 @@
 		}
 		local.Learn(changes)
 		if local.State().Revision < from {
-			// The change after ours has been trimmed.
+			// The change that follows the copy's revision has been trimmed.
 			break
 		}
 	}
--- a/internal/confsync/replica.go
+++ b/internal/confsync/replica.go
@@ -16,29 +16,29 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// peerPeriod is how often the list of live peers is read.
-const peerPeriod = 500 * time.Millisecond
+// peerRefreshPeriod is how often the list of live peers is read.
+const peerRefreshPeriod = 500 * time.Millisecond
 
-// Options make a Replica. Self, Store, Peers and Dialer are required.
+// Options configure a Replica. Self, Store, Peers and Dialer are required.
 type Options struct {
 	Self   Peer
 	Store  kv.Store
 	Peers  PeerSource
 	Dialer transport.Dialer
-	// Decode makes the catalog snapshot of a state; nil means an empty snapshot at the state's revision.
+	// Decode decodes a state into a catalog snapshot; if nil, the snapshot is empty and has the state's revision.
 	Decode Decode
-	// DataDir is where the last copy is saved; empty means that nothing is written to disk.
+	// DataDir is the directory in which the newest copy is saved; if empty, nothing is written to disk.
 	DataDir    string
 	Logger     zerolog.Logger
 	Registerer prometheus.Registerer
-	// Timing is DefaultTiming if zero.
+	// Timing defaults to DefaultTiming if zero.
 	Timing Timing
-	// Seed drives the choice of peers; nodes need different ones.
+	// Seed seeds the random choice of peers and must differ between nodes.
 	Seed uint64
 }
 
-// Replica is a node's copy of the configuration. It implements catalog.Source and LocalCopy and is safe for concurrent
-// use. It is usable before Run, which feeds it.
+// Replica is a node's copy of the configuration. It implements catalog.Source and LocalCopy and is safe for concurrent use. It
+// can be used before Run, which keeps it up to date.
 type Replica struct {
 	options Options
 	remote  remote
@@ -49,11 +49,11 @@
 
 	mutex sync.Mutex
 	core  *Core
-	// advanced is closed when the copy's revision grows, whether or not it could be decoded.
+	// advanced is closed and replaced when the copy's revision increases, whether or not the state can be decoded.
 	advanced chan struct{}
-	// heard is closed at the next input of the core.
-	heard  chan struct{}
-	warned bool
+	// inputReceived is closed and replaced after each input to the core.
+	inputReceived    chan struct{}
+	divergenceLogged bool
 }
 
 var (
@@ -61,39 +61,40 @@
 	_ LocalCopy      = (*Replica)(nil)
 )
 
-// NewReplica returns a copy: empty, or the one saved in the data folder.
+// NewReplica returns a replica with the copy saved in the data directory, or with an empty copy if there is none.
 func NewReplica(options Options) (*Replica, error) {
 	if options.Timing == (Timing{}) {
 		options.Timing = DefaultTiming()
 	}
 	if options.Decode == nil {
-		options.Decode = decodeNothing
+		options.Decode = decodeEmpty
 	}
 	registered, err := newMetrics(options.Registerer)
 	if err != nil {
 		return nil, fmt.Errorf("new configuration replica: %w", err)
 	}
 	replica := &Replica{
-		options:   options,
-		remote:    remote{store: options.Store},
-		metrics:   registered,
-		wake:      make(chan struct{}, 1),
-		core:      NewCore(options.Self, options.Timing, options.Seed, time.Now()),
-		publisher: newPublisher(options, registered),
-		advanced:  make(chan struct{}),
-		heard:     make(chan struct{}),
+		options:       options,
+		remote:        remote{store: options.Store},
+		metrics:       registered,
+		wake:          make(chan struct{}, 1),
+		core:          NewCore(options.Self, options.Timing, options.Seed, time.Now()),
+		publisher:     newPublisher(options, registered),
+		advanced:      make(chan struct{}),
+		inputReceived: make(chan struct{}),
 	}
 	replica.load()
 	return replica, nil
 }
 
-func decodeNothing(state *State) (*catalog.Snapshot, error) {
+func decodeEmpty(state *State) (*catalog.Snapshot, error) {
 	snapshot := catalog.Empty()
 	snapshot.Revision = state.Revision
 	return snapshot, nil
 }
 
-// Run feeds the copy from peers and, on relays, from the key-value service, until ctx ends.
+// Run keeps the copy up to date from peers and, on relays, from the key-value service until ctx is done. If a data directory
+// is set, it also saves the copy to disk.
 func (r *Replica) Run(ctx context.Context) error {
 	supervisor, running := tomb.WithContext(ctx)
 	supervisor.Go(func() error {
@@ -149,15 +150,15 @@
 	return r.core.Relay()
 }
 
-// update runs one input of the core and has its messages sent. If the revision grew, it returns once the newest state is in
-// force.
+// update passes one input to the core and wakes the sender of its messages. If the revision increased, it returns after an
+// attempt to put the newest state in force.
 func (r *Replica) update(input func(core *Core, now time.Time)) {
 	if r.updateCore(input) {
 		r.publisher.publish(r.State)
 	}
 }
 
-// updateCore runs one input of the core and reports whether the revision grew.
+// updateCore passes one input to the core and reports whether the revision increased.
 func (r *Replica) updateCore(input func(core *Core, now time.Time)) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -169,12 +170,12 @@
 		close(r.advanced)
 		r.advanced = make(chan struct{})
 	}
-	if r.core.Diverged() && !r.warned {
-		r.warned = true
+	if r.core.Diverged() && !r.divergenceLogged {
+		r.divergenceLogged = true
 		event.ConfigDiverged.Log(r.options.Logger).Int64("revision", revision).Send()
 	}
-	close(r.heard)
-	r.heard = make(chan struct{})
+	close(r.inputReceived)
+	r.inputReceived = make(chan struct{})
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -182,19 +183,19 @@
 	return revision > before
 }
 
-// AwaitHeld waits until another node is known to hold the revision, and reports whether one is. It does not wait if there
-// is no other node.
+// AwaitHeld waits until another node is known to have the revision or ctx is done, and reports whether one has it. It returns
+// at once if there are no peers.
 func (r *Replica) AwaitHeld(ctx context.Context, revision int64) bool {
 	for {
 		r.mutex.Lock()
 		held, alone := r.core.Held(revision), len(r.core.peers) == 0
-		heard := r.heard
+		inputReceived := r.inputReceived
 		r.mutex.Unlock()
 		if held || alone {
 			return held
 		}
 		select {
-		case <-heard:
+		case <-inputReceived:
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/confsync/replica_test.go
+++ b/internal/confsync/replica_test.go
@@ -25,8 +25,8 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// site is a few real replicas that call each other over in-memory connections and a real stand-in over HTTP.
-type site struct {
+// cluster runs replicas that call each other over in-memory connections and a simulated key-value service over HTTP.
+type cluster struct {
 	t       *testing.T
 	ctx     context.Context
 	service *kvsim.Server
@@ -34,11 +34,11 @@
 	bytes   atomic.Int64
 
 	mutex sync.Mutex
-	nodes map[ident.Node]*siteNode
+	nodes map[ident.Node]*clusterNode
 }
 
-type siteNode struct {
-	site    *site
+type clusterNode struct {
+	cluster *cluster
 	peer    confsync.Peer
 	server  *drpcserver.Server
 	replica *confsync.Replica
@@ -49,14 +49,14 @@
 	conns   map[ident.Node]drpc.Conn
 }
 
-func newSite(t *testing.T) *site {
+func newCluster(t *testing.T) *cluster {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	service := kvsim.New(1)
 	listener := httptest.NewServer(service.Handler())
-	created := &site{t: t, ctx: ctx, service: service, url: listener.URL, nodes: map[ident.Node]*siteNode{}}
+	created := &cluster{t: t, ctx: ctx, service: service, url: listener.URL, nodes: map[ident.Node]*clusterNode{}}
 	t.Cleanup(func() {
 		for _, node := range created.nodes {
-			node.end()
+			node.shutdown()
 		}
 		cancel()
 		listener.CloseClientConnections()
@@ -65,12 +65,12 @@
 	return created
 }
 
-// start starts a node; a data folder may be empty.
-func (s *site) start(name ident.Node, zone ident.Zone, dataDir string) *siteNode {
+// start starts a node; if dataDir is empty, the node saves nothing to disk.
+func (s *cluster) start(name ident.Node, zone ident.Zone, dataDir string) *clusterNode {
 	store, err := etcdhttp.New([]string{s.url}, etcdhttp.WithClientName(string(name)), etcdhttp.WithCallTimeout(time.Second))
 	assert.NilError(s.t, err)
-	node := &siteNode{
-		site:    s,
+	node := &clusterNode{
+		cluster: s,
 		peer:    confsync.Peer{Node: name, Zone: zone},
 		conns:   map[ident.Node]drpc.Conn{},
 		stopped: make(chan struct{}),
@@ -97,20 +97,20 @@
 	return node
 }
 
-func (n *siteNode) end() {
-	n.site.mutex.Lock()
-	delete(n.site.nodes, n.peer.Node)
-	n.site.mutex.Unlock()
+func (n *clusterNode) shutdown() {
+	n.cluster.mutex.Lock()
+	delete(n.cluster.nodes, n.peer.Node)
+	n.cluster.mutex.Unlock()
 	n.stop()
 	<-n.stopped
 }
 
 // Peers implements confsync.PeerSource.
-func (n *siteNode) Peers() []confsync.Peer {
-	n.site.mutex.Lock()
-	defer n.site.mutex.Unlock()
+func (n *clusterNode) Peers() []confsync.Peer {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
 	var peers []confsync.Peer
-	for _, other := range n.site.nodes {
+	for _, other := range n.cluster.nodes {
 		if other != n {
 			peers = append(peers, other.peer)
 		}
@@ -119,10 +119,10 @@
 }
 
 // Conn implements transport.Dialer.
-func (n *siteNode) Conn(_ context.Context, to ident.Node) (drpc.Conn, error) {
-	n.site.mutex.Lock()
-	callee := n.site.nodes[to]
-	n.site.mutex.Unlock()
+func (n *clusterNode) Conn(_ context.Context, to ident.Node) (drpc.Conn, error) {
+	n.cluster.mutex.Lock()
+	callee := n.cluster.nodes[to]
+	n.cluster.mutex.Unlock()
 	if callee == nil {
 		return nil, transport.ErrUnknownNode
 	}
@@ -136,8 +136,8 @@
 		}
 	}
 	near, far := net.Pipe()
-	go func() { _ = callee.server.ServeOne(n.site.ctx, far) }()
-	n.conns[to] = drpcconn.New(&countingConn{Conn: near, bytes: &n.site.bytes})
+	go func() { _ = callee.server.ServeOne(n.cluster.ctx, far) }()
+	n.conns[to] = drpcconn.New(&countingConn{Conn: near, bytes: &n.cluster.bytes})
 	return n.conns[to], nil
 }
 
@@ -157,102 +157,103 @@
 	return c.Conn.Write(buffer)
 }
 
-// settle waits until a node has the revision in force.
-func (n *siteNode) settle(revision int64) {
-	n.site.t.Helper()
+// awaitInForce waits until the node has the revision in force.
+func (n *clusterNode) awaitInForce(revision int64) {
+	n.cluster.t.Helper()
 	for n.replica.Current().Revision < revision {
 		select {
 		case <-n.replica.Changed(revision - 1):
-		case <-n.site.ctx.Done():
-			n.site.t.Fatalf("%s stayed at revision %d, want %d", n.peer.Node, n.replica.Current().Revision, revision)
+		case <-n.cluster.ctx.Done():
+			n.cluster.t.Fatalf("%s stayed at revision %d, want %d", n.peer.Node, n.replica.Current().Revision, revision)
 		}
 	}
 }
 
-// TestReplicasOverRealCalls runs six nodes in two zones: a change is in force everywhere, spreads during an outage, reaches
-// a node that starts empty and one that starts from its disk, and a lost answer is resolved.
+// TestReplicasOverRealCalls runs six nodes in two zones. A change must come into force on every node, propagate during an
+// outage, and reach a node that starts empty. A node restarted from disk must serve its saved copy, and a commit whose answer
+// is lost must be resolved.
 func TestReplicasOverRealCalls(t *testing.T) {
-	// The folder is made first, so that it is removed after the nodes have ended.
+	// The directory is created first so that it is removed after the nodes have stopped.
 	dataDir := t.TempDir()
-	site := newSite(t)
-	nodes := []*siteNode{site.start("a0", "a", dataDir)}
+	cluster := newCluster(t)
+	nodes := []*clusterNode{cluster.start("a0", "a", dataDir)}
 	for i := range 5 {
-		nodes = append(nodes, site.start(ident.Node(fmt.Sprint("n", i)), ident.Zone("ab"[i%2:i%2+1]), ""))
+		nodes = append(nodes, cluster.start(ident.Node(fmt.Sprint("n", i)), ident.Zone("ab"[i%2:i%2+1]), ""))
 	}
-	change, err := nodes[3].writer.Apply(site.ctx, put("a", "1"))
+	change, err := nodes[3].writer.Apply(cluster.ctx, put("a", "1"))
 	assert.NilError(t, err)
 	for _, node := range nodes {
-		node.settle(change.Revision)
+		node.awaitInForce(change.Revision)
 	}
-	status, err := nodes[1].replica.WaitInForce(site.ctx, change.Revision)
+	status, err := nodes[1].replica.WaitInForce(cluster.ctx, change.Revision)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, status, confsync.Status{Revision: 1, Zones: []confsync.ZoneStatus{
 		{Zone: "a", Reachable: true, LowestRevision: 1, Nodes: 4},
 		{Zone: "b", Reachable: true, LowestRevision: 1, Nodes: 2},
 	}})
 
-	site.service.SetFaults(kvsim.Faults{LoseNextAnswers: 1})
-	change, err = nodes[2].writer.Apply(site.ctx, put("b", "1"))
+	cluster.service.SetFaults(kvsim.Faults{LoseNextAnswers: 1})
+	change, err = nodes[2].writer.Apply(cluster.ctx, put("b", "1"))
 	assert.NilError(t, err)
 	assert.Equal(t, change.Revision, int64(2))
 
-	// The service goes away right after the answer: the change still spreads, new ones are refused as not accepted.
-	site.service.SetFaults(kvsim.Faults{Outage: kvsim.OutageRefuse})
+	// The service fails right after the answer: the change must still propagate, and new changes must be rejected.
+	cluster.service.SetFaults(kvsim.Faults{Outage: kvsim.OutageRefuse})
 	for _, node := range nodes {
-		node.settle(2)
+		node.awaitInForce(2)
 	}
-	_, err = nodes[2].writer.Apply(site.ctx, put("c", "1"))
+	_, err = nodes[2].writer.Apply(cluster.ctx, put("c", "1"))
 	assert.Equal(t, failure.As(err).Code, failure.CodeConfigUnavailable)
-	nodes[5].end()
-	site.start("n4", "a", "").settle(2)
+	nodes[5].shutdown()
+	cluster.start("n4", "a", "").awaitInForce(2)
 
-	// A restart from disk serves the saved revision before anything was heard from others.
-	waitForSaved(t, site, dataDir, 2)
-	nodes[0].end()
-	restarted := site.start("a0", "a", dataDir)
+	// A node restarted from disk serves the saved revision before it has received any message.
+	waitForSaved(t, cluster, dataDir, 2)
+	nodes[0].shutdown()
+	restarted := cluster.start("a0", "a", dataDir)
 	assert.Equal(t, restarted.replica.Current().Revision, int64(2))
 
-	site.service.SetFaults(kvsim.Faults{})
-	change, err = restarted.writer.Apply(site.ctx, put("c", "1"))
+	cluster.service.SetFaults(kvsim.Faults{})
+	change, err = restarted.writer.Apply(cluster.ctx, put("c", "1"))
 	assert.NilError(t, err)
-	restarted.settle(change.Revision)
+	restarted.awaitInForce(change.Revision)
 }
 
-// TestRelayFollowsThroughFaults has a lone relay follow changes made by another client through dropped watches, lost
-// answers, and a cut during which 350 changes are made and their history compacted.
+// TestRelayFollowsThroughFaults has a single relay follow changes made by another client through dropped watches, lost answers,
+// and a partition during which 350 changes are made and the key-value service is compacted.
 func TestRelayFollowsThroughFaults(t *testing.T) {
-	site := newSite(t)
-	relay := site.start("relay", "a", "")
-	store, err := etcdhttp.New([]string{site.url}, etcdhttp.WithClientName("other"))
+	cluster := newCluster(t)
+	relay := cluster.start("relay", "a", "")
+	store, err := etcdhttp.New([]string{cluster.url}, etcdhttp.WithClientName("other"))
 	assert.NilError(t, err)
 	other := confsync.NewWriter(store, &coreCopy{newCore("other")})
 	apply := func(count int) int64 {
 		var change confsync.Change
 		for i := range count {
-			change, err = other.Apply(site.ctx, put(fmt.Sprint(i%10), "value"))
+			change, err = other.Apply(cluster.ctx, put(fmt.Sprint(i%10), "value"))
 			assert.NilError(t, err)
 		}
 		return change.Revision
 	}
-	relay.settle(apply(3))
+	relay.awaitInForce(apply(3))
 	for range 3 {
-		site.service.DropWatches()
-		site.service.SetFaults(kvsim.Faults{LoseNextAnswers: 1})
-		relay.settle(apply(2))
+		cluster.service.DropWatches()
+		cluster.service.SetFaults(kvsim.Faults{LoseNextAnswers: 1})
+		relay.awaitInForce(apply(2))
 	}
-	site.service.SetFaults(kvsim.Faults{CutOffClients: []string{"relay"}})
+	cluster.service.SetFaults(kvsim.Faults{CutOffClients: []string{"relay"}})
 	last := apply(350)
 	assert.Assert(t, relay.replica.Current().Revision < last)
-	site.service.Data().Compact(site.service.Data().Revision())
-	site.service.SetFaults(kvsim.Faults{})
-	relay.settle(last)
+	cluster.service.Data().Compact(cluster.service.Data().Revision())
+	cluster.service.SetFaults(kvsim.Faults{})
+	relay.awaitInForce(last)
 	assert.Equal(t, relay.replica.State().Len(), 10)
-	relay.settle(apply(1))
+	relay.awaitInForce(apply(1))
 }
 
-// waitForSaved waits until a copy of the revision can be loaded from the data folder.
-func waitForSaved(t *testing.T, site *site, dataDir string, revision int64) {
-	for site.ctx.Err() == nil {
+// waitForSaved waits until a copy at the revision can be loaded from the data directory.
+func waitForSaved(t *testing.T, cluster *cluster, dataDir string, revision int64) {
+	for cluster.ctx.Err() == nil {
 		loaded, err := confsync.NewReplica(confsync.Options{Self: confsync.Peer{Node: "x", Zone: "x"}, DataDir: dataDir})
 		assert.NilError(t, err)
 		if loaded.State().Revision == revision {
@@ -263,13 +264,13 @@
 	t.Fatal("the copy was not saved")
 }
 
-// TestUndecodableRevisionKeepsTheLast has a node that cannot decode a revision: it serves from the last one it could, still
-// passes the copy on, and reports itself behind.
+// TestUndecodableRevisionKeepsTheLast installs a revision that cannot be decoded. The node must continue to serve the last
+// decodable revision, advance its copy, report itself as behind, and serve the next decodable revision.
 func TestUndecodableRevisionKeepsTheLast(t *testing.T) {
 	undecodable := failure.Kind("cannot decode")
 	replica, err := confsync.NewReplica(confsync.Options{
 		Self:  confsync.Peer{Node: "x", Zone: "x"},
-		Peers: &siteNode{site: &site{}},
+		Peers: &clusterNode{cluster: &cluster{}},
 		Decode: func(state *confsync.State) (*catalog.Snapshot, error) {
 			if state.Revision == 2 {
 				return nil, fmt.Errorf("revision 2: %w", undecodable)
@@ -290,9 +291,9 @@
 	assert.Equal(t, replica.Current().Revision, int64(3))
 }
 
-// TestSlowDecodeHoldsUpNobody holds the decoding of a revision: the last snapshot can still be read, the copy still learns,
-// and of what it learned meanwhile only the newest is decoded.
-func TestSlowDecodeHoldsUpNobody(t *testing.T) {
+// TestSlowDecodeBlocksNoReaders blocks the decoding of a revision. Meanwhile the previous snapshot must stay readable and the
+// copy must accept newer states, of which only the newest is decoded afterwards.
+func TestSlowDecodeBlocksNoReaders(t *testing.T) {
 	decoding, release := make(chan int64, 10), make(chan struct{})
 	replica, err := confsync.NewReplica(confsync.Options{
 		Self: confsync.Peer{Node: "x", Zone: "x"},
@@ -305,11 +306,11 @@
 		},
 	})
 	assert.NilError(t, err)
-	var learned sync.WaitGroup
-	learn := func(revision int64) {
-		learned.Go(func() { replica.Install(confsync.NewState(revision, 1, nil)) })
+	var installed sync.WaitGroup
+	install := func(revision int64) {
+		installed.Go(func() { replica.Install(confsync.NewState(revision, 1, nil)) })
 	}
-	learn(1)
+	install(1)
 	assert.Equal(t, <-decoding, int64(1))
 	read := make(chan int64)
 	go func() { read <- replica.Current().Revision }()
@@ -320,13 +321,13 @@
 		t.Fatal("readers wait for the decoder")
 	}
 	for revision := int64(2); revision <= 9; revision++ {
-		learn(revision)
+		install(revision)
 	}
 	for replica.State().Revision < 9 {
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
-	learned.Wait()
+	installed.Wait()
 	assert.Equal(t, replica.Current().Revision, int64(9))
 	assert.Equal(t, <-decoding, int64(9))
 	assert.Equal(t, len(decoding), 0)
--- a/internal/confsync/resource.go
+++ b/internal/confsync/resource.go
@@ -1,8 +1,11 @@
-// Package confsync distributes configuration. Accepted changes form one dense sequence of revisions, ordered by
-// compare-and-swap on a head record in the key-value service; every node keeps a copy that only moves forward along that
-// sequence, fed by a few watchers and by exchanges between nodes.
+// Package confsync distributes configuration to all nodes. Accepted changes have consecutive revisions, ordered by
+// compare-and-swap on a head record in the key-value service. Every node has a copy whose revision never decreases. A few
+// relays per zone watch the key-value service, and nodes exchange digests, changes and snapshots with each other, so that
+// accepted changes propagate during an outage of the service.
 //
-// Writer accepts changes. Replica is a node's copy. Core is the copy's decision logic, apart from I/O.
+// Writer accepts changes and reads and rolls back the history. Replica is a node's copy; it publishes decoded catalog
+// snapshots, saves the copy to disk and reports which nodes have a revision in force. Core is the copy's decision logic
+// without I/O.
 package confsync
 
 import (
@@ -21,39 +24,40 @@
 	Name string
 }
 
-// Resource is one configuration resource, not decoded. Its Value must not be changed.
+// Resource is one configuration resource in encoded form. Its Value must not be modified.
 type Resource struct {
 	Kind catalog.Kind
 	Name string
-	// Revision is that of the change which last wrote the resource.
+	// Revision is the revision of the change that last wrote the resource.
 	Revision int64
 	Value    []byte
-	// Deleted marks the record of a deletion inside a Change; a State holds no deleted resources.
+	// Deleted marks a deletion inside a Change; a State contains no deleted resources.
 	Deleted bool
 }
 
-// Key returns the resource's name.
+// Key returns the resource's kind and name.
 func (r Resource) Key() Key { return Key{Kind: r.Kind, Name: r.Name} }
 
-// ChangedResource is a resource as a change leaves it, and as it was before.
+// ChangedResource is a resource after a change and before it.
 type ChangedResource struct {
 	Resource Resource
-	// Previous is set only in changes read by Writer.History, and is nil if the resource did not exist.
+	// Previous is nil if the resource did not exist. It is set only in prepared changes and in change records, which
+	// Writer.History and Writer.DryRun return; nodes do not store or exchange it.
 	Previous *Resource
 }
 
-// Change is one accepted change of one or more resources, all in force together.
+// Change is one accepted change of one or more resources, which take effect together.
 type Change struct {
-	// Revision is one more than that of the change before.
+	// Revision is one more than the revision of the previous change.
 	Revision int64
-	// ID is unique to the proposal, so that a lost answer can be resolved and a resend recognised.
+	// ID is unique to the proposal, so that a lost answer can be resolved and a resend can be recognised.
 	ID        string
 	Author    string
 	Comment   string
 	At        time.Time
 	Resources []ChangedResource
-	// Chain is a digest over the identifiers of this change and all before it; copies at one revision that differ in
-	// it have diverged, which only a key-value service that lost its data can cause.
+	// Chain is a digest over the identifiers of this change and all previous ones. Copies at the same revision with different
+	// chains have diverged, which can only happen if the key-value service lost data.
 	Chain uint64
 }
 
@@ -64,10 +68,10 @@
 	resources map[Key]Resource
 }
 
-// EmptyState returns the configuration before the first change.
+// EmptyState returns the state before the first change, at revision zero.
 func EmptyState() *State { return &State{resources: map[Key]Resource{}} }
 
-// NewState returns a state of the given resources.
+// NewState returns a state with the given resources.
 func NewState(revision int64, chain uint64, resources []Resource) *State {
 	state := &State{Revision: revision, Chain: chain, resources: make(map[Key]Resource, len(resources))}
 	for _, resource := range resources {
@@ -76,13 +80,13 @@
 	return state
 }
 
-// Get returns a resource.
+// Get returns the resource with the key and whether it exists.
 func (s *State) Get(key Key) (Resource, bool) {
 	resource, exists := s.resources[key]
 	return resource, exists
 }
 
-// Len returns how many resources there are.
+// Len returns the number of resources.
 func (s *State) Len() int { return len(s.resources) }
 
 // Resources returns every resource, ordered by kind and name.
@@ -122,7 +126,7 @@
 	return next
 }
 
-// before returns the state before a change that carries its previous resources.
+// before returns the state before the change, which must include its previous resources. The result has no Chain.
 func (s *State) before(change Change) *State {
 	earlier := &State{Revision: change.Revision - 1, resources: maps.Clone(s.resources)}
 	for _, changed := range change.Resources {
@@ -135,18 +139,18 @@
 	return earlier
 }
 
-// Decode makes a catalog snapshot of a state, at the state's revision. An error keeps the node on the snapshot it has:
-// the copy itself still moves and spreads.
+// Decode decodes a state into a catalog snapshot at the state's revision. On an error the node continues to serve its current
+// snapshot, while its copy still advances and propagates to other nodes.
 type Decode func(state *State) (*catalog.Snapshot, error)
 
-// Peer is another live node.
+// Peer identifies a node and its zone.
 type Peer struct {
 	Node ident.Node
 	Zone ident.Zone
 }
 
-// PeerSource lists the live nodes other than this one, by this node's own view. Membership implements it. A list that is
-// the same in order saves the work of choosing relays anew.
+// PeerSource lists the other live nodes according to this node's view. Membership implements it. The order of the list should
+// be stable, because relays are chosen again whenever the list or its order changes.
 type PeerSource interface {
 	Peers() []Peer
 }
--- a/internal/confsync/saved.go
+++ b/internal/confsync/saved.go
@@ -19,13 +19,13 @@
 const (
 	savedFolder = "confsync"
 	savedFile   = "copy.pb"
-	// checksumBytes is the length of the checksum in front of the saved copy.
+	// checksumBytes is the length of the checksum that precedes the saved copy.
 	checksumBytes = 8
-	// savePeriod is the least time between two saves, so that a burst of changes is written once.
+	// savePeriod is the minimum interval between two saves; it combines a burst of changes into fewer writes.
 	savePeriod = 1 * time.Second
 )
 
-// save writes the copy to disk after it has changed, until ctx ends.
+// save writes the copy to disk whenever its revision increases, until ctx is done.
 func (r *Replica) save(ctx context.Context) error {
 	saved := r.State().Revision
 	for ctx.Err() == nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// load takes in the saved copy, if there is one. An old one is harmless: it is caught up like any stale copy.
+// load installs the saved copy, if there is one. An outdated copy is safe: it catches up like any stale copy.
 func (r *Replica) load() {
 	if r.options.DataDir == "" {
 		return
@@ -65,8 +65,8 @@
 	r.Install(state)
 }
 
-// writeSaved replaces the saved copy. The new file is on disk before it takes the name of the old one, so that a crash
-// leaves one of the two whole.
+// writeSaved replaces the saved copy atomically. The new file is synced to disk before it is renamed over the old one, so that
+// a crash leaves either the old or the new file complete.
 func writeSaved(dataDir string, state *State) error {
 	folder := filepath.Join(dataDir, savedFolder)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
--- a/internal/confsync/server.go
+++ b/internal/confsync/server.go
@@ -8,21 +8,21 @@
 	"mallowlatch.example/mallowlatch/internal/confsync/confsyncpb"
 )
 
-// snapshotPartBytes bounds the values in one part of a whole copy, beyond its first resource.
+// snapshotPartBytes is the total value size at which a snapshot part is sent.
 const snapshotPartBytes = 64 << 10
 
-// server answers other nodes.
+// server implements the RPC service that other nodes call.
 type server struct {
 	replica *Replica
 }
 
-// Exchange implements the service.
+// Exchange answers a peer's digest.
 func (s *server) Exchange(_ context.Context, wire *confsyncpb.Digest) (*confsyncpb.Delta, error) {
 	digest := digestFromWire(wire)
 	var delta Delta
 	s.replica.update(func(core *Core, now time.Time) {
 		if digest.From.Node == "" {
-			// A question for a report, not a copy to compare with.
+			// A digest without a node name only queries the revision for a status report.
 			delta = Delta{Revision: core.State().Revision, Chain: core.State().Chain}
 			return
 		}
@@ -33,7 +33,7 @@
 	return answer, nil
 }
 
-// Snapshot implements the service.
+// Snapshot streams the whole copy in parts.
 func (s *server) Snapshot(_ *confsyncpb.SnapshotRequest, stream confsyncpb.DRPCSync_SnapshotStream) error {
 	state := s.replica.State()
 	part := &confsyncpb.SnapshotPart{Revision: state.Revision, Chain: state.Chain}
@@ -50,14 +50,14 @@
 		part = &confsyncpb.SnapshotPart{Revision: state.Revision, Chain: state.Chain}
 		size = 0
 	}
-	// The last part is sent even if it is empty: it carries the revision.
+	// The last part is sent even if it is empty, because it carries the revision.
 	if err := stream.Send(part); err != nil {
 		return fmt.Errorf("send part: %w", err)
 	}
 	return nil
 }
 
-// ZoneReport implements the service.
+// ZoneReport reports which nodes of this node's zone have a revision in force.
 func (s *server) ZoneReport(ctx context.Context, request *confsyncpb.ReportRequest) (*confsyncpb.Report, error) {
 	report := s.replica.zoneReport(ctx, request.GetRevision())
 	wire := &confsyncpb.Report{
--- a/internal/confsync/status.go
+++ b/internal/confsync/status.go
@@ -12,31 +12,31 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Bounds of a report.
+// Limits of a status report.
 const (
-	// reportTimeout bounds one zone's report, and statusTimeout that of all zones.
+	// reportTimeout limits the report of one zone, and statusTimeout the report of all zones.
 	reportTimeout = 1 * time.Second
 	statusTimeout = 2 * time.Second
-	// reportParallelism bounds how many nodes are asked at once.
+	// reportParallelism limits the number of nodes queried concurrently.
 	reportParallelism = 16
-	// statusPollPeriod is how often WaitInForce asks again.
+	// statusPollPeriod is the interval between polls of WaitInForce.
 	statusPollPeriod = 250 * time.Millisecond
 )
 
-// ZoneStatus is a zone's state of a revision.
+// ZoneStatus reports how far a zone has put a revision in force.
 type ZoneStatus struct {
 	Zone ident.Zone `json:"zone"`
-	// Reachable is false if no node of the zone could be asked; the other fields then say nothing.
+	// Reachable is false if no queried node of the zone answered; LowestRevision and Behind are then not meaningful.
 	Reachable bool `json:"reachable"`
-	// LowestRevision is the lowest revision in force on the zone's nodes that could be asked.
+	// LowestRevision is the lowest revision in force on the nodes of the zone that answered.
 	LowestRevision int64 `json:"lowest_revision"`
-	// Nodes is how many live nodes the zone has.
+	// Nodes is the number of live nodes in the zone.
 	Nodes int `json:"nodes"`
-	// Behind lists the live nodes that do not have the revision in force, or could not be asked.
+	// Behind lists the live nodes that do not have the revision in force or did not answer.
 	Behind []ident.Node `json:"behind,omitempty"`
 }
 
-// Status is the fleet's state of a revision.
+// Status reports how far the fleet has put a revision in force.
 type Status struct {
 	Revision int64        `json:"revision"`
 	Zones    []ZoneStatus `json:"zones"`
@@ -47,8 +47,8 @@
 	return !slices.ContainsFunc(s.Zones, func(zone ZoneStatus) bool { return zone.Reachable && len(zone.Behind) > 0 })
 }
 
-// Status asks every live zone, by this node's view, whether a revision is in force. A zone that is cut off altogether
-// leaves that view after a while and is then missing from the answer.
+// Status queries every live zone in this node's view for whether a revision is in force. A fully partitioned zone eventually
+// leaves that view and is then missing from the result.
 func (r *Replica) Status(ctx context.Context, revision int64) Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	var group errgroup.Group
 	for i, members := range zones {
 		group.Go(func() error {
-			status.Zones[i] = r.askZone(ctx, members, revision)
+			status.Zones[i] = r.fetchZoneStatus(ctx, members, revision)
 			return nil
 		})
 	}
@@ -67,7 +67,7 @@
 	return status
 }
 
-// WaitInForce asks until every reachable zone has the revision in force or ctx ends, and returns the last answer.
+// WaitInForce polls until every reachable zone has the revision in force or ctx is done, and returns the last status.
 func (r *Replica) WaitInForce(ctx context.Context, revision int64) (Status, error) {
 	for {
 		status := r.Status(ctx, revision)
@@ -80,7 +80,7 @@
 	}
 }
 
-// zoneMembers returns the live nodes by zone, this node's zone included, relays first.
+// zoneMembers returns the live nodes grouped by zone, relays first. This node is included only if it is a relay.
 func (r *Replica) zoneMembers() [][]Peer {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -97,16 +97,16 @@
 	return zones
 }
 
-// maxAsked is how many nodes of a zone are tried for its report before it counts as unreachable.
-const maxAsked = 3
+// maxReportAttempts is the number of nodes of a zone that are queried for its report before it counts as unreachable.
+const maxReportAttempts = 3
 
-func (r *Replica) askZone(ctx context.Context, members []Peer, revision int64) ZoneStatus {
+func (r *Replica) fetchZoneStatus(ctx context.Context, members []Peer, revision int64) ZoneStatus {
 	zone := members[0].Zone
 	if zone == r.options.Self.Zone {
 		return r.zoneReport(ctx, revision)
 	}
-	for _, member := range members[:min(maxAsked, len(members))] {
-		report, err := r.askMember(ctx, member.Node, revision)
+	for _, member := range members[:min(maxReportAttempts, len(members))] {
+		report, err := r.fetchZoneReport(ctx, member.Node, revision)
 		if err == nil {
 			return report
 		}
@@ -114,7 +114,7 @@
 	return ZoneStatus{Zone: zone, Nodes: len(members)}
 }
 
-func (r *Replica) askMember(ctx context.Context, node ident.Node, revision int64) (ZoneStatus, error) {
+func (r *Replica) fetchZoneReport(ctx context.Context, node ident.Node, revision int64) (ZoneStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout+reportTimeout/2)
 	defer cancel()
 	connection, err := r.options.Dialer.Conn(ctx, node)
@@ -123,7 +123,7 @@
 	}
 	wire, err := confsyncpb.NewDRPCSyncClient(connection).ZoneReport(ctx, &confsyncpb.ReportRequest{Revision: revision})
 	if err != nil {
-		return ZoneStatus{}, fmt.Errorf("ask %s for its zone: %w", node, err)
+		return ZoneStatus{}, fmt.Errorf("fetch zone report from %s: %w", node, err)
 	}
 	report := ZoneStatus{
 		Zone:           ident.Zone(wire.GetZone()),
@@ -137,7 +137,7 @@
 	return report, nil
 }
 
-// zoneReport asks every live node of this node's own zone.
+// zoneReport queries every live node of this node's zone.
 func (r *Replica) zoneReport(ctx context.Context, revision int64) ZoneStatus {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -151,7 +151,7 @@
 	group.SetLimit(reportParallelism)
 	for i, peer := range peers {
 		group.Go(func() error {
-			revisions[i] = r.askRevision(ctx, peer.Node)
+			revisions[i] = r.fetchRevision(ctx, peer.Node)
 			return nil
 		})
 	}
@@ -172,12 +172,12 @@
 	return report
 }
 
-// unknownRevision stands for a node that could not be asked.
+// unknownRevision is the revision of a node that did not answer.
 const unknownRevision = -1
 
-// askRevision returns the revision in force on a node. The question carries no node name, so that the node does not
-// compare copies because of it.
-func (r *Replica) askRevision(ctx context.Context, node ident.Node) int64 {
+// fetchRevision returns the revision in force on a node, or unknownRevision. The digest has no node name, so that the node does
+// not treat it as a comparison of copies.
+func (r *Replica) fetchRevision(ctx context.Context, node ident.Node) int64 {
 	answer, err := r.callExchange(ctx, node, Digest{})
 	if err != nil {
 		return unknownRevision
--- a/internal/confsync/writer.go
+++ b/internal/confsync/writer.go
@@ -16,45 +16,46 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// Bounds of a change. The service takes at most 128 writes in a transaction; two go to the head and the change record,
-// one to the trim of the oldest change record.
+// Limits of a change. The key-value service accepts at most 128 writes in a transaction: two are used for the head and the
+// change record and one to trim the oldest change record.
 const (
-	// MaxMutations is the most resources that one change may write.
+	// MaxMutations is the maximum number of resources that one change may write.
 	MaxMutations = 120
-	// MaxChangeBytes bounds the values of one change together, old and new.
+	// MaxChangeBytes limits the total size of the old and new values of one change.
 	MaxChangeBytes = 512 << 10
-	// MaxHistory is how many change records are kept: eight days at 520 changes a day.
+	// MaxHistory is the number of change records retained: nearly eight days at 520 changes a day.
 	MaxHistory = 4096
 )
 
-// DefaultApplyTimeout bounds Apply where the caller's context does not.
+// DefaultApplyTimeout limits each call of a Writer unless WithApplyTimeout is given or the caller's context ends earlier.
 const DefaultApplyTimeout = 5 * time.Second
 
-// Bounds of the wait between two attempts of Apply. Each wait is drawn evenly between half its bound and the bound.
+// Limits of the exponential backoff between attempts of Apply. Each delay is uniformly random between half the current bound
+// and the bound.
 const (
-	minApplyDelay = 50 * time.Millisecond
-	maxApplyDelay = 1 * time.Second
-	// heldTimeout bounds the wait for a second node to hold an accepted change.
-	heldTimeout = 500 * time.Millisecond
-	// retryAfterOutage is what operators are told while the service is away.
+	minApplyBackoff = 50 * time.Millisecond
+	maxApplyBackoff = 1 * time.Second
+	// secondCopyTimeout limits the wait for a second node to have an accepted change.
+	secondCopyTimeout = 500 * time.Millisecond
+	// retryAfterOutage is the retry delay returned to operators while the key-value service is unavailable.
 	retryAfterOutage = 10 * time.Second
 )
 
-// LocalCopy is the copy of the node a Writer runs on. Replica implements it.
+// LocalCopy is the configuration copy of the node a Writer runs on. Replica implements it.
 type LocalCopy interface {
-	// State returns the newest state the copy holds.
+	// State returns the copy's newest state.
 	State() *State
 	// Learn applies accepted changes that follow the copy's state and ignores others.
 	Learn(changes []Change)
-	// Install replaces the copy by a newer state and ignores an older one.
+	// Install replaces the copy with a newer state and ignores an older one.
 	Install(state *State)
-	// Recent finds a change by its identifier among the last few hundred.
+	// Recent returns the change with the given identifier if it is among the retained changes, at most a few hundred.
 	Recent(id string) (Change, bool)
 }
 
-// heldWaiter is a copy that hears what other nodes hold. Replica implements it.
-type heldWaiter interface {
-	// AwaitHeld waits until another node is known to hold the revision, and reports whether one is.
+// replicationWaiter is a copy that tracks the revisions of other nodes. Replica implements it.
+type replicationWaiter interface {
+	// AwaitHeld waits until another node is known to have the revision, and reports whether one has it.
 	AwaitHeld(ctx context.Context, revision int64) bool
 }
 
@@ -65,19 +66,20 @@
 	Delete bool
 }
 
-// Proposal is a change to be accepted.
+// Proposal is a change submitted for acceptance.
 type Proposal struct {
-	// ID identifies the proposal; a resend with the same ID is answered with the change that was accepted, as long as
-	// it is among the last few hundred. Empty means a new one.
+	// ID identifies the proposal. A resend with the same ID returns the change that was accepted, as long as the local copy
+	// retains it (at most the last few hundred changes). If empty, a new ID is generated.
 	ID        string
 	Author    string
 	Comment   string
 	Mutations []Mutation
-	// Expected holds the revision each resource must have; zero means that it must not exist. Resources not named are
-	// not checked.
+	// Expected maps resources to the revision they must have; zero means that the resource must not exist. Other resources
+	// are not checked.
 	Expected map[Key]int64
-	// Check is called with the exact state the change would be committed on, and the state after it; its error ends
-	// the proposal and is returned as it is. It may be called more than once, and may be nil.
+	// Check is called with the exact state the change would be committed on and the state after it. Its error rejects the
+	// proposal and is returned unchanged, unless an earlier commit has an unknown outcome. It may be called more than once
+	// and may be nil.
 	Check func(base, proposed *State) error
 }
 
@@ -92,15 +94,15 @@
 	timeout time.Duration
 }
 
-// WriterOption changes a Writer that is being made.
+// WriterOption configures a Writer.
 type WriterOption func(*Writer)
 
-// WithApplyTimeout bounds Apply; DefaultApplyTimeout if not given.
+// WithApplyTimeout sets the time limit of each call of a Writer. The default is DefaultApplyTimeout.
 func WithApplyTimeout(timeout time.Duration) WriterOption {
 	return func(w *Writer) { w.timeout = timeout }
 }
 
-// WithClock sets the clock, the wait between attempts and how it is drawn below a bound, for simulations.
+// WithClock sets the clock, the sleep between attempts and the jitter of the sleep's duration, for simulations.
 func WithClock(
 	now func() time.Time,
 	sleep func(context.Context, time.Duration) error,
@@ -113,7 +115,7 @@
 	}
 }
 
-// NewWriter returns a Writer on the node that holds the copy.
+// NewWriter returns a Writer for the node with the given local copy.
 func NewWriter(store kv.Store, local LocalCopy, options ...WriterOption) *Writer {
 	writer := &Writer{
 		remote:  remote{store: store},
@@ -121,7 +123,7 @@
 		local:   local,
 		now:     time.Now,
 		sleep:   sleepContext,
-		jitter:  upperHalf,
+		jitter:  jitterUpperHalf,
 		timeout: DefaultApplyTimeout,
 	}
 	for _, option := range options {
@@ -130,11 +132,12 @@
 	return writer
 }
 
-// Apply accepts a proposal or says why not. A nil error means that the change is accepted and will never be taken back.
+// Apply accepts a proposal or returns why it did not. A nil error means that the change is accepted permanently.
 // Otherwise the error is that of Check, or a *failure.Error:
 //   - CodeInvalidRequest: the proposal can never be accepted.
-//   - CodeConflict: an expected revision does not hold. Definitely not accepted.
-//   - CodeConfigUnavailable: the service is away or refuses. Definitely not accepted.
+//   - CodeBodyTooLarge: the change exceeds MaxChangeBytes. Definitely not accepted.
+//   - CodeConflict: a resource does not have its expected revision. Definitely not accepted.
+//   - CodeConfigUnavailable: the key-value service is unavailable or refuses the change. Definitely not accepted.
 //   - CodeConfigUnknown, with an unknown outcome: the change may have been accepted. Resend it with the same ID.
 func (w *Writer) Apply(ctx context.Context, proposal Proposal) (Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout)
@@ -145,11 +148,11 @@
 	if proposal.ID == "" {
 		proposal.ID = ulid.Make().String()
 	}
-	attempt := &application{writer: w, proposal: proposal}
+	attempt := &applyRun{writer: w, proposal: proposal}
 	return attempt.run(ctx)
 }
 
-// DryRun answers as Apply would, from the newest state the service has, and changes nothing.
+// DryRun prepares and checks a proposal against the newest state of the key-value service without committing it.
 func (w *Writer) DryRun(ctx context.Context, proposal Proposal) (Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout)
 	defer cancel()
@@ -163,7 +166,7 @@
 	return prepare(base, proposal, w.now())
 }
 
-// validate refuses proposals that no state could accept.
+// validate rejects proposals that are invalid for any state.
 func validate(proposal Proposal) error {
 	if len(proposal.Mutations) == 0 {
 		return failure.New(failure.CodeInvalidRequest, "a change must write at least one resource")
@@ -184,32 +187,33 @@
 	return nil
 }
 
-// application is one run of Apply.
-type application struct {
+// applyRun is one call of Apply.
+type applyRun struct {
 	writer   *Writer
 	proposal Proposal
-	// pending is the revision that a commit with an unknown outcome would have, or zero. While it is set, the proposal
-	// may be refused only after the head is seen to have moved on without it.
+	// pending is the revision of a commit with an unknown outcome, or zero. While it is set, the proposal may be rejected
+	// only after the head is known to have reached that revision with another change.
 	pending int64
 }
 
-func (a *application) run(ctx context.Context) (Change, error) {
-	bound := minApplyDelay
+func (a *applyRun) run(ctx context.Context) (Change, error) {
+	bound := minApplyBackoff
 	for {
 		change, done, err := a.attempt(ctx)
 		if done {
 			return change, err
 		}
 		delay := a.writer.jitter(bound)
-		bound = min(2*bound, maxApplyDelay)
+		bound = min(2*bound, maxApplyBackoff)
 		if a.writer.sleep(ctx, delay) != nil {
-			return Change{}, a.giveUp(err)
+			return Change{}, a.unresolvedError(err)
 		}
 	}
 }
 
-// giveUp is the answer when time runs out: honest about a commit whose outcome was never learned.
-func (a *application) giveUp(cause error) error {
+// unresolvedError returns the error for a proposal that could not be completed: an unknown outcome if a commit is pending,
+// otherwise unavailability.
+func (a *applyRun) unresolvedError(cause error) error {
 	if a.pending == 0 {
 		return unavailable(cause)
 	}
@@ -221,7 +225,7 @@
 }
 
 // attempt reads the newest state, resolves an earlier commit whose answer was lost, and tries to commit on that state.
-func (a *application) attempt(ctx context.Context) (change Change, done bool, err error) {
+func (a *applyRun) attempt(ctx context.Context) (change Change, done bool, err error) {
 	newest, base, err := a.writer.newest(ctx)
 	if err != nil {
 		return Change{}, false, err
@@ -232,8 +236,8 @@
 	}
 	change, err = prepare(base, a.proposal, a.writer.now())
 	if err != nil && a.pending != 0 {
-		// An earlier commit on this same head may still arrive, so a refusal now would not be definite.
-		return Change{}, true, a.giveUp(err)
+		// An earlier commit on this same head may still be applied, so a rejection now would not be definite.
+		return Change{}, true, a.unresolvedError(err)
 	}
 	if err != nil {
 		return Change{}, true, err
@@ -242,9 +246,9 @@
 }
 
 // resolve reports whether the proposal has already been accepted. If the head has not reached the pending revision, the
-// earlier commit may still arrive; committing again at the same head is safe, since at most one of the two can find
-// the head unmoved.
-func (a *application) resolve(ctx context.Context, newest head) (Change, bool, error) {
+// earlier commit may still be applied. Committing again on the same head is safe, because the comparison of the head can
+// succeed for at most one of the two commits.
+func (a *applyRun) resolve(ctx context.Context, newest head) (Change, bool, error) {
 	if change, found := a.writer.local.Recent(a.proposal.ID); found {
 		return change, true, nil
 	}
@@ -258,12 +262,12 @@
 	if at.ID == a.proposal.ID {
 		return at.withoutPrevious(), true, nil
 	}
-	// Another change took the revision: the earlier commit compares a head that is gone and can never be applied.
+	// Another change has the pending revision, so the earlier commit's comparison of the head can no longer succeed.
 	a.pending = 0
 	return Change{}, false, nil
 }
 
-func (a *application) commit(ctx context.Context, newest head, change Change) (Change, bool, error) {
+func (a *applyRun) commit(ctx context.Context, newest head, change Change) (Change, bool, error) {
 	compares := []kv.Compare{{Key: headKey, ModRevision: newest.modRevision}}
 	result, err := a.writer.store.Commit(ctx, compares, writesOf(change))
 	if err != nil && !definitelyNotApplied(err) {
@@ -277,18 +281,18 @@
 	}
 	accepted := change.withoutPrevious()
 	a.writer.local.Learn([]Change{accepted})
-	a.writer.awaitHeld(ctx, accepted.Revision)
+	a.writer.awaitSecondCopy(ctx, accepted.Revision)
 	return accepted, true, nil
 }
 
-// awaitHeld holds the answer back until a second node has the change, for a short while. The change is accepted either
-// way; but should this node and the service fail together right after the answer, it still spreads from the second node.
-func (w *Writer) awaitHeld(ctx context.Context, revision int64) {
-	waiter, able := w.local.(heldWaiter)
+// awaitSecondCopy waits up to secondCopyTimeout until a second node has the change. The change is accepted either way, but if
+// this node and the key-value service both fail right after the answer, the second node can still propagate it.
+func (w *Writer) awaitSecondCopy(ctx context.Context, revision int64) {
+	waiter, able := w.local.(replicationWaiter)
 	if !able {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
+	ctx, cancel := context.WithTimeout(ctx, secondCopyTimeout)
 	defer cancel()
 	waiter.AwaitHeld(ctx, revision)
 }
@@ -298,7 +302,7 @@
 	return errors.Is(err, kv.ErrUnavailable) || errors.Is(err, kv.ErrRateLimited)
 }
 
-// newest returns the head and the state at exactly its revision.
+// newest returns the head and the local state at exactly the head's revision.
 func (w *Writer) newest(ctx context.Context) (head, *State, error) {
 	newest, err := w.remote.head(ctx)
 	if err != nil {
@@ -314,11 +318,11 @@
 	return head{}, nil, fmt.Errorf("head at revision %d, copy at %d: %w", newest.revision, state.Revision, errHeadBehind)
 }
 
-// errHeadBehind means that the copy is ahead of the head that was read: the copy has just learned a newer change, or,
-// if it stays so, the service has lost changes that it had accepted.
+// errHeadBehind reports that the copy does not match the head that was read. Either the copy has just received a newer change
+// or, if the error persists, the key-value service has lost accepted changes.
 const errHeadBehind = failure.Kind("confsync: the service's head is behind this node's copy")
 
-// prepare makes the change that would follow base.
+// prepare checks a proposal against base and returns the change that would follow base.
 func prepare(base *State, proposal Proposal, now time.Time) (Change, error) {
 	if err := checkExpected(base, proposal.Expected); err != nil {
 		return Change{}, err
@@ -376,15 +380,15 @@
 	return nil
 }
 
-// nextChain extends the digest over the identifiers of all changes.
+// nextChain extends the chain digest with a change identifier.
 func nextChain(chain uint64, id string) uint64 {
 	digest := xxhash.NewWithSeed(chain)
-	// A hash's writes cannot fail.
+	// Writing to a hash cannot fail.
 	_, _ = digest.WriteString(id)
 	return digest.Sum64()
 }
 
-// writesOf returns the writes of one transaction: all of the change takes effect, or none of it.
+// writesOf returns the writes that commit the change in one transaction.
 func writesOf(change Change) []kv.Write {
 	newest := &confsyncpb.Head{Revision: change.Revision, ChangeId: change.ID, Chain: change.Chain}
 	writes := []kv.Write{
@@ -410,8 +414,9 @@
 		WithCause(cause)
 }
 
-// upperHalf draws a wait between half the bound and the bound, so that callers that failed together part.
-func upperHalf(bound time.Duration) time.Duration { return bound/2 + rand.N(bound/2) }
+// jitterUpperHalf returns a random duration between half the bound and the bound, so that callers that failed at the same time
+// do not retry at the same time.
+func jitterUpperHalf(bound time.Duration) time.Duration { return bound/2 + rand.N(bound/2) }
 
 func sleepContext(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
--- a/internal/confsync/writer_test.go
+++ b/internal/confsync/writer_test.go
@@ -16,16 +16,16 @@
 	"mallowlatch.example/mallowlatch/internal/outcome"
 )
 
-// instant is a writer's clock in tests: a wait that does not fit before the deadline fails at once.
-type instant struct {
+// fakeClock is a writer's clock in tests. Sleeping advances it without delay and fails if the deadline would pass.
+type fakeClock struct {
 	now      time.Time
 	deadline time.Time
-	// onWait is called at each wait between attempts.
+	// onWait is called at each sleep between attempts.
 	onWait func(wait int)
 	waits  int
 }
 
-func (i *instant) option() confsync.WriterOption {
+func (i *fakeClock) option() confsync.WriterOption {
 	sleep := func(_ context.Context, duration time.Duration) error {
 		i.waits++
 		if i.onWait != nil {
@@ -40,10 +40,10 @@
 	return confsync.WithClock(func() time.Time { return i.now }, sleep, func(bound time.Duration) time.Duration { return bound })
 }
 
-func newWriter(seed uint64) (*confsync.Writer, *kvtest.Store, *coreCopy, *instant) {
+func newWriter(seed uint64) (*confsync.Writer, *kvtest.Store, *coreCopy, *fakeClock) {
 	store := kvtest.New(seed)
 	local := &coreCopy{confsync.NewCore(confsync.Peer{Node: "n"}, confsync.DefaultTiming(), 1, time.Unix(0, 0))}
-	clock := &instant{now: time.Unix(1000, 0), deadline: time.Unix(1005, 0)}
+	clock := &fakeClock{now: time.Unix(1000, 0), deadline: time.Unix(1005, 0)}
 	return confsync.NewWriter(store, local, clock.option()), store, local, clock
 }
 
@@ -75,7 +75,7 @@
 	wantFailure(t, err, failure.CodeConflict, outcome.NotRun)
 }
 
-func TestOutageIsDefinite(t *testing.T) {
+func TestOutageReportsNotAccepted(t *testing.T) {
 	writer, store, _, _ := newWriter(1)
 	store.SetFaults(kvtest.Faults{Outage: true})
 	_, err := writer.Apply(context.Background(), put("a", "1"))
@@ -93,7 +93,7 @@
 	wantFailure(t, err, failure.CodeConfigUnknown, outcome.Unknown)
 	assert.Equal(t, local.State().Revision, int64(0))
 
-	// A resend with the same identifier finds the change and does not make it twice.
+	// A resend with the same identifier finds the accepted change and does not commit it twice.
 	store.SetFaults(kvtest.Faults{})
 	change, err := writer.Apply(ctx, proposal)
 	assert.NilError(t, err)
@@ -101,8 +101,8 @@
 	assert.Equal(t, local.State().Revision, int64(1))
 }
 
-// TestNoRefusalWhileACommitMayArrive loses the request of a commit and has the check fail on the second attempt: the first
-// commit may still arrive, so the answer must not be a definite no.
+// TestNoRefusalWhileACommitMayArrive loses the request of a commit and has the check fail on the second attempt. The first
+// commit may still be applied, so the outcome must be unknown instead of a definite rejection.
 func TestNoRefusalWhileACommitMayArrive(t *testing.T) {
 	writer, store, _, _ := newWriter(1)
 	store.SetFaults(kvtest.Faults{LoseRequest: 1})
@@ -119,8 +119,8 @@
 	wantFailure(t, err, failure.CodeConfigUnknown, outcome.Unknown)
 }
 
-// TestLostAnswerThenManyChanges has a change's answer lost and 700 changes of others follow before the writer looks again:
-// it must find its own by reading back the revision it tried for.
+// TestLostAnswerThenManyChanges loses the answer to a commit and applies 700 other changes before the writer retries. The writer
+// must find its change by reading the record of the revision it attempted.
 func TestLostAnswerThenManyChanges(t *testing.T) {
 	writer, store, local, clock := newWriter(1)
 	other := confsync.NewWriter(kvtest.NewStore(store.Data(), 2),
@@ -196,22 +196,22 @@
 	wantFailure(t, err, failure.CodeNotFound, outcome.NotRun)
 }
 
-// TestServiceThatLostChanges has the key-value service come back empty: nodes keep their copy and nothing is accepted on
-// top of the lost history.
+// TestServiceThatLostChanges replaces the key-value service with an empty one. The node must retain its copy, and no change may
+// be accepted on top of the lost history.
 func TestServiceThatLostChanges(t *testing.T) {
 	writer, _, local, _ := newWriter(1)
 	ctx := context.Background()
 	_, err := writer.Apply(ctx, put("a", "1"))
 	assert.NilError(t, err)
-	clock := &instant{now: time.Unix(1000, 0), deadline: time.Unix(1005, 0)}
+	clock := &fakeClock{now: time.Unix(1000, 0), deadline: time.Unix(1005, 0)}
 	empty := confsync.NewWriter(kvtest.New(2), local, clock.option())
 	_, err = empty.Apply(ctx, put("a", "2"))
 	wantFailure(t, err, failure.CodeConfigUnavailable, outcome.NotRun)
 	assert.Equal(t, local.State().Revision, int64(1))
 }
 
-// TestCatchUpCostsFewCalls brings copies up to date that lack nothing, one change, several hundred, and changes that are
-// no longer kept.
+// TestCatchUpCostsFewCalls counts the calls needed to bring copies up to date that lack nothing, one change, several hundred
+// changes, and changes that are no longer retained.
 func TestCatchUpCostsFewCalls(t *testing.T) {
 	writer, store, source, _ := newWriter(1)
 	ctx := context.Background()
