--- a/internal/policy/activation.go
+++ b/internal/policy/activation.go
@@ -5,8 +5,8 @@
 	"cel.dev/cel-go/common/types"
 )
 
-// The activations give programs their variables straight from the Go values: only the variables a program uses cost
-// anything, and no map is built.
+// The activations resolve variables directly from the Go values: only the variables a program uses are converted, and no
+// map is allocated.
 
 type workActivation struct{ work *Work }
 
--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -6,8 +6,8 @@
 	"mallowlatch.example/mallowlatch/internal/catalog"
 )
 
-// Cache keeps the compiled policies of the newest configuration. A policy is compiled when it is first asked for and
-// again only when its text changes. Its methods are safe for concurrent use.
+// Cache holds the compiled policies of the latest configuration. A policy is compiled on first use and recompiled only
+// when its text changes. Its methods are safe for concurrent use.
 type Cache struct {
 	mu       sync.RWMutex
 	revision int64
@@ -26,7 +26,7 @@
 var defaultPolicy = &Compiled{}
 
 // ForService returns the policy of a service, or the default if it has none. An error means that a policy accepted by
-// another version of the program does not compile on this one; the default is returned with it.
+// another software version does not compile in this one; the default policy is returned with it.
 func (c *Cache) ForService(snapshot *catalog.Snapshot, service string) (*Compiled, error) {
 	source, exists := snapshot.Policies[snapshot.Services[service].Policy]
 	if !exists {
@@ -53,12 +53,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.compiled[source.Name] = cached{source: source, compiled: compiled, err: err}
-	c.forgetDeleted(snapshot)
+	c.evictDeleted(snapshot)
 	return compiled, err
 }
 
-// forgetDeleted drops policies the configuration no longer has, so that the cache never outgrows it.
-func (c *Cache) forgetDeleted(snapshot *catalog.Snapshot) {
+// evictDeleted removes policies that are no longer in the configuration, which bounds the size of the cache.
+func (c *Cache) evictDeleted(snapshot *catalog.Snapshot) {
 	if snapshot.Revision <= c.revision {
 		return
 	}
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// MaxCost bounds the static worst case of one evaluation, in CEL cost units (roughly, operations): about 20 us.
+	// MaxCost is the maximum statically estimated worst-case cost of one evaluation, in CEL cost units (roughly
+	// operations). It corresponds to about 20 us.
 	MaxCost = 200
-	// maxNesting bounds how deeply expressions nest.
+	// maxNesting is the maximum nesting depth of expressions.
 	maxNesting = 64
-	// maxNameBytes is the longest name a variable can hold, by the catalogue's rules.
+	// maxNameBytes is the maximum length of a string variable, as limited by the catalog's validation of names.
 	maxNameBytes = 128
 )
 
-// The fields of a policy that hold programs, as they stand in the wire format.
+// Names of the program fields of a policy in the wire format.
 const (
 	fieldPriority   = "priority"
 	fieldMayWait    = "may_wait"
 	fieldWhenCutOff = "when_cut_off"
 )
 
-// checker compiles the programs of one policy and collects what is wrong with them.
+// checker compiles the programs of one policy and collects their problems.
 type checker struct {
 	name     string
 	problems []catalog.Problem
 }
 
-func (c *checker) fail(field, format string, arguments ...any) {
+func (c *checker) addProblem(field, format string, arguments ...any) {
 	c.problems = append(c.problems, catalog.Problem{
 		Kind:    catalog.KindPolicy,
 		Name:    c.name,
@@ -44,7 +45,8 @@
 	})
 }
 
-// program compiles one program, or returns nil if it is empty or wrong. check looks at the checked program.
+// program compiles one program and returns it with its worst-case cost. It returns nil if the program is empty or invalid.
+// check validates the type-checked program and returns a message if it is invalid.
 func (c *checker) program(environment *cel.Env, field, text string, check func(*cel.Ast) string) (cel.Program, uint64) {
 	if strings.TrimSpace(text) == "" {
 		return nil, 0
@@ -55,21 +57,21 @@
 		return nil, 0
 	}
 	if message := check(checked); message != "" {
-		c.fail(field, "%s", message)
+		c.addProblem(field, "%s", message)
 		return nil, 0
 	}
 	worst, err := worstCost(environment, checked)
 	if err != nil {
-		c.fail(field, "its cost cannot be bounded: %v", err)
+		c.addProblem(field, "its cost cannot be bounded: %v", err)
 		return nil, 0
 	}
 	if worst > MaxCost {
-		c.fail(field, "one evaluation may cost %d units; at most %d are allowed", worst, MaxCost)
+		c.addProblem(field, "one evaluation may cost %d units; at most %d are allowed", worst, MaxCost)
 		return nil, 0
 	}
 	program, err := environment.Program(checked, cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
-		c.fail(field, "%v", err)
+		c.addProblem(field, "%v", err)
 		return nil, 0
 	}
 	return program, worst
@@ -81,7 +83,7 @@
 		if strings.Contains(message, "int") {
 			message += " (write numbers with a decimal point: 2.0)"
 		}
-		c.fail(field, "program line %d, column %d: %s", issue.Location.Line(), issue.Location.Column()+1, message)
+		c.addProblem(field, "program line %d, column %d: %s", issue.Location.Line(), issue.Location.Column()+1, message)
 	}
 }
 
@@ -93,7 +95,7 @@
 	return estimate.Max, nil
 }
 
-// nameSizes tells CEL's cost estimate how long the strings of the variables can be.
+// nameSizes provides the maximum length of string variables to CEL's cost estimator.
 type nameSizes struct{}
 
 func (nameSizes) EstimateSize(element cost.AstNode) *cost.SizeEstimate {
@@ -122,8 +124,8 @@
 	return fmt.Sprintf("must give true or false, not %s", checked.OutputType())
 }
 
-// checkAction requires that each case of the program ends in one of the actions, written out: so that no case is left
-// unanswered and no misspelt action waits for the day a zone is cut off.
+// checkAction requires every branch of the program to be a literal action. This rules out unhandled cases and misspelled
+// actions, which would otherwise only surface when a zone is partitioned.
 func checkAction(checked *cel.Ast) string {
 	return checkActionCase(checked.NativeRep().Expr())
 }
--- a/internal/policy/compiled.go
+++ b/internal/policy/compiled.go
@@ -14,18 +14,18 @@
 // Compiled is a checked policy. It is immutable and safe for concurrent use. The zero value is the default policy.
 type Compiled struct {
 	priority, mayWait, whenCutOff cel.Program
-	// Costs are the worst cases of one evaluation, in CEL cost units; zero for the default.
+	// Costs are the worst-case costs of one evaluation, in CEL cost units; zero for the default policy.
 	Costs Costs
 }
 
-// Costs of the programs of a policy.
+// Costs holds the worst-case cost of each program of a policy.
 type Costs struct {
 	Priority   uint64 `json:"priority"`
 	MayWait    uint64 `json:"may_wait"`
 	WhenCutOff uint64 `json:"when_cut_off"`
 }
 
-// Compile checks the programs and compiles them. Everything wrong with them is listed in a *catalog.InvalidError.
+// Compile checks and compiles the programs of a policy. All problems found are returned in one *catalog.InvalidError.
 func Compile(policy catalog.Policy) (*Compiled, error) {
 	shared, err := sharedEnvironments()
 	if err != nil {
@@ -42,8 +42,8 @@
 	return compiled, nil
 }
 
-// Priorities evaluates a batch of waiting work: larger goes first. An error wraps ErrEvaluation and means that the
-// default stood in for at least one entry; the priorities are usable all the same.
+// Priorities returns the priorities of waiting work; larger values run first. An error wraps ErrEvaluation and means that
+// the default priority was used for at least one entry; the returned priorities are still valid.
 func (c *Compiled) Priorities(works []Work) ([]float64, error) {
 	priorities := make([]float64, len(works))
 	var failed error
@@ -74,7 +74,7 @@
 	return priority, nil
 }
 
-// numberOf returns NaN for what is not a number; the check at compile time rules it out.
+// numberOf converts a CEL number. It returns NaN for other types, which the check at compile time rules out.
 func numberOf(value ref.Val) float64 {
 	switch number := value.(type) {
 	case types.Double:
@@ -86,8 +86,8 @@
 	}
 }
 
-// MayWait says whether an online request may be queued rather than refused. An error wraps ErrEvaluation and means
-// that the answer is the default's.
+// MayWait reports whether an online request may be queued instead of being refused. An error wraps ErrEvaluation and
+// means that the default was used.
 func (c *Compiled) MayWait(request Request) (bool, error) {
 	if c.mayWait == nil {
 		return DefaultMayWait(request), nil
@@ -99,8 +99,7 @@
 	return value == types.True, nil
 }
 
-// WhenCutOff says what a site that is cut off does. An error wraps ErrEvaluation and means that the answer is the
-// default's.
+// WhenCutOff returns the action of a partitioned site. An error wraps ErrEvaluation and means that the default was used.
 func (c *Compiled) WhenCutOff(site Site) (CutOffAction, error) {
 	if c.whenCutOff == nil {
 		return DefaultCutOffAction, nil
--- a/internal/policy/environment.go
+++ b/internal/policy/environment.go
@@ -13,7 +13,7 @@
 	"cel.dev/cel-go/common/types/ref"
 )
 
-// Variables the programs may use. Times are in seconds.
+// Names of the variables available to programs. Times are in seconds.
 const (
 	variableTenant         = "tenant"
 	variableService        = "service"
@@ -36,8 +36,8 @@
 	priority, mayWait, whenCutOff *cel.Env
 }
 
-// sharedEnvironments builds the environments on first use: they are constant, and together they take more memory than
-// the programs of a whole fleet.
+// sharedEnvironments builds the environments on first use and shares them: they are constant, and together they take more
+// memory than the programs of a whole fleet.
 var sharedEnvironments = sync.OnceValues(func() (environments, error) {
 	base, err := cel.NewCustomEnv(baseOptions()...)
 	if err != nil {
@@ -94,9 +94,9 @@
 	}
 }
 
-// baseOptions declares the language: comparison, logic, floating-point arithmetic, membership of a list, three string
-// tests, min and max. There are no macros, so a program has no loops; no indexing, regular expressions, conversions or
-// whole-number arithmetic, so that nothing but a result that is not finite can go wrong at run time.
+// baseOptions defines the language: comparison, logic, floating-point arithmetic, list membership, three string tests, min
+// and max. Macros are disabled, so a program has no loops. Indexing, regular expressions, conversions and integer
+// arithmetic are excluded, so the only possible run-time failure is a result that is not finite.
 func baseOptions() []cel.EnvOption {
 	return []cel.EnvOption{
 		cel.StdLib(cel.StdLibSubset(&env.LibrarySubset{
@@ -105,8 +105,8 @@
 		})),
 		cel.CrossTypeNumericComparisons(true),
 		cel.ParserRecursionLimit(maxNesting),
-		smaller("min", math.Min),
-		smaller("max", math.Max),
+		binaryFunction("min", math.Min),
+		binaryFunction("max", math.Max),
 	}
 }
 
@@ -134,8 +134,8 @@
 	}
 }
 
-// smaller declares a function of two numbers, min or max.
-func smaller(name string, choose func(first, second float64) float64) cel.EnvOption {
+// binaryFunction declares a function of two numbers, min or max.
+func binaryFunction(name string, choose func(first, second float64) float64) cel.EnvOption {
 	binding := func(first, second ref.Val) ref.Val {
 		return types.Double(choose(float64(first.(types.Double)), float64(second.(types.Double))))
 	}
--- a/internal/policy/live/live.go
+++ b/internal/policy/live/live.go
@@ -1,5 +1,5 @@
-// Package live evaluates the policies in force on a node. It adds to package policy what is not pure: the newest
-// configuration, the cache of compiled policies, and the log lines of programs that failed.
+// Package live evaluates the policies of the current configuration on a node. It adds the stateful parts to package policy:
+// access to the current configuration, the cache of compiled policies, and rate-limited logging of failed programs.
 package live
 
 import (
@@ -13,11 +13,11 @@
 	"mallowlatch.example/mallowlatch/internal/policy"
 )
 
-// logPeriod is the least time between two log lines about one service: a program may fail thousands of times a second.
+// logPeriod is the minimum time between two log lines about one service: a program may fail thousands of times a second.
 const logPeriod = time.Minute
 
-// Evaluator answers by the policy of a service, or by the default where there is none or it fails. Its methods never
-// fail and are safe for concurrent use.
+// Evaluator evaluates the policy of a service, or the default if the service has none or its policy fails. Its methods
+// never fail and are safe for concurrent use.
 type Evaluator struct {
 	source catalog.Source
 	logger zerolog.Logger
@@ -25,36 +25,38 @@
 	cache  *policy.Cache
 
 	mu sync.Mutex
-	// logged is when a service was last written about.
-	logged map[string]time.Time
+	// lastLogged is the time of the last log line about a service.
+	lastLogged map[string]time.Time
 }
 
-// New returns an evaluator of the policies that source has. now is the clock, time.Now outside tests.
+// New returns an evaluator of the policies in the current snapshot of source. now returns the current time; it is time.Now
+// outside tests.
 func New(source catalog.Source, logger zerolog.Logger, now func() time.Time) *Evaluator {
 	return &Evaluator{
-		source: source,
-		logger: logger,
-		now:    now,
-		cache:  policy.NewCache(),
-		logged: map[string]time.Time{},
+		source:     source,
+		logger:     logger,
+		now:        now,
+		cache:      policy.NewCache(),
+		lastLogged: map[string]time.Time{},
 	}
 }
 
-// Priorities returns the priorities of waiting work of one service: larger goes first, over all services.
+// Priorities returns the priorities of waiting work of one service: larger values run first, across
+// all services.
 func (e *Evaluator) Priorities(service string, works []policy.Work) []float64 {
 	priorities, err := e.compiled(service).Priorities(works)
 	e.report(event.PolicyFailed, service, err)
 	return priorities
 }
 
-// MayWait says whether an online request may be queued rather than refused.
+// MayWait reports whether an online request may be queued instead of being refused.
 func (e *Evaluator) MayWait(request policy.Request) bool {
 	mayWait, err := e.compiled(request.Service).MayWait(request)
 	e.report(event.PolicyFailed, request.Service, err)
 	return mayWait
 }
 
-// WhenCutOff says what a site that is cut off does with a service.
+// WhenCutOff returns the action of a partitioned site for a service.
 func (e *Evaluator) WhenCutOff(site policy.Site) policy.CutOffAction {
 	action, err := e.compiled(site.Service).WhenCutOff(site)
 	e.report(event.PolicyFailed, site.Service, err)
@@ -67,22 +69,22 @@
 	return compiled
 }
 
-// report logs an error, unless the service was written about a short while ago.
+// report logs an error unless a line about the service was logged within logPeriod.
 func (e *Evaluator) report(kind event.Event, service string, err error) {
-	if err == nil || !e.due(service) {
+	if err == nil || !e.shouldLog(service) {
 		return
 	}
 	kind.Log(e.logger).Str("service", service).Err(err).Send()
 }
 
-func (e *Evaluator) due(service string) bool {
+func (e *Evaluator) shouldLog(service string) bool {
 	now := e.now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	last, written := e.logged[service]
-	if written && now.Sub(last) < logPeriod {
+	last, found := e.lastLogged[service]
+	if found && now.Sub(last) < logPeriod {
 		return false
 	}
-	e.logged[service] = now
+	e.lastLogged[service] = now
 	return true
 }
--- a/internal/policy/live/live_test.go
+++ b/internal/policy/live/live_test.go
@@ -23,7 +23,7 @@
 	assert.NilError(t, holder.Publish(snapshot))
 }
 
-func TestEvaluatorFollowsTheConfigurationAndLogsFailuresSparingly(t *testing.T) {
+func TestEvaluatorFollowsTheConfigurationAndRateLimitsFailureLogs(t *testing.T) {
 	var logs bytes.Buffer
 	now := time.Unix(0, 0)
 	holder := catalog.NewHolder()
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -23,7 +23,7 @@
 	return compiled
 }
 
-func TestCompileRefusesWhatCannotBeTrusted(t *testing.T) {
+func TestCompileRejectsInvalidPrograms(t *testing.T) {
 	long := strings.Repeat(`tenant == "a" || `, 600) + "true"
 	for _, row := range []struct {
 		name   string
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestAFailingProgramFallsBackAndSaysSo(t *testing.T) {
+func TestFailingProgramFallsBackToDefaultWithError(t *testing.T) {
 	compiled := compile(t, catalog.Policy{Priority: "1.0 / waiting_items"})
 	works := []policy.Work{{WaitingItems: 4}, {WaitingItems: 0, UntilDeadline: time.Minute}, {WaitingItems: 2}}
 	priorities, err := compiled.Priorities(works)
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestOrderIsAPermutationAndIndependentOfTheListing(t *testing.T) {
+func TestOrderIsAPermutationSortedByPriority(t *testing.T) {
 	compiled := &policy.Compiled{}
 	rapid.Check(t, func(t *rapid.T) {
 		works := rapid.SliceOfN(rapid.Custom(drawWork), 0, 20).Draw(t, "works")
@@ -196,7 +196,7 @@
 	})
 }
 
-// BenchmarkPriorities compares a program with the default, which is Go.
+// BenchmarkPriorities compares a compiled program with the default, which is implemented in Go.
 func BenchmarkPriorities(b *testing.B) {
 	works := make([]policy.Work, 100)
 	for index := range works {
