--- a/internal/shardmap/bench_test.go
+++ b/internal/shardmap/bench_test.go
@@ -14,7 +14,7 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// BenchmarkRead counts the bytes of one question and its answer: the frames of drpc with them, TCP and TLS without.
+// BenchmarkRead measures the bytes of one request and its reply, including drpc framing but not TCP and TLS overhead.
 func BenchmarkRead(b *testing.B) {
 	for _, shards := range []int{8, 33, 264} {
 		for _, changed := range []int{0, 1, shards} {
@@ -60,7 +60,7 @@
 	b.ReportMetric((transferred(b, registry)-before)/float64(b.N), "bytes/op")
 }
 
-// transferred sums the bytes sent and received.
+// transferred returns the sum of the bytes sent and received.
 func transferred(b *testing.B, registry *prometheus.Registry) float64 {
 	families, err := registry.Gather()
 	assert.NilError(b, err)
--- a/internal/shardmap/client.go
+++ b/internal/shardmap/client.go
@@ -15,14 +15,14 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// callTimeout bounds one question; a peer across a weak link answers well within it.
+// callTimeout is the time limit of one poll; replies over a slow link arrive well within it.
 const callTimeout = time.Second
 
-// Options are what a Client needs.
+// Options configures a Client.
 type Options struct {
 	Self ident.Node
 	Zone ident.Zone
-	// Peers returns the live nodes with a disk.
+	// Peers returns the live nodes that have a disk.
 	Peers     func() []Peer
 	Dialer    transport.Dialer
 	Intervals Intervals
@@ -32,25 +32,25 @@
 	Registerer prometheus.Registerer
 }
 
-// Client knows the routes from other nodes. It is safe for concurrent use.
+// Client polls other nodes for the routes of the job shards and caches them. It is safe for concurrent use.
 type Client struct {
 	options Options
 	table   table
 	polls   *prometheus.CounterVec
-	// woken holds a token if a miss moved the next question.
-	woken chan struct{}
+	// wake holds a token if a miss may have rescheduled the next poll.
+	wake chan struct{}
 
-	mutex sync.Mutex
-	plan  *plan
+	mutex    sync.Mutex
+	schedule *schedule
 }
 
-// NewClient returns a client that knows nothing until Run has asked.
+// NewClient returns a client with no routes; Run fetches them.
 func NewClient(options Options) *Client {
 	client := &Client{
-		options: options,
-		table:   table{routes: map[ident.Shard]Route{}},
-		woken:   make(chan struct{}, 1),
-		plan:    newPlan(options.Self, options.Zone, options.Intervals),
+		options:  options,
+		table:    table{routes: map[ident.Shard]Route{}},
+		wake:     make(chan struct{}, 1),
+		schedule: newSchedule(options.Self, options.Zone, options.Intervals),
 		polls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "mallowlatch_shardmap_polls_total",
 			Help: "Questions for the routes of the job shards, by result: changed, unchanged, failed.",
@@ -62,40 +62,43 @@
 	return client
 }
 
-// Leader returns the node to ask first for a shard, and whether the shard is known. An unknown one is asked for at once.
+// Leader returns the node to contact first for a shard, and whether the shard is known. For an unknown shard the next poll is
+// brought forward.
 func (c *Client) Leader(shard ident.Shard) (ident.Node, bool) {
-	node, known := c.table.first(shard)
+	node, known := c.table.preferred(shard)
 	if !known {
 		c.Missed(shard)
 	}
 	return node, known
 }
 
-// Missed tells that a shard's leader was unknown, unreachable or another: the routes are asked for at once.
+// Missed reports that a shard's leader was unknown, unreachable or no longer the leader. It brings the next poll forward,
+// subject to the backoff of polls.
 func (c *Client) Missed(ident.Shard) {
 	c.mutex.Lock()
-	c.plan.miss()
+	c.schedule.recordMiss()
 	c.mutex.Unlock()
 	select {
-	case c.woken <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run asks until the context ends.
+// Run polls until the context ends.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if c.waitDue(ctx) {
-			c.ask(ctx)
+		if c.waitForNextPoll(ctx) {
+			c.poll(ctx)
 		}
 	}
 	return nil
 }
 
-// waitDue waits for the next question, and reports false if its time may have moved.
-func (c *Client) waitDue(ctx context.Context) bool {
+// waitForNextPoll waits until the next poll is due. It returns false if the poll may have been rescheduled or the context
+// has ended.
+func (c *Client) waitForNextPoll(ctx context.Context) bool {
 	c.mutex.Lock()
-	wait := time.Until(c.plan.due)
+	wait := time.Until(c.schedule.nextPoll)
 	c.mutex.Unlock()
 	if wait <= 0 {
 		return true
@@ -105,15 +108,15 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.woken:
+	case <-c.wake:
 		return false
 	case <-timer.C:
 		return true
 	}
 }
 
-func (c *Client) ask(ctx context.Context) {
-	peer, known, found := c.begin()
+func (c *Client) poll(ctx context.Context) {
+	peer, known, found := c.startPoll()
 	if !found {
 		return
 	}
@@ -123,24 +126,24 @@
 	}
 	if err != nil {
 		event.ShardMapPollFailed.Log(c.options.Logger).Str("peer", string(peer)).Err(err).Send()
-		c.failed(peer)
+		c.recordFailure(peer)
 		return
 	}
-	c.answered(peer, reply)
+	c.recordReply(peer, reply)
 }
 
-// begin chooses whom to ask.
-func (c *Client) begin() (ident.Node, version, bool) {
+// startPoll chooses the peer to poll and returns the last version received from it. It reports false if there is no peer.
+func (c *Client) startPoll() (ident.Node, version, bool) {
 	peers := c.options.Peers()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	peer, known, found := c.plan.choose(now, peers)
+	peer, known, found := c.schedule.choose(now, peers)
 	if !found {
-		c.plan.alone(now, c.options.Jitter())
+		c.schedule.recordNoPeers(now, c.options.Jitter())
 		return "", version{}, false
 	}
-	c.plan.begin()
+	c.schedule.startPoll()
 	return peer, known, true
 }
 
@@ -162,14 +165,14 @@
 	return reply, nil
 }
 
-func (c *Client) failed(peer ident.Node) {
+func (c *Client) recordFailure(peer ident.Node) {
 	c.polls.WithLabelValues("failed").Inc()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.plan.failed(time.Now(), peer, c.options.Jitter())
+	c.schedule.recordFailure(time.Now(), peer, c.options.Jitter())
 }
 
-func (c *Client) answered(peer ident.Node, reply *pb.ReadReply) {
+func (c *Client) recordReply(peer ident.Node, reply *pb.ReadReply) {
 	changed := c.table.merge(decodeRoutes(reply.GetRoutes()))
 	result := "unchanged"
 	if changed {
@@ -179,8 +182,8 @@
 	known := version{source: reply.GetVersion().GetSource(), sequence: reply.GetVersion().GetSequence()}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.plan.answered(time.Now(), peer, known, changed, c.options.Jitter())
+	c.schedule.recordReply(time.Now(), peer, known, changed, c.options.Jitter())
 }
 
-// Routes returns what this reader was told.
+// Routes returns the routes received so far, in no particular order.
 func (c *Client) Routes() []Route { return c.table.all() }
--- a/internal/shardmap/client_test.go
+++ b/internal/shardmap/client_test.go
@@ -14,7 +14,7 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// source holds routes that a test sets.
+// source is a shardmap.Source whose routes are set by the test.
 type source struct {
 	mutex  sync.Mutex
 	routes []shardmap.Route
@@ -32,7 +32,7 @@
 	return s.routes, s.routes != nil
 }
 
-// diskNode serves a source on loopback until the returned function is called.
+// diskNode serves a source on loopback until the returned function is called or the test ends. It returns its address.
 func diskNode(t testing.TB, from shardmap.Source, identity uint64) (string, func()) {
 	server := transport.NewServer(transport.ServerOptions{})
 	assert.NilError(t, shardmap.NewServer(from, identity).Register(server))
@@ -75,7 +75,7 @@
 	return client
 }
 
-func eventually(t testing.TB, client *shardmap.Client, want ident.Node) {
+func waitForLeader(t testing.TB, client *shardmap.Client, want ident.Node) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for {
@@ -92,24 +92,24 @@
 	return shardmap.Route{Shard: 1, Revision: revision, Members: members, Leader: leader}
 }
 
-// never makes the periodic question too rare to matter, so that only misses ask.
-var never = shardmap.Intervals{Poll: time.Hour, Pause: time.Millisecond}
+// pollOnlyOnMiss sets a periodic poll interval longer than the test, so that only misses trigger polls.
+var pollOnlyOnMiss = shardmap.Intervals{Poll: time.Hour, MissBackoff: time.Millisecond}
 
 func TestMissFindsTheNewLeader(t *testing.T) {
 	known := &source{}
 	address, _ := diskNode(t, known, 1)
-	client := reader(t, map[ident.Node]string{"disk": address}, never)
+	client := reader(t, map[ident.Node]string{"disk": address}, pollOnlyOnMiss)
 	known.set(route(1, "a", "a", "b"))
-	eventually(t, client, "a")
+	waitForLeader(t, client, "a")
 	known.set(route(1, "b", "a", "b"))
 	client.Missed(1)
-	eventually(t, client, "b")
+	waitForLeader(t, client, "b")
 	known.set(route(2, "", "c", "d"))
 	client.Missed(1)
-	eventually(t, client, "c")
+	waitForLeader(t, client, "c")
 }
 
-func TestReaderSurvivesTheDeathOfThePeerAsked(t *testing.T) {
+func TestReaderSwitchesPeerAfterFailure(t *testing.T) {
 	first, second := &source{}, &source{}
 	addresses := map[ident.Node]string{}
 	var stopFirst, stopSecond func()
@@ -117,13 +117,13 @@
 	addresses["two"], stopSecond = diskNode(t, second, 2)
 	first.set(route(1, "a", "a", "b"))
 	second.set(route(1, "a", "a", "b"))
-	client := reader(t, addresses, never)
-	eventually(t, client, "a")
+	client := reader(t, addresses, pollOnlyOnMiss)
+	waitForLeader(t, client, "a")
 	stopFirst()
 	second.set(route(2, "b", "b", "c"))
 	client.Missed(1)
-	eventually(t, client, "b")
+	waitForLeader(t, client, "b")
 	stopSecond()
 	client.Missed(1)
-	eventually(t, client, "b")
+	waitForLeader(t, client, "b")
 }
--- a/internal/shardmap/history.go
+++ b/internal/shardmap/history.go
@@ -7,28 +7,29 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// version says up to what change of one server a reader knows the routes. Its zero value knows nothing.
+// version identifies the last change, in the numbering of one server, that a reader has received. The zero value means that
+// it has received none.
 type version struct {
 	source, sequence uint64
 }
 
-// history numbers the changes of the routes that one server sees.
+// history assigns sequence numbers to the route changes observed by one server.
 type history struct {
 	version version
-	routes  map[ident.Shard]numbered
+	routes  map[ident.Shard]versionedRoute
 }
 
-// numbered is a route and the sequence at which it last changed.
-type numbered struct {
+// versionedRoute is a route and the sequence number of its last change.
+type versionedRoute struct {
 	route   Route
 	changed uint64
 }
 
 func newHistory(source uint64) *history {
-	return &history{version: version{source: source}, routes: map[ident.Shard]numbered{}}
+	return &history{version: version{source: source}, routes: map[ident.Shard]versionedRoute{}}
 }
 
-// observe takes in the routes as they are now. All that changed since the last time share one number.
+// observe records the current routes. All routes that changed since the previous call get the same sequence number.
 func (h *history) observe(routes []Route) {
 	next := h.version.sequence + 1
 	for _, route := range routes {
@@ -36,21 +37,22 @@
 		if found && known.route.equal(route) {
 			continue
 		}
-		h.routes[route.Shard] = numbered{route: route, changed: next}
+		h.routes[route.Shard] = versionedRoute{route: route, changed: next}
 		h.version.sequence = next
 	}
 }
 
-// since returns the routes, in order, that changed after a version; all of them if it is not of this history.
+// since returns the routes that changed after a version, sorted by shard. It returns all routes if the version is from
+// another history.
 func (h *history) since(known version) []Route {
 	after := known.sequence
 	if known.source != h.version.source || after > h.version.sequence {
 		after = 0
 	}
 	var routes []Route
-	for _, each := range h.routes {
-		if each.changed > after {
-			routes = append(routes, each.route)
+	for _, entry := range h.routes {
+		if entry.changed > after {
+			routes = append(routes, entry.route)
 		}
 	}
 	slices.SortFunc(routes, func(a, b Route) int { return cmp.Compare(a.Shard, b.Shard) })
--- a/internal/shardmap/holding_test.go
+++ b/internal/shardmap/holding_test.go
@@ -8,8 +8,8 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// TestHoldingsTellWhatAStopTakesAway: c is down, so a is the only one that could serve shard 1 and 2.
-func TestHoldingsTellWhatAStopTakesAway(t *testing.T) {
+// TestHoldingsCountSoleCopies checks that with node c down, node a has the only available copy of shards 1 and 2.
+func TestHoldingsCountSoleCopies(t *testing.T) {
 	routes := []Route{
 		{Shard: 0, Members: []ident.Node{"a", "b", "c"}},
 		{Shard: 1, Members: []ident.Node{"a"}},
--- a/internal/shardmap/route.go
+++ b/internal/shardmap/route.go
@@ -1,5 +1,7 @@
-// Package shardmap tells nodes without a disk where the job shards are. Nodes with a disk follow the replica sets in the
-// key-value service, which is rate-limited and could not carry a watch by every node; the others ask one of them.
+// Package shardmap distributes the locations of the job shards (replica sets and leaders) to nodes without a disk. Nodes with
+// a disk watch the replica sets in the key-value service, which is rate-limited and could not serve a watch by every node,
+// and run a Server. The other nodes run a Client, which polls one of these servers for the changes since its last poll.
+// The package also counts the shard copies on each node.
 package shardmap
 
 import (
@@ -12,13 +14,13 @@
 	pb "mallowlatch.example/mallowlatch/internal/shardmap/shardmappb"
 )
 
-// ErrNotReady means that the asked node has not read the replica sets itself.
+// ErrNotReady means that the polled node has not read the replica sets yet.
 const ErrNotReady = failure.Kind("shardmap: replica sets not read yet")
 
 // Route is the replica set of a shard and, if it is known, its leader.
 type Route struct {
 	Shard ident.Shard
-	// Revision is that of the set in the key-value service: of two sets the one with the larger revision is newer.
+	// Revision is the revision of the replica set in the key-value service; a larger revision is newer.
 	Revision int64
 	Members  []ident.Node
 	// Leader is empty if unknown.
@@ -29,20 +31,21 @@
 	return r.Revision == other.Revision && r.Leader == other.Leader && slices.Equal(r.Members, other.Members)
 }
 
-// merged returns what is known after another node told of the shard. An older set never replaces a newer one, so it does
-// no harm to ask a node that lags; a node that does not know the leader takes nothing away.
-func (r Route) merged(told Route) Route {
-	if told.Revision < r.Revision {
+// merged returns the route after a route received from another node is applied. An older replica set never replaces a newer
+// one, so polling a lagging node is safe. If the received leader is unknown, the current leader is kept if it is still a
+// member.
+func (r Route) merged(received Route) Route {
+	if received.Revision < r.Revision {
 		return r
 	}
-	if told.Leader == "" && slices.Contains(told.Members, r.Leader) {
-		told.Leader = r.Leader
+	if received.Leader == "" && slices.Contains(received.Members, r.Leader) {
+		received.Leader = r.Leader
 	}
-	return told
+	return received
 }
 
-// first returns the node to ask first: the leader if it is a member, else any member.
-func (r Route) first() (ident.Node, bool) {
+// preferred returns the node to contact first: the leader if it is a member, otherwise the first member.
+func (r Route) preferred() (ident.Node, bool) {
 	if slices.Contains(r.Members, r.Leader) {
 		return r.Leader, true
 	}
@@ -52,16 +55,16 @@
 	return r.Members[0], true
 }
 
-// table holds the routes that a node was told. It is safe for concurrent use.
+// table stores the routes received from other nodes. It is safe for concurrent use.
 type table struct {
 	mutex  sync.Mutex
 	routes map[ident.Shard]Route
 }
 
-func (t *table) first(shard ident.Shard) (ident.Node, bool) {
+func (t *table) preferred(shard ident.Shard) (ident.Node, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.routes[shard].first()
+	return t.routes[shard].preferred()
 }
 
 func (t *table) all() []Route {
@@ -70,12 +73,12 @@
 	return slices.Collect(maps.Values(t.routes))
 }
 
-// merge takes routes in and reports whether any changed.
-func (t *table) merge(told []Route) bool {
+// merge applies received routes and reports whether any route changed.
+func (t *table) merge(received []Route) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	changed := false
-	for _, route := range told {
+	for _, route := range received {
 		known := t.routes[route.Shard]
 		merged := known.merged(route)
 		merged.Shard = route.Shard
--- a/internal/shardmap/plan_test.go
+++ b/internal/shardmap/schedule_test.go
@@ -11,68 +11,68 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 var fourPeers = []Peer{{"near-1", "near"}, {"near-2", "near"}, {"far-1", "far"}, {"far-2", "far"}}
 
-func chosen(t *testing.T, p *plan, now time.Time, peers []Peer) ident.Node {
+func choosePeer(t *testing.T, s *schedule, now time.Time, peers []Peer) ident.Node {
 	t.Helper()
-	peer, _, found := p.choose(now, peers)
+	peer, _, found := s.choose(now, peers)
 	assert.Assert(t, found)
 	return peer
 }
 
-func TestPeerOfTheZoneIsAskedUntilItFails(t *testing.T) {
-	p := newPlan("self", "near", Intervals{})
-	first := chosen(t, p, noon, fourPeers)
+func TestPeerOfSameZoneIsPolledUntilItFails(t *testing.T) {
+	s := newSchedule("self", "near", Intervals{})
+	first := choosePeer(t, s, testTime, fourPeers)
 	assert.Equal(t, first[:4], ident.Node("near"))
-	p.answered(noon, first, version{7, 3}, true, 0)
-	_, known, _ := p.choose(noon, fourPeers)
+	s.recordReply(testTime, first, version{7, 3}, true, 0)
+	_, known, _ := s.choose(testTime, fourPeers)
 	assert.Equal(t, known, version{7, 3})
 
-	p.failed(noon, first, 0)
-	assert.Equal(t, p.due, noon.Add(DefaultRetry))
-	second, known, _ := p.choose(noon, fourPeers)
+	s.recordFailure(testTime, first, 0)
+	assert.Equal(t, s.nextPoll, testTime.Add(DefaultRetry))
+	second, known, _ := s.choose(testTime, fourPeers)
 	assert.Equal(t, second[:4], ident.Node("near"))
 	assert.Assert(t, second != first)
-	assert.Equal(t, known, version{}, "what one server numbered means nothing to another")
+	assert.Equal(t, known, version{}, "versions of one server must not be sent to another")
 
-	p.failed(noon, second, 0)
-	assert.Equal(t, p.due, noon.Add(2*DefaultRetry))
-	assert.Equal(t, chosen(t, p, noon, fourPeers)[:3], ident.Node("far"))
-	assert.Equal(t, chosen(t, p, noon.Add(DefaultAvoid), fourPeers), first)
-	_, _, found := p.choose(noon, []Peer{{"self", "near"}})
+	s.recordFailure(testTime, second, 0)
+	assert.Equal(t, s.nextPoll, testTime.Add(2*DefaultRetry))
+	assert.Equal(t, choosePeer(t, s, testTime, fourPeers)[:3], ident.Node("far"))
+	assert.Equal(t, choosePeer(t, s, testTime.Add(DefaultPeerBackoff), fourPeers), first)
+	_, _, found := s.choose(testTime, []Peer{{"self", "near"}})
 	assert.Assert(t, !found)
 }
 
-func TestMissesAskAtOnceAndEverMoreSlowlyInVain(t *testing.T) {
-	p := newPlan("self", "near", Intervals{})
-	now, unchanged := noon, version{1, 1}
-	p.begin()
-	p.answered(now, "near-1", unchanged, true, 0)
-	assert.Equal(t, p.due, now.Add(DefaultPoll))
+func TestMissesPollImmediatelyThenBackOff(t *testing.T) {
+	s := newSchedule("self", "near", Intervals{})
+	now, unchanged := testTime, version{1, 1}
+	s.startPoll()
+	s.recordReply(now, "near-1", unchanged, true, 0)
+	assert.Equal(t, s.nextPoll, now.Add(DefaultPoll))
 	now = now.Add(time.Second)
-	p.miss()
-	assert.Assert(t, !p.due.After(now), "a miss after a quiet time is asked about at once")
+	s.recordMiss()
+	assert.Assert(t, !s.nextPoll.After(now), "a miss after an idle period must trigger a poll immediately")
 	var waits []time.Duration
 	for range 8 {
-		p.begin()
-		p.answered(now, "near-1", unchanged, false, 0)
-		p.miss()
-		waits = append(waits, p.due.Sub(now))
-		now = p.due
+		s.startPoll()
+		s.recordReply(now, "near-1", unchanged, false, 0)
+		s.recordMiss()
+		waits = append(waits, s.nextPoll.Sub(now))
+		now = s.nextPoll
 	}
 	for index := range waits {
-		assert.Equal(t, waits[index], min(DefaultPause<<(index+1), DefaultPoll))
+		assert.Equal(t, waits[index], min(DefaultMissBackoff<<(index+1), DefaultPoll))
 	}
-	p.begin()
-	p.miss()
-	p.answered(now, "near-1", version{1, 2}, true, 0)
-	assert.Equal(t, p.due, now.Add(DefaultPause), "a miss during a question is asked about after it")
+	s.startPoll()
+	s.recordMiss()
+	s.recordReply(now, "near-1", version{1, 2}, true, 0)
+	assert.Equal(t, s.nextPoll, now.Add(DefaultMissBackoff), "a miss during a poll must trigger another poll")
 }
 
-// A reader that follows any servers in any order, some of them lagging, never goes back to an older set, and knows all
-// that a server knows after that server's answer.
+// TestReaderFollowsServers checks that a reader polling several servers in any order, some of them lagging, never reverts to
+// an older replica set, and has all routes of a server after that server's reply.
 func TestReaderFollowsServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const servers, shards = 3, 4
@@ -100,7 +100,7 @@
 					seen[server][shard] = newest
 				}
 			case 2:
-				// The server starts anew.
+				// The server restarts with a new identity.
 				histories[server] = newHistory(histories[server].version.source + servers)
 			default:
 				var now []Route
--- a/internal/shardmap/server.go
+++ b/internal/shardmap/server.go
@@ -10,12 +10,12 @@
 	pb "mallowlatch.example/mallowlatch/internal/shardmap/shardmappb"
 )
 
-// Source knows the routes at first hand. It reports false until it has read the replica sets once.
+// Source provides the routes read from the key-value service. Routes returns false until the replica sets were read once.
 type Source interface {
 	Routes() ([]Route, bool)
 }
 
-// Server tells other nodes the routes of a source. It is safe for concurrent use.
+// Server serves the routes of a source to other nodes. It is safe for concurrent use.
 type Server struct {
 	source Source
 
@@ -25,12 +25,13 @@
 
 var _ pb.DRPCShardMapServer = (*Server)(nil)
 
-// NewServer returns a server. Identity is a random number other than zero, drawn by each process.
+// NewServer returns a server. identity is a random non-zero number that each process chooses at start; it tells the versions
+// of different servers apart.
 func NewServer(source Source, identity uint64) *Server {
 	return &Server{source: source, history: newHistory(identity)}
 }
 
-// Register adds the server's call to the peer listener.
+// Register registers the service with the peer listener.
 func (s *Server) Register(mux drpc.Mux) error {
 	if err := pb.DRPCRegisterShardMap(mux, s); err != nil {
 		return fmt.Errorf("register shard map: %w", err)
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// Read answers with the routes that changed after the reader's version.
+// Read returns the routes that changed after the reader's version.
 func (s *Server) Read(_ context.Context, request *pb.ReadRequest) (*pb.ReadReply, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
