--- a/internal/transport/buffers_test.go
+++ b/internal/transport/buffers_test.go
@@ -12,9 +12,9 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// liveBytes is what the heap holds once all garbage is gone.
-func liveBytes() int64 {
-	// What a pool holds outlives one collection.
+// heapBytes returns the bytes allocated on the heap after garbage collection.
+func heapBytes() int64 {
+	// Objects in a sync.Pool survive one collection, so two are needed.
 	runtime.GC()
 	runtime.GC()
 	var memory runtime.MemStats
@@ -22,14 +22,15 @@
 	return int64(memory.HeapAlloc)
 }
 
-// TestConnectionsAtRestKeepLittleOfALargeMessage has 60 nodes read a page of 250 kB of results from one that they go on calling: each end of
-// a connection keeps no more than 32 KiB of it. 330 nodes may call each worker, with 32 MB a node for all control.
-func TestConnectionsAtRestKeepLittleOfALargeMessage(t *testing.T) {
+// TestIdleConnectionsRetainLittleOfLargeMessages checks that each end of a connection retains at most 32 KiB of buffers after
+// a large message. 60 nodes read a 250 kB page of results from one node and then continue with small calls. The limit follows
+// from up to 330 nodes calling each worker and a memory budget of 32 MB per node for all control traffic.
+func TestIdleConnectionsRetainLittleOfLargeMessages(t *testing.T) {
 	const (
-		nodes      = 60
-		page       = 250_000
-		small      = 30
-		keptByEnds = 2 * 32 << 10
+		nodes               = 60
+		page                = 250_000
+		small               = 30
+		maxRetainedBothEnds = 2 * 32 << 10
 	)
 	service := &echo{say: func(_ context.Context, text string) (string, error) {
 		if text == "page" {
@@ -41,7 +42,7 @@
 	var connections []drpc.Conn
 	callAll := func(text string) {
 		for _, connection := range connections {
-			_, err := say(limited(t), connection, text)
+			_, err := say(timeoutContext(t), connection, text)
 			assert.NilError(t, err)
 		}
 	}
@@ -49,12 +50,12 @@
 		connections = append(connections, connect(t, address, transport.PoolOptions{}))
 	}
 	callAll("small")
-	before := liveBytes()
+	before := heapBytes()
 	callAll("page")
 	for range small {
 		callAll("small")
 	}
-	kept := (liveBytes() - before) / nodes
-	t.Logf("%d bytes are kept for each connection", kept)
-	assert.Assert(t, kept <= keptByEnds, "%d bytes are kept for each connection", kept)
+	retained := (heapBytes() - before) / nodes
+	t.Logf("%d bytes retained per connection", retained)
+	assert.Assert(t, retained <= maxRetainedBothEnds, "%d bytes retained per connection", retained)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -18,7 +18,7 @@
 	closeOnce      sync.Once
 	closed         func()
 	received, sent atomic.Int64
-	// writes counts the writes that are under way or have sent anything.
+	// writes counts the writes that are in progress or have sent at least one byte.
 	writes                    atomic.Int64
 	accountedIn, accountedOut int64
 }
@@ -30,8 +30,8 @@
 	return count, err
 }
 
-// Write counts the attempt before the bytes can leave, and takes it back if none left, so that an unchanged count proves
-// that nothing was sent.
+// Write increments the write count before sending and decrements it if the write failed without sending a byte, so an
+// unchanged count proves that nothing was sent.
 func (c *meteredConn) Write(buffer []byte) (int, error) {
 	c.writes.Add(1)
 	count, err := c.Conn.Write(buffer)
@@ -50,7 +50,8 @@
 	return c.Conn.Close()
 }
 
-// takeUnaccounted returns the bytes since its last call. Only the holder of the connection's one call uses it.
+// takeUnaccounted returns the bytes transferred since its previous call. It must only be used by the call that currently
+// uses the connection.
 func (c *meteredConn) takeUnaccounted() (received, sent int64) {
 	totalIn, totalOut := c.received.Load(), c.sent.Load()
 	received, sent = totalIn-c.accountedIn, totalOut-c.accountedOut
@@ -58,28 +59,28 @@
 	return received, sent
 }
 
-// serverConn is what drpc sees as the transport of an accepted connection.
+// serverConn is the transport of an accepted connection as passed to drpc.
 type serverConn struct {
 	net.Conn
 	meter *meteredConn
 	peer  ident.Node
 }
 
-// Peer returns the node that made the call, as its certificate names it; false on a plain connection. Handlers call
-// it with the context of their call.
+// Peer returns the node that made a call, as named in its certificate. It returns false on a plain connection. ctx is the
+// context of the handler's call.
 func Peer(ctx context.Context) (ident.Node, bool) {
 	carrier, found := drpcctx.Transport(ctx)
 	if !found {
 		return "", false
 	}
-	accepted, ours := carrier.(*serverConn)
-	if !ours || accepted.peer == "" {
+	accepted, isServerConn := carrier.(*serverConn)
+	if !isServerConn || accepted.peer == "" {
 		return "", false
 	}
 	return accepted.peer, true
 }
 
-// peerName returns the node a verified certificate names: the first of its DNS names.
+// peerName returns the node named in a verified certificate: its first DNS name.
 func peerName(state tls.ConnectionState) ident.Node {
 	if len(state.PeerCertificates) == 0 || len(state.PeerCertificates[0].DNSNames) == 0 {
 		return ""
@@ -87,7 +88,7 @@
 	return ident.Node(state.PeerCertificates[0].DNSNames[0])
 }
 
-// isLoopback says whether the address, "IP:port", stays on this machine.
+// isLoopback reports whether the address, "IP:port", is a loopback address.
 func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -13,7 +13,7 @@
 	"mallowlatch.example/mallowlatch/internal/tlsreload"
 )
 
-// reloadInterval is the least time between two looks at the certificate files.
+// reloadInterval is the minimum time between two checks of the certificate files.
 const reloadInterval = time.Second
 
 // Files names the PEM files of a node's credentials.
@@ -26,8 +26,9 @@
 	Authority string
 }
 
-// Credentials are a node's certificate, key and authorities. The files are looked at again when a connection is made,
-// so replaced files are in use for new connections without a restart; files that can't be used change nothing.
+// Credentials are a node's certificate, key and authorities. The files are checked again when a connection is made,
+// so replaced files are used for new connections without a restart. Files that cannot be used are ignored, and the previous
+// credentials stay in use.
 type Credentials struct {
 	mutex    sync.Mutex
 	checked  time.Time
@@ -50,7 +51,7 @@
 	return &Credentials{reloader: reloader}, nil
 }
 
-// current returns the credentials in use, after a look at the files.
+// current returns the credentials in use, after checking the files if reloadInterval has passed.
 func (c *Credentials) current() (tls.Certificate, *x509.CertPool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,7 +63,7 @@
 	return c.reloader.Current()
 }
 
-// serverConfig returns the configuration of a listener, which asks for the credentials anew on every handshake.
+// serverConfig returns the TLS configuration of a listener, which gets the current credentials on every handshake.
 func (c *Credentials) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -78,15 +79,15 @@
 	}
 }
 
-// clientConfig returns the configuration of one connection to the node. An empty name accepts any node of the
-// authorities, which is how seeds known by address only are reached.
+// clientConfig returns the TLS configuration of one connection to the node. An empty name accepts any node with a
+// certificate signed by the authorities; it is used for seeds of which only the address is known.
 func (c *Credentials) clientConfig(node ident.Node) *tls.Config {
 	certificate, authorities := c.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{certificate},
-		// Nodes are dialled by IP address, so the library's check of the host name can't apply. VerifyConnection does
-		// the same check of the chain, then that of the node's name.
+		// Nodes are dialed by IP address, so the standard host name check does not apply. VerifyConnection verifies the
+		// certificate chain and then the node's name instead.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyPeer(state, authorities, node)
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -11,7 +11,8 @@
 	"mallowlatch.example/mallowlatch/internal/failure"
 )
 
-// Codes of drpc errors on the wire. An error with a code is the peer's answer; one without comes from the connection.
+// Codes of drpc errors on the wire. An error with a code was returned by the peer; an error without one
+// comes from the connection.
 const (
 	codeRemote  uint64 = 1
 	codeRefused uint64 = 2
@@ -26,7 +27,7 @@
 	return false
 }
 
-// withCode makes sure that an error of a handler carries a code, which tells the client that the call ran.
+// withCode ensures that a handler's error has a code, so that the client can see that the call ran.
 func withCode(err error) error {
 	if err == nil || drpcerr.Code(err) != 0 {
 		return err
@@ -34,8 +35,8 @@
 	return drpcerr.WithCode(err, codeRemote)
 }
 
-// classify gives an error of a drpc call its kind. The library reports a lost connection as io.EOF or
-// context.Canceled; neither may leak, because a caller would take them for the end of a stream or its own doing.
+// classify wraps an error of a drpc call in its failure kind. drpc reports a lost connection as io.EOF or
+// context.Canceled. Neither may reach the caller, who would take it for the end of the stream or its own cancellation.
 func classify(ctx context.Context, err error) error {
 	if err == nil || err == io.EOF {
 		return err
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -42,7 +42,7 @@
 	return proto.Unmarshal(data, message.(proto.Message))
 }
 
-// echo is a service with one plain and one streaming call.
+// echo is a service with one unary and one streaming call.
 type echo struct {
 	say   func(ctx context.Context, text string) (string, error)
 	count func(stream drpc.Stream) error
@@ -111,13 +111,13 @@
 	return conn
 }
 
-func limited(t *testing.T) context.Context {
+func timeoutContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// authority signs certificates of test nodes.
+// authority is a certificate authority for test nodes.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -13,7 +13,7 @@
 	serviceUnknown = "unknown"
 )
 
-// Metrics counts the traffic between nodes. Bytes are those of TCP payload, TLS included, on this node's side.
+// Metrics counts the traffic between nodes. Byte counts are of TCP payload including TLS, measured on this node.
 type Metrics struct {
 	received    *prometheus.CounterVec
 	sent        *prometheus.CounterVec
@@ -47,8 +47,8 @@
 	return metrics
 }
 
-// account adds what the connection carried since the last call to the service's counters. A drpc connection carries
-// one call at a time, so the difference belongs to that call.
+// account adds the bytes transferred on the connection since the previous call to the counters of the service. A drpc
+// connection carries one call at a time, so all these bytes belong to that call.
 func (m *Metrics) account(connection *meteredConn, service, side string) {
 	received, sent := connection.takeUnaccounted()
 	m.received.WithLabelValues(service, side).Add(float64(received))
@@ -56,7 +56,7 @@
 	m.calls.WithLabelValues(service, side).Inc()
 }
 
-// serviceOf returns the service of a drpc call's name, "/package.Service/Method".
+// serviceOf returns the service in a drpc method name of the form "/package.Service/Method".
 func serviceOf(rpc string) string {
 	service, _, _ := strings.Cut(strings.TrimPrefix(rpc, "/"), "/")
 	return service
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -17,28 +17,28 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Defaults of a pool.
+// Default options of a pool.
 const (
-	// DefaultMaxPerNode bounds the connections, and so the calls at once, to one node.
+	// DefaultMaxPerNode is the maximum number of connections, and so of concurrent calls, to one node.
 	DefaultMaxPerNode = 64
-	// DefaultIdlePerNode bounds the connections to one node that are kept unused.
+	// DefaultIdlePerNode is the maximum number of idle connections retained to one node.
 	DefaultIdlePerNode = 4
-	// DefaultIdleTimeout closes a connection unused for so long. It spans several rounds of a zone's probes, so that
-	// probing doesn't pay for a handshake each time.
+	// DefaultIdleTimeout is how long a connection may be idle before it is closed. It spans several rounds of a zone's
+	// probes, so that probing does not need a handshake each time.
 	DefaultIdleTimeout = 3 * time.Minute
-	// DefaultDialTimeout bounds connecting and the handshake.
+	// DefaultDialTimeout is the time limit of connecting and the handshake together.
 	DefaultDialTimeout = 2 * time.Second
 
 	firstBackoff = 50 * time.Millisecond
 	lastBackoff  = 2 * time.Second
 )
 
-// PoolOptions sets up a pool. Lookup is required; zero values of the others mean the defaults of this package.
+// PoolOptions configures a pool. Lookup is required; zero values of the other fields select the defaults of this package.
 type PoolOptions struct {
 	// Lookup returns the peer address, "IP:port", of a node.
 	Lookup func(node ident.Node) (string, bool)
-	// Credentials turn on mutual TLS; without them only loopback addresses are dialled, unless PrivateNetwork says that
-	// nobody else can reach the network between the nodes.
+	// Credentials enable mutual TLS. Without them only loopback addresses are dialed, unless PrivateNetwork states that no
+	// other party can reach the network between the nodes.
 	Credentials     *Credentials
 	PrivateNetwork  bool
 	MaxPerNode      int
@@ -47,12 +47,12 @@
 	DialTimeout     time.Duration
 	MaxMessageBytes int
 	Metrics         *Metrics
-	// Jitter returns a number in [0, 1) that spreads the backoff; nil means none.
+	// Jitter returns a number in [0, 1) that is used to randomize the backoff; nil means no randomization.
 	Jitter func() float64
 }
 
-// Pool shares connections to other nodes. A drpc connection carries one call at a time, so the pool opens several to
-// one node, within a bound; a call beyond it waits. It is safe for concurrent use.
+// Pool shares connections to other nodes. A drpc connection carries one call at a time, so the pool opens several
+// connections to one node, up to MaxPerNode; further calls wait. It is safe for concurrent use.
 type Pool struct {
 	options PoolOptions
 	idle    *drpcpool.Pool[target, *clientConn]
@@ -64,15 +64,16 @@
 
 var _ Dialer = (*Pool)(nil)
 
-// target is where a connection leads. An empty node accepts any node of the authorities.
+// target identifies the remote end of a connection. An empty node accepts any node with a certificate signed by the
+// authorities.
 type target struct {
 	node    ident.Node
 	address string
 }
 
-// peer is what the pool knows about a target.
+// peer is the state of a target: its calls in flight and its dial backoff.
 type peer struct {
-	// slots holds one entry for each call under way.
+	// slots holds one entry for each call in flight.
 	slots     chan struct{}
 	failures  int
 	notBefore time.Time
@@ -114,8 +115,8 @@
 	}
 }
 
-// Conn returns the shared connection to a node. It connects when the first call is made, so its own errors are
-// ErrUnknownNode and ErrClosed only; calls return the rest.
+// Conn returns the shared connection to a node. Connecting is deferred to the first call, so Conn returns only
+// ErrUnknownNode and ErrClosed; calls return the other errors.
 func (p *Pool) Conn(_ context.Context, node ident.Node) (drpc.Conn, error) {
 	address, known := p.options.Lookup(node)
 	if !known {
@@ -124,16 +125,17 @@
 	return p.conn(target{node: node, address: address})
 }
 
-// ConnAddress returns the shared connection to whatever node serves an address, for seeds whose name isn't known.
+// ConnAddress returns the shared connection to the node at an address, whatever its name. It is for seeds of which only the
+// address is known.
 func (p *Pool) ConnAddress(address string) (drpc.Conn, error) {
 	return p.conn(target{address: address})
 }
 
-func (p *Pool) conn(where target) (drpc.Conn, error) {
+func (p *Pool) conn(destination target) (drpc.Conn, error) {
 	if p.isClosed() {
-		return nil, fmt.Errorf("connect to %s: %w", where.address, ErrClosed)
+		return nil, fmt.Errorf("connect to %s: %w", destination.address, ErrClosed)
 	}
-	return &sharedConn{pool: p, target: where}, nil
+	return &sharedConn{pool: p, target: destination}, nil
 }
 
 func (p *Pool) isClosed() bool {
@@ -142,72 +144,73 @@
 	return p.closed
 }
 
-// Close closes the idle connections; those of calls under way close as the calls end.
+// Close closes the idle connections. Connections of calls in flight are closed when the calls end.
 func (p *Pool) Close() error {
 	p.mutex.Lock()
 	p.closed = true
 	p.mutex.Unlock()
-	if err := p.idle.Close(); err != nil && !isGone(err) {
+	if err := p.idle.Close(); err != nil && !isPeerClosed(err) {
 		return fmt.Errorf("close pool: %w", err)
 	}
 	return nil
 }
 
-// isGone reports whether an error of closing says only that the peer had closed the connection before.
-func isGone(err error) bool {
+// isPeerClosed reports whether an error from closing a connection only means that the peer had already closed it.
+func isPeerClosed(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// Forget drops what the pool holds about targets that keep says no to, unless a call to them is under way; call it when
-// the members or their addresses change. The node is empty for targets of ConnAddress.
+// Forget removes the state of targets for which keep returns false, except those with calls in flight. It must be called when
+// the members or their addresses change, or the state of former targets accumulates. The node passed to keep is empty for
+// targets of ConnAddress.
 func (p *Pool) Forget(keep func(node ident.Node, address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for where, known := range p.peers {
-		if len(known.slots) == 0 && !keep(where.node, where.address) {
-			delete(p.peers, where)
+	for destination, known := range p.peers {
+		if len(known.slots) == 0 && !keep(destination.node, destination.address) {
+			delete(p.peers, destination)
 		}
 	}
 }
 
-func (p *Pool) peerOf(where target) *peer {
+func (p *Pool) peerOf(destination target) *peer {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[where]
+	known, found := p.peers[destination]
 	if !found {
 		known = &peer{slots: make(chan struct{}, p.options.MaxPerNode)}
-		p.peers[where] = known
+		p.peers[destination] = known
 	}
 	return known
 }
 
-// acquire returns a connection for one call, an idle one if there is. fresh asks for a new one.
-func (p *Pool) acquire(ctx context.Context, where target, fresh bool) (*clientConn, error) {
+// acquire returns a connection for one call: an idle one if available, unless fresh requires a new one.
+func (p *Pool) acquire(ctx context.Context, destination target, fresh bool) (*clientConn, error) {
 	if !fresh {
-		if connection, found := p.takeIdle(where); found {
+		if connection, found := p.takeIdle(destination); found {
 			return connection, nil
 		}
 	}
-	return p.dial(ctx, where)
+	return p.dial(ctx, destination)
 }
 
-// takeIdle returns an idle connection that the peer has not closed. The kernel may know of the close before the library
-// has read it; a call written after it would end with an unknown outcome although it surely did not run.
-func (p *Pool) takeIdle(where target) (*clientConn, bool) {
+// takeIdle returns an idle connection that the peer has not closed. The kernel may have received the close before drpc
+// has read it. A call written after that would fail with an unknown outcome although it certainly did not run.
+func (p *Pool) takeIdle(destination target) (*clientConn, bool) {
 	for {
-		connection, found := p.idle.Take(where)
+		connection, found := p.idle.Take(destination)
 		if !found {
 			return nil, false
 		}
-		if !hungUp(connection.meter.Conn) {
+		if !closedByPeer(connection.meter.Conn) {
 			return connection, true
 		}
 		_ = connection.Close()
 	}
 }
 
-// release keeps a connection that still works for the next call.
-func (p *Pool) release(where target, connection *clientConn) {
+// release returns a connection to the idle pool, or closes it if it is closed already or the pool is.
+func (p *Pool) release(destination target, connection *clientConn) {
 	select {
 	case <-connection.Closed():
 		_ = connection.Close()
@@ -218,66 +221,67 @@
 		_ = connection.Close()
 		return
 	}
-	p.idle.Put(where, connection)
+	p.idle.Put(destination, connection)
 }
 
-// dial opens a connection unless the target's backoff says that it is too early.
-func (p *Pool) dial(ctx context.Context, where target) (*clientConn, error) {
-	known := p.peerOf(where)
+// dial opens a connection, or fails with ErrUnreachable during the target's backoff.
+func (p *Pool) dial(ctx context.Context, destination target) (*clientConn, error) {
+	known := p.peerOf(destination)
 	if wait := p.backoff(known); wait > 0 {
-		return nil, fmt.Errorf("connect to %s: %w (next attempt in %s)", where.address, ErrUnreachable, wait)
+		return nil, fmt.Errorf("connect to %s: %w (next attempt in %s)", destination.address, ErrUnreachable, wait)
 	}
-	connection, err := p.connect(ctx, where)
-	// A caller that gave up says nothing about the peer.
+	connection, err := p.connect(ctx, destination)
+	// A failure after the caller's context ended is not evidence of a fault of the peer.
 	if ctx.Err() == nil || err == nil {
 		p.record(known, err)
 	}
 	return connection, err
 }
 
-func (p *Pool) connect(ctx context.Context, where target) (*clientConn, error) {
-	if p.options.Credentials == nil && !p.options.PrivateNetwork && !isLoopback(where.address) {
-		return nil, fmt.Errorf("connect to %s: %w", where.address, ErrInsecure)
+func (p *Pool) connect(ctx context.Context, destination target) (*clientConn, error) {
+	if p.options.Credentials == nil && !p.options.PrivateNetwork && !isLoopback(destination.address) {
+		return nil, fmt.Errorf("connect to %s: %w", destination.address, ErrInsecure)
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.options.DialTimeout)
 	defer cancel()
-	raw, err := new(net.Dialer).DialContext(ctx, "tcp", where.address)
+	raw, err := new(net.Dialer).DialContext(ctx, "tcp", destination.address)
 	if err != nil {
-		return nil, fmt.Errorf("connect to %s: %w: %w", where.address, ErrUnreachable, err)
+		return nil, fmt.Errorf("connect to %s: %w: %w", destination.address, ErrUnreachable, err)
 	}
 	gauge := p.options.Metrics.connections.WithLabelValues(sideClient)
 	gauge.Inc()
 	meter := &meteredConn{Conn: raw, closed: gauge.Dec}
 	carrier := net.Conn(meter)
 	if p.options.Credentials != nil {
-		secure := tls.Client(meter, p.options.Credentials.clientConfig(where.node))
+		secure := tls.Client(meter, p.options.Credentials.clientConfig(destination.node))
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = meter.Close()
-			return nil, handshakeError(where, err)
+			return nil, handshakeError(destination, err)
 		}
 		carrier = secure
 	}
-	// Cancelled calls close their connection instead of asking the peer politely: a connection to a frozen peer must
-	// not be used again.
+	// Canceled calls close their connection instead of sending a cancellation to the peer, because a connection to an
+	// unresponsive peer must not be reused.
 	inner := drpcconn.NewWithOptions(carrier, drpcconn.Options{Manager: managerOptions(p.options.MaxMessageBytes, 0)})
 	return &clientConn{Conn: inner, meter: meter}, nil
 }
 
-func handshakeError(where target, err error) error {
+func handshakeError(destination target, err error) error {
 	if errors.Is(err, ErrIdentity) {
-		return fmt.Errorf("connect to %s: %w", where.address, err)
+		return fmt.Errorf("connect to %s: %w", destination.address, err)
 	}
-	return fmt.Errorf("connect to %s: %w: %w", where.address, ErrUnreachable, err)
+	return fmt.Errorf("connect to %s: %w: %w", destination.address, ErrUnreachable, err)
 }
 
-// backoff returns how long the next attempt must still wait.
+// backoff returns the remaining wait before the next attempt.
 func (p *Pool) backoff(known *peer) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return time.Until(known.notBefore)
 }
 
-// record sets the backoff after an attempt: doubled by each failure up to a bound, half of it spread.
+// record updates the backoff after an attempt. The delay doubles with each consecutive failure up to lastBackoff, and half of
+// it is randomized.
 func (p *Pool) record(known *peer, failed error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -12,8 +12,8 @@
 	pool := NewPool(PoolOptions{Lookup: func(ident.Node) (string, bool) { return "", false }})
 	replaced, busy := target{"a", "127.0.0.1:1"}, target{"b", "127.0.0.1:2"}
 	present, seed := target{"a", "127.0.0.1:3"}, target{"", "127.0.0.1:4"}
-	for _, where := range []target{replaced, busy, present, seed} {
-		pool.peerOf(where)
+	for _, destination := range []target{replaced, busy, present, seed} {
+		pool.peerOf(destination)
 	}
 	pool.peerOf(busy).slots <- struct{}{}
 	keep := func(node ident.Node, address string) bool {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -22,23 +22,23 @@
 	"mallowlatch.example/mallowlatch/internal/event"
 )
 
-// Defaults of a server.
+// Default options of a server.
 const (
-	// DefaultMaxMessageBytes bounds one message of a call.
+	// DefaultMaxMessageBytes is the maximum size of one message of a call.
 	DefaultMaxMessageBytes = 4 << 20
-	// DefaultMaxConnections bounds the accepted connections.
+	// DefaultMaxConnections is the maximum number of accepted connections.
 	DefaultMaxConnections = 4096
 
 	handshakeTimeout = 5 * time.Second
-	// serverIdleTimeout closes accepted connections nobody uses; it is longer than the pool's own idle time, so that
-	// as a rule the client, which knows that no call is under way, closes first.
+	// serverIdleTimeout is how long an accepted connection may be idle before it is closed. It is longer than the pool's
+	// DefaultIdleTimeout, so that normally the client closes first: only the client knows that no call is in flight.
 	serverIdleTimeout = 10 * time.Minute
 )
 
-// ServerOptions sets up a server. The zero value serves plain TCP on loopback.
+// ServerOptions configures a server. The zero value serves plain TCP on loopback.
 type ServerOptions struct {
-	// Credentials turn on mutual TLS; without them only loopback listeners are served, unless PrivateNetwork says that
-	// nobody else can reach the network between the nodes.
+	// Credentials enable mutual TLS. Without them only loopback listeners are served, unless PrivateNetwork states that no
+	// other party can reach the network between the nodes.
 	Credentials    *Credentials
 	PrivateNetwork bool
 	// MaxMessageBytes and MaxConnections default to the constants of this package.
@@ -92,18 +92,18 @@
 }
 
 const (
-	// frameBytes is the size of the frames that a message is sent in. Either end of a connection keeps a buffer for the largest frame that
-	// passed, for as long as the connection lives.
+	// frameBytes is the maximum size of the frames into which a message is split. Each end of a connection retains a buffer
+	// for the largest frame so far until the connection closes.
 	frameBytes = 8 << 10
-	// keptMessageBytes is the largest message whose buffer is kept for the next one of its call.
-	keptMessageBytes = 16 << 10
+	// retainedBufferBytes is the maximum size of a message buffer that is reused for the next message of the same call.
+	retainedBufferBytes = 16 << 10
 )
 
-// managerOptions are those of either end of a connection.
+// managerOptions returns the drpc options used at both ends of a connection.
 func managerOptions(maxMessageBytes int, inactivity time.Duration) drpcmanager.Options {
 	return drpcmanager.Options{
 		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
-		Stream:            drpcstream.Options{SplitSize: frameBytes, MaximumBufferSize: keptMessageBytes},
+		Stream:            drpcstream.Options{SplitSize: frameBytes, MaximumBufferSize: retainedBufferBytes},
 		InactivityTimeout: inactivity,
 	}
 }
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Serve accepts connections until Stop. It returns nil after Stop, ErrInsecure for a plain listener off loopback, or
-// the listener's error.
+// Serve accepts connections until Stop. It returns nil after Stop, ErrInsecure for a plain listener on an address other than
+// loopback (unless PrivateNetwork is set), ErrClosed if Stop was called before, or the listener's error.
 func (s *Server) Serve(listener net.Listener) error {
 	if s.options.Credentials == nil && !s.options.PrivateNetwork && !isLoopback(listener.Addr().String()) {
 		return fmt.Errorf("serve %s: %w", listener.Addr(), ErrInsecure)
@@ -178,7 +178,7 @@
 		accepted.Conn = secure
 		accepted.peer = peerName(secure.ConnectionState())
 	}
-	// The error is the end of the connection, as a rule its close by the client; calls report their own errors.
+	// The error only reports why the connection ended, usually that the client closed it; calls return their own errors.
 	_ = s.drpc.ServeOne(s.tomb.Context(drpcctx.WithTransport(context.Background(), accepted)), accepted)
 }
 
@@ -191,34 +191,36 @@
 	return nil
 }
 
-// handle runs one call, or refuses it while the server stops.
+// handle runs one call, or refuses it if the server is stopping.
 func (s *Server) handle(stream drpc.Stream, rpc string) error {
-	if !s.begin() {
+	if !s.beginCall() {
 		return drpcerr.WithCode(ErrRefused, codeRefused)
 	}
-	// The answer must have left before the call counts as ended, or Stop could close the connection before it.
-	defer s.end()
-	err := answer(stream, withCode(s.mux.HandleRPC(stream, rpc)))
+	// The result must be sent before the call is counted as ended, or Stop could close the connection before the result is
+	// sent.
+	defer s.endCall()
+	err := sendResult(stream, withCode(s.mux.HandleRPC(stream, rpc)))
 	if carrier, found := drpcctx.Transport(stream.Context()); found {
-		if accepted, ours := carrier.(*serverConn); ours {
+		if accepted, isServerConn := carrier.(*serverConn); isServerConn {
 			s.options.Metrics.account(accepted.meter, s.label(rpc), sideServer)
 		}
 	}
 	return err
 }
 
-// answer sends the end of a call.
-func answer(stream drpc.Stream, failed error) error {
+// sendResult ends a call on the wire, with an error if it failed.
+func sendResult(stream drpc.Stream, failed error) error {
 	if failed == nil {
 		return stream.CloseSend()
 	}
-	if sender, able := stream.(interface{ SendError(error) error }); able {
+	if sender, supported := stream.(interface{ SendError(error) error }); supported {
 		return sender.SendError(failed)
 	}
 	return failed
 }
 
-// label keeps names a client made up out of the metrics.
+// label returns the service of a call as a metric label. Services that are not registered are replaced by a constant, so that
+// clients cannot create labels.
 func (s *Server) label(rpc string) string {
 	if service := serviceOf(rpc); s.services[service] {
 		return service
@@ -226,20 +228,20 @@
 	return serviceUnknown
 }
 
-// Stop closes the listener, refuses new calls as not run, and waits for running calls until ctx ends; then it closes
-// the connections. It returns the context's error if calls were cut.
+// Stop closes the listener, refuses new calls with ErrRefused, and waits for running calls until ctx ends; then it closes
+// the connections. It returns the context's error if calls were still running.
 func (s *Server) Stop(ctx context.Context) error {
 	s.beginStop()
-	var cut error
+	var timeoutErr error
 	select {
 	case <-s.idle:
 	case <-ctx.Done():
-		cut = fmt.Errorf("stop transport: %w", ctx.Err())
+		timeoutErr = fmt.Errorf("stop transport: %w", ctx.Err())
 	}
 	s.tomb.Kill(nil)
 	if s.closeAll() {
 		_ = s.tomb.Wait()
 	}
 	event.TransportStopped.Log(s.options.Logger).Send()
-	return cut
+	return timeoutErr
 }
--- a/internal/transport/server_track.go
+++ b/internal/transport/server_track.go
@@ -12,7 +12,7 @@
 	return s.stopping
 }
 
-// track counts an accepted connection in; false means it must be closed.
+// track registers an accepted connection. If it returns false, the connection must be closed.
 func (s *Server) track(connection net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,9 +36,9 @@
 	s.options.Metrics.connections.WithLabelValues(sideServer).Dec()
 }
 
-// begin counts a call in; false means that the server stops and the call must not run. The check and the count are
-// one step, so Stop never misses a call that was let in.
-func (s *Server) begin() bool {
+// beginCall counts a running call. It returns false if the server is stopping and the call must not run. The check and the
+// count are atomic, so Stop waits for every call that was accepted.
+func (s *Server) beginCall() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.stopping {
@@ -48,7 +48,7 @@
 	return true
 }
 
-func (s *Server) end() {
+func (s *Server) endCall() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.running--
@@ -72,7 +72,7 @@
 	}
 }
 
-// closeAll closes the accepted connections and says whether the server was ever serving.
+// closeAll closes the accepted connections and reports whether Serve was ever called.
 func (s *Server) closeAll() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/transport/tls_test.go
+++ b/internal/transport/tls_test.go
@@ -26,23 +26,23 @@
 	signer := newAuthority(t)
 	_, address := serve(t, &echo{say: whoami}, transport.ServerOptions{Credentials: signer.credentials(t, "b")})
 
-	answer, err := say(limited(t), connect(t, address, transport.PoolOptions{Credentials: signer.credentials(t, "a")}), "")
+	answer, err := say(timeoutContext(t), connect(t, address, transport.PoolOptions{Credentials: signer.credentials(t, "a")}), "")
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "a")
 
-	stranger := newAuthority(t).credentials(t, "a")
-	_, err = say(limited(t), connect(t, address, transport.PoolOptions{Credentials: stranger}), "")
+	untrusted := newAuthority(t).credentials(t, "a")
+	_, err = say(timeoutContext(t), connect(t, address, transport.PoolOptions{Credentials: untrusted}), "")
 	assert.Check(t, errors.Is(err, transport.ErrIdentity), "%v", err)
 
-	_, err = say(limited(t), connect(t, address, transport.PoolOptions{}), "")
+	_, err = say(timeoutContext(t), connect(t, address, transport.PoolOptions{}), "")
 	assert.Check(t, errors.Is(err, transport.ErrBroken), "%v", err)
 }
 
-func TestOtherNodeAtTheAddressIsRefused(t *testing.T) {
+func TestUnexpectedNodeAtAddressIsRejected(t *testing.T) {
 	signer := newAuthority(t)
 	_, address := serve(t, &echo{say: whoami}, transport.ServerOptions{Credentials: signer.credentials(t, "c")})
 	options := transport.PoolOptions{Credentials: signer.credentials(t, "a")}
-	_, err := say(limited(t), connect(t, address, options), "")
+	_, err := say(timeoutContext(t), connect(t, address, options), "")
 	assert.Check(t, errors.Is(err, transport.ErrIdentity), "%v", err)
 	assert.Check(t, transport.NothingSent(err))
 
@@ -50,22 +50,22 @@
 	pool := transport.NewPool(options)
 	seed, err := pool.ConnAddress(address)
 	assert.NilError(t, err)
-	answer, err := say(limited(t), seed, "")
+	answer, err := say(timeoutContext(t), seed, "")
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "a")
 	assert.NilError(t, pool.Close())
 }
 
-func TestPlainOffLoopbackIsRefused(t *testing.T) {
+func TestPlainTCPOutsideLoopbackIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", "0.0.0.0:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
 	assert.Check(t, errors.Is(transport.NewServer(transport.ServerOptions{}).Serve(listener), transport.ErrInsecure))
-	_, err = say(limited(t), connect(t, "192.0.2.1:1", transport.PoolOptions{}), "")
+	_, err = say(timeoutContext(t), connect(t, "192.0.2.1:1", transport.PoolOptions{}), "")
 	assert.Check(t, errors.Is(err, transport.ErrInsecure), "%v", err)
 }
 
-// Replaced files are in use for new connections; half-written ones change nothing.
+// TestCertificatesReload checks that replaced files are used for new connections and that invalid files are ignored.
 func TestCertificatesReload(t *testing.T) {
 	directory := t.TempDir()
 	old, renewed := newAuthority(t), newAuthority(t)
@@ -74,7 +74,7 @@
 	assert.NilError(t, err)
 	_, address := serve(t, &echo{say: whoami}, transport.ServerOptions{Credentials: credentials})
 	reaches := func(signer *authority) bool {
-		_, failed := say(limited(t), connect(t, address, transport.PoolOptions{Credentials: signer.credentials(t, "a")}), "")
+		_, failed := say(timeoutContext(t), connect(t, address, transport.PoolOptions{Credentials: signer.credentials(t, "a")}), "")
 		return failed == nil
 	}
 	eventually := func(signer *authority) {
@@ -91,7 +91,7 @@
 	assert.Check(t, !reaches(old))
 }
 
-func TestUnusableCredentialsAreRefusedAtStart(t *testing.T) {
+func TestLoadCredentialsRejectsInvalidFiles(t *testing.T) {
 	files := newAuthority(t).write(t, t.TempDir(), "b")
 	tests := map[string]func(*transport.Files){
 		"no authority named": func(files *transport.Files) { files.Authority = "" },
@@ -99,10 +99,10 @@
 		"not an authority":   func(files *transport.Files) { files.Authority = files.Key },
 		"not a pair":         func(files *transport.Files) { files.Certificate = files.Authority },
 	}
-	for name, spoil := range tests {
-		spoiled := files
-		spoil(&spoiled)
-		_, err := transport.LoadCredentials(spoiled, zerolog.Nop())
+	for name, corrupt := range tests {
+		corrupted := files
+		corrupt(&corrupted)
+		_, err := transport.LoadCredentials(corrupted, zerolog.Nop())
 		assert.Check(t, errors.Is(err, transport.ErrCertificates), "%s: %v", name, err)
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,7 +16,7 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-func TestCallsAtOnceShareANode(t *testing.T) {
+func TestConcurrentCallsToOneNode(t *testing.T) {
 	var gate sync.WaitGroup
 	gate.Add(8)
 	service := &echo{say: func(_ context.Context, text string) (string, error) {
@@ -29,7 +29,7 @@
 	var callers sync.WaitGroup
 	for range 8 {
 		callers.Go(func() {
-			answer, err := say(limited(t), conn, "hello")
+			answer, err := say(timeoutContext(t), conn, "hello")
 			assert.Check(t, err)
 			assert.Check(t, answer == "hello")
 		})
@@ -37,18 +37,18 @@
 	callers.Wait()
 }
 
-func TestBoundOfCallsSaysNothingSent(t *testing.T) {
-	entered, leave := make(chan struct{}), make(chan struct{})
+func TestCallLimitReportsNothingSent(t *testing.T) {
+	entered, release := make(chan struct{}), make(chan struct{})
 	service := &echo{say: func(context.Context, string) (string, error) {
 		close(entered)
-		<-leave
+		<-release
 		return "", nil
 	}}
 	_, address := serve(t, service, transport.ServerOptions{})
 	conn := connect(t, address, transport.PoolOptions{MaxPerNode: 1})
 	done := make(chan error, 1)
 	go func() {
-		_, err := say(limited(t), conn, "")
+		_, err := say(timeoutContext(t), conn, "")
 		done <- err
 	}()
 	<-entered
@@ -56,30 +56,31 @@
 	cancel()
 	_, err := say(ctx, conn, "")
 	assert.Check(t, transport.NothingSent(err), "%v", err)
-	close(leave)
+	close(release)
 	assert.NilError(t, <-done)
 }
 
 func TestErrorKinds(t *testing.T) {
 	_, address := serve(t, &echo{say: failing(nil)}, transport.ServerOptions{MaxMessageBytes: 1 << 10})
 	conn := connect(t, address, transport.PoolOptions{})
-	_, err := say(limited(t), conn, "hello")
+	_, err := say(timeoutContext(t), conn, "hello")
 	assert.Check(t, errors.Is(err, transport.ErrRemote), "%v", err)
 	assert.Check(t, !transport.NothingSent(err))
 
-	_, err = say(limited(t), conn, strings.Repeat("long", 1<<12))
+	_, err = say(timeoutContext(t), conn, strings.Repeat("long", 1<<12))
 	assert.Check(t, errors.Is(err, transport.ErrBroken), "%v", err)
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
-	_, err = say(limited(t), connect(t, listener.Addr().String(), transport.PoolOptions{}), "hello")
+	_, err = say(timeoutContext(t), connect(t, listener.Addr().String(), transport.PoolOptions{}), "hello")
 	assert.Check(t, errors.Is(err, transport.ErrUnreachable), "%v", err)
 	assert.Check(t, transport.NothingSent(err))
 }
 
-// A connection cut in the middle of a stream must never look like the stream's end, nor like a cancel by the caller.
-func TestCutStreamIsNotItsEnd(t *testing.T) {
+// TestBrokenStreamIsNotReportedAsItsEnd checks that a connection closed in the middle of a stream is reported neither as the
+// end of the stream nor as a cancellation by the caller.
+func TestBrokenStreamIsNotReportedAsItsEnd(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	service := &echo{count: func(stream drpc.Stream) error {
@@ -94,7 +95,7 @@
 	}}
 	server, address := serve(t, service, transport.ServerOptions{})
 	conn := connect(t, address, transport.PoolOptions{})
-	stream, err := conn.NewStream(limited(t), streamCall, encoding{})
+	stream, err := conn.NewStream(timeoutContext(t), streamCall, encoding{})
 	assert.NilError(t, err)
 	assert.NilError(t, stream.MsgSend(wrapperspb.String(""), encoding{}))
 	assert.NilError(t, stream.CloseSend())
@@ -111,9 +112,9 @@
 
 func TestStopFinishesCallsAndRefusesNewOnes(t *testing.T) {
 	entered := make(chan struct{}, 2)
-	leave := map[string]chan struct{}{"slow": make(chan struct{}), "quick": make(chan struct{})}
+	release := map[string]chan struct{}{"slow": make(chan struct{}), "quick": make(chan struct{})}
 	service := &echo{say: func(_ context.Context, text string) (string, error) {
-		if gate, gated := leave[text]; gated {
+		if gate, gated := release[text]; gated {
 			entered <- struct{}{}
 			<-gate
 		}
@@ -121,26 +122,26 @@
 	}}
 	server, address := serve(t, service, transport.ServerOptions{})
 	conn := connect(t, address, transport.PoolOptions{})
-	// Two calls at once open two connections, so that a new call still reaches the stopping server by the one that
-	// is free again.
+	// Two concurrent calls open two connections, so that a new call can reach the stopping server on the connection that
+	// is idle again.
 	ended := map[string]chan error{"slow": make(chan error, 1), "quick": make(chan error, 1)}
 	for name, end := range ended {
 		go func() {
-			_, failed := say(limited(t), conn, name)
+			_, failed := say(timeoutContext(t), conn, name)
 			end <- failed
 		}()
 		<-entered
 	}
-	close(leave["quick"])
+	close(release["quick"])
 	assert.NilError(t, <-ended["quick"])
 	stopped := make(chan error, 1)
-	go func() { stopped <- server.Stop(limited(t)) }()
+	go func() { stopped <- server.Stop(timeoutContext(t)) }()
 	var err error
 	for err == nil {
-		_, err = say(limited(t), conn, "new")
+		_, err = say(timeoutContext(t), conn, "new")
 	}
 	assert.Check(t, errors.Is(err, transport.ErrRefused), "%v", err)
-	close(leave["slow"])
+	close(release["slow"])
 	assert.NilError(t, <-ended["slow"])
 	assert.NilError(t, <-stopped)
 }
@@ -150,27 +151,27 @@
 	for name, credentials := range map[string]*transport.Credentials{"plain": nil, "tls": authority.credentials(t, "b")} {
 		t.Run(name, func(t *testing.T) {
 			for range 20 {
-				replaceDeadIdleConnection(t, credentials)
+				checkDeadIdleConnectionReplaced(t, credentials)
 			}
 		})
 	}
 }
 
-// replaceDeadIdleConnection calls a server that stopped and was started again while the connection to it was idle.
-func replaceDeadIdleConnection(t *testing.T, credentials *transport.Credentials) {
+// checkDeadIdleConnectionReplaced calls a server that was stopped and restarted while the connection to it was idle.
+func checkDeadIdleConnectionReplaced(t *testing.T, credentials *transport.Credentials) {
 	options := transport.ServerOptions{Credentials: credentials}
 	server, address := serve(t, &echo{}, options)
 	conn := connect(t, address, transport.PoolOptions{Credentials: credentials})
-	_, err := say(limited(t), conn, "one")
+	_, err := say(timeoutContext(t), conn, "one")
 	assert.NilError(t, err)
-	assert.NilError(t, server.Stop(limited(t)))
+	assert.NilError(t, server.Stop(timeoutContext(t)))
 	again := transport.NewServer(options)
 	assert.NilError(t, again.Register(&echo{say: func(context.Context, string) (string, error) { return "again", nil }}, description{}))
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
 	go func() { _ = again.Serve(listener) }()
-	defer func() { _ = again.Stop(limited(t)) }()
-	answer, err := say(limited(t), conn, "two")
+	defer func() { _ = again.Stop(timeoutContext(t)) }()
+	answer, err := say(timeoutContext(t), conn, "two")
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "again")
 }
@@ -181,7 +182,8 @@
 	assert.Check(t, errors.Is(err, transport.ErrUnknownNode))
 }
 
-// A stream closed before its end leaves its connection fit for the next call.
+// TestConnectionOfClosedStreamIsReused checks that after a stream is closed before its end, its connection can be used for the
+// next call.
 func TestConnectionOfClosedStreamIsReused(t *testing.T) {
 	service := &echo{count: func(stream drpc.Stream) error {
 		return stream.MsgSend(wrapperspb.String("one"), encoding{})
@@ -189,12 +191,12 @@
 	_, address := serve(t, service, transport.ServerOptions{})
 	conn := connect(t, address, transport.PoolOptions{MaxPerNode: 1})
 	for range 200 {
-		stream, err := conn.NewStream(limited(t), streamCall, encoding{})
+		stream, err := conn.NewStream(timeoutContext(t), streamCall, encoding{})
 		assert.NilError(t, err)
 		assert.NilError(t, stream.MsgSend(wrapperspb.String(""), encoding{}))
 		assert.NilError(t, stream.MsgRecv(new(wrapperspb.StringValue), encoding{}))
 		assert.NilError(t, stream.Close())
-		answer, err := say(limited(t), conn, "next")
+		answer, err := say(timeoutContext(t), conn, "next")
 		assert.NilError(t, err)
 		assert.Equal(t, answer, "next")
 	}
