--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -8,13 +8,13 @@
 	"mallowlatch.example/mallowlatch/internal/membership/membershippb"
 )
 
-// ErrBadMessage means that a message from another node makes no sense.
+// ErrBadMessage is returned for an invalid message from another node.
 const ErrBadMessage = failure.Kind("membership: bad message")
 
-// maxName bounds the length of names and addresses in a message, in bytes.
-const maxName = 128
+// maxNameBytes is the maximum length of names and addresses of members in a message.
+const maxNameBytes = 128
 
-// Encode returns the message in its form on the wire.
+// Encode returns the message in its wire format.
 func (m Message) Encode() *membershippb.Message {
 	encoded := &membershippb.Message{
 		Kind:        uint32(m.kind),
@@ -66,7 +66,7 @@
 	}
 }
 
-// Decode returns the message of a form on the wire, or ErrBadMessage.
+// Decode converts a message from its wire format. It returns ErrBadMessage if the message is invalid.
 func Decode(encoded *membershippb.Message) (Message, error) {
 	message := Message{
 		kind:        Kind(encoded.GetKind()),
@@ -113,11 +113,11 @@
 
 func decodeRecord(item *membershippb.Member) (record, error) {
 	for _, text := range []string{item.GetNode(), item.GetZone(), item.GetPeerAddress()} {
-		if text == "" || len(text) > maxName {
+		if text == "" || len(text) > maxNameBytes {
 			return record{}, fmt.Errorf("%w: member %q", ErrBadMessage, item.GetNode())
 		}
 	}
-	if len(item.GetRegion()) > maxName || len(item.GetCallerAddress()) > maxName || item.GetHealth() > uint32(healthDead) {
+	if len(item.GetRegion()) > maxNameBytes || len(item.GetCallerAddress()) > maxNameBytes || item.GetHealth() > uint32(healthDead) {
 		return record{}, fmt.Errorf("%w: member %q", ErrBadMessage, item.GetNode())
 	}
 	return record{
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Config holds the detector's times and counts; DefaultConfig suits zones of up to some hundred nodes.
+// Config holds the parameters of the detector; those of DefaultConfig suit zones of up to a few hundred nodes.
 type Config struct {
-	// ProbePeriod is the time between two probes of a node; a probe must end within it.
+	// ProbePeriod is the time between two probes sent by a node; a probe not answered within it has failed.
 	ProbePeriod time.Duration
-	// DirectTimeout is how long a probe waits before others are asked to probe too.
+	// DirectTimeout is the time without an answer after which a probe requests indirect probes.
 	DirectTimeout time.Duration
-	// IndirectProbes is the number of peers asked to probe.
+	// IndirectProbes is the number of peers asked for an indirect probe.
 	IndirectProbes int
-	// SuspicionTimeout is how long a suspect has to refute.
+	// SuspicionTimeout is the time that a suspect has to refute the suspicion.
 	SuspicionTimeout time.Duration
-	// IsolatedFactor lengthens SuspicionTimeout on a node that hears from nobody: the fault is then likely its own.
+	// IsolatedFactor multiplies SuspicionTimeout on a node that receives no messages, since the fault is then likely its own.
 	IsolatedFactor int
-	// IsolatedAfter is how long nothing is heard before a node takes itself for isolated.
+	// IsolatedAfter is the time without a received message after which a node considers itself isolated.
 	IsolatedAfter time.Duration
-	// RetransmitFactor times the binary digits of the zone's size is how often a node sends a change on; a new
-	// configuration revision, which the next digest repairs anyway, is sent on RevisionSends times.
+	// RetransmitFactor times the bit length of the zone's size is how often a node sends a change. A new configuration
+	// revision is sent only RevisionSends times; a node that misses it gets it with the next full record or summary.
 	RetransmitFactor int
 	RevisionSends    int
-	// MaxUpdates bounds the records piggybacked on one message.
+	// MaxUpdates is the maximum number of records piggybacked on one message.
 	MaxUpdates int
 	// BridgePeriod is the time between two digests to another zone; Bridges is the number of nodes that send them.
 	BridgePeriod time.Duration
 	Bridges      int
-	// ReachableWithin is the age of the last contact with a zone from which it counts as cut off.
+	// ReachableWithin is the age of the last contact with a zone above which the zone counts as unreachable.
 	ReachableWithin time.Duration
-	// RepairPeriod is the time between two digests to a random peer of the own zone.
+	// RepairPeriod is the time between two digests to a random peer of the same zone.
 	RepairPeriod time.Duration
-	// ReconnectPeriod is the time between two attempts to reach a seed or a member given up.
+	// ReconnectPeriod is the mean time between two attempts to reach a seed or a member declared dead.
 	ReconnectPeriod time.Duration
-	// TombstoneTime is how long a dead member is remembered.
+	// TombstoneTime is the time for which the record of a dead member is retained.
 	TombstoneTime time.Duration
-	// MaxMembers bounds the records kept, so that a faulty peer can't fill the memory.
+	// MaxMembers is the maximum number of records stored, so that a faulty peer cannot exhaust the memory.
 	MaxMembers int
 }
 
-// DefaultConfig returns the settings used in service.
+// DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
 	return Config{
 		ProbePeriod:      time.Second,
@@ -62,15 +62,16 @@
 	}
 }
 
-// DetectionBound returns the time within which every reachable node of a zone of the given size knows that a member
-// died: one pass of probes in the worst case, the failed probe, the suspicion, and the spread of the verdict.
+// DetectionBound returns the time within which every reachable node of a zone of the given size has recorded the death
+// of a member: two passes of probes over the zone in the worst case, the failed probe, the suspicion timeout, and the
+// dissemination of the death.
 func (c Config) DetectionBound(zoneSize int) time.Duration {
 	pass := time.Duration(zoneSize) * c.ProbePeriod
 	spread := time.Duration(bits.Len(uint(zoneSize))+3) * c.ProbePeriod
 	return 2*pass + c.ProbePeriod + c.SuspicionTimeout + spread
 }
 
-// LoneDetectionBound is DetectionBound for a node that hears from nobody else at all, and so must doubt itself.
-func (c Config) LoneDetectionBound(zoneSize int) time.Duration {
+// IsolatedDetectionBound is DetectionBound for a node that receives no messages and thus applies IsolatedFactor.
+func (c Config) IsolatedDetectionBound(zoneSize int) time.Duration {
 	return c.DetectionBound(zoneSize) + time.Duration(c.IsolatedFactor-1)*c.SuspicionTimeout
 }
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -7,11 +7,11 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// pauseFactor times the probe period is the gap between two ticks from which the process counts as having been paused.
+// pauseFactor is the gap between two ticks, in probe periods, from which the process counts as having been paused.
 const pauseFactor = 2
 
-// Core is the detector of one node. It does no I/O and isn't safe for concurrent use: the owner feeds it messages by
-// Step and the time by Tick, and sends what they return.
+// Core is the failure detector of one node. It does no I/O and is not safe for concurrent use: its user passes received
+// messages to Step and the time to Tick, and sends the messages that they return.
 type Core struct {
 	config Config
 	random *rand.Rand
@@ -23,12 +23,12 @@
 	changes uint64
 	counts  Counts
 
-	lastTick  time.Time
-	lastHeard time.Time
-	sequence  uint64
-	probe     probe
-	order     []ident.Node
-	relays    map[uint64]relay
+	lastTick     time.Time
+	lastReceived time.Time
+	sequence     uint64
+	probe        probe
+	order        []ident.Node
+	relays       map[uint64]relay
 
 	contacts      map[ident.Zone]time.Time
 	zones         []ident.Zone
@@ -40,57 +40,57 @@
 	nextReconnect time.Time
 }
 
-// Counts are totals since the start. Many suspicions or refutations without deaths mean that nodes or links are too slow
-// for the probes.
+// Counts holds totals since the start of the process. Many suspicions or refutations without deaths indicate that nodes
+// or links are too slow for the probe timeouts.
 type Counts struct {
-	// Suspicions counts members this node's own probes made suspect.
+	// Suspicions counts the members marked as suspect by this node's own probes.
 	Suspicions uint64
-	// Refutations counts records of others that this node had to contradict.
+	// Refutations counts the records about this node, received from others, that it refuted.
 	Refutations uint64
 }
 
 // Counts returns the totals.
 func (c *Core) Counts() Counts { return c.counts }
 
-// entry is a record with what this node alone knows about it.
+// entry is a record with the local state of this node about it.
 type entry struct {
 	record
-	// suspectedAt is when this node learned of the suspicion; zero if there is none.
+	// suspectedAt is when the suspicion reached this node; zero if there is none.
 	suspectedAt time.Time
-	// ownSuspicion says that this node's probe failed.
+	// ownSuspicion is set if a probe by this node failed.
 	ownSuspicion bool
-	// diedAt is when this node learned of the death.
+	// diedAt is when the death became known to this node.
 	diedAt time.Time
 }
 
-// NewCore returns the detector of a node that knows nobody but the seeds' peer addresses.
+// NewCore returns the detector of a node that knows only itself and the peer addresses of the seeds.
 func NewCore(config Config, self Self, seeds []string, random *rand.Rand, now time.Time) *Core {
 	core := &Core{
-		config:    config,
-		random:    random,
-		seeds:     seeds,
-		self:      self.record(),
-		members:   map[ident.Node]*entry{},
-		relays:    map[uint64]relay{},
-		contacts:  map[ident.Zone]time.Time{},
-		reachable: map[ident.Zone]bool{},
-		lastTick:  now,
-		lastHeard: now,
+		config:       config,
+		random:       random,
+		seeds:        seeds,
+		self:         self.record(),
+		members:      map[ident.Node]*entry{},
+		relays:       map[uint64]relay{},
+		contacts:     map[ident.Zone]time.Time{},
+		reachable:    map[ident.Zone]bool{},
+		lastTick:     now,
+		lastReceived: now,
 	}
-	core.nextBridge = now.Add(core.spread(config.BridgePeriod))
-	core.nextRepair = now.Add(core.spread(config.RepairPeriod))
+	core.nextBridge = now.Add(core.randomDelay(config.BridgePeriod))
+	core.nextRepair = now.Add(core.randomDelay(config.RepairPeriod))
 	core.nextReconnect = now
-	core.probe.ends = now.Add(core.spread(config.ProbePeriod))
+	core.probe.deadline = now.Add(core.randomDelay(config.ProbePeriod))
 	core.announce()
 	return core
 }
 
-// spread returns a random part of a period, so that nodes started together don't act together.
-func (c *Core) spread(period time.Duration) time.Duration {
+// randomDelay returns a random duration up to period, so that nodes started together do not act simultaneously.
+func (c *Core) randomDelay(period time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(period) + 1))
 }
 
-// announce takes the changed own record into the members and the gossip.
+// announce copies the changed record of this node to the members and queues it for gossip.
 func (c *Core) announce() {
 	stored, known := c.members[c.self.node]
 	if !known {
@@ -103,47 +103,47 @@
 	c.refreshZones()
 }
 
-// raise gives the own record an incarnation above any that was seen.
-func (c *Core) raise(above uint64) {
+// raiseIncarnation raises the incarnation of this node above its current one and the given one.
+func (c *Core) raiseIncarnation(above uint64) {
 	c.self.incarnation = max(c.self.incarnation, above) + 1
 	c.announce()
 }
 
-// SetAttributes tells the others the node's attributes. A new configuration revision alone travels in short form.
+// SetAttributes announces the node's attributes. A new configuration revision alone is sent in short form.
 func (c *Core) SetAttributes(attributes Attributes) {
 	changed := c.self.hasDisk != attributes.HasDisk || c.self.disk != attributes.DiskIncarnation
-	grown := attributes.ConfigRevision > c.self.revision
+	newRevision := attributes.ConfigRevision > c.self.revision
 	c.self.hasDisk = attributes.HasDisk
 	c.self.disk = attributes.DiskIncarnation
 	c.self.revision = max(c.self.revision, attributes.ConfigRevision)
 	switch {
 	case changed:
-		c.raise(c.self.incarnation)
-	case grown:
+		c.raiseIncarnation(c.self.incarnation)
+	case newRevision:
 		c.members[c.self.node].record = c.self
 		c.changes++
 		c.queue.addRevision(c.self.node, c.config.RevisionSends)
 	}
 }
 
-// Leave announces a planned stop. The node goes on answering probes until it exits.
+// Leave announces a planned stop. The node answers probes until it exits.
 func (c *Core) Leave() {
 	if c.self.leaving {
 		return
 	}
 	c.self.leaving = true
-	c.raise(c.self.incarnation)
+	c.raiseIncarnation(c.self.incarnation)
 }
 
-// Exit announces the node's end and returns the last messages, to a few peers that spread it. Step and Tick must not
-// be called after it.
+// Exit marks the node as dead and returns the final messages, which announce this to a few peers that pass it on. Step
+// and Tick must not be called after it.
 func (c *Core) Exit(now time.Time) []Outgoing {
 	c.self.health = healthDead
 	c.self.leaving = true
-	c.raise(c.self.incarnation)
+	c.raiseIncarnation(c.self.incarnation)
 	peers := c.randomPeers(c.config.IndirectProbes, "")
 	if len(peers) == 0 {
-		peers = c.anyLive(c.config.IndirectProbes)
+		peers = c.randomLive(c.config.IndirectProbes)
 	}
 	var out []Outgoing
 	for _, peer := range peers {
@@ -152,23 +152,23 @@
 	return out
 }
 
-// Step takes a message in and returns the messages to send.
+// Step processes a received message and returns the messages to send.
 func (c *Core) Step(message Message, now time.Time) []Outgoing {
 	if message.from == c.self.node {
 		return nil
 	}
-	c.hear(message, now)
+	c.recordContact(message, now)
 	for _, received := range message.members {
-		c.learn(received, now)
+		c.mergeRecord(received, now)
 	}
 	for _, received := range message.revisions {
-		c.learnRevision(received)
+		c.mergeRevision(received)
 	}
 	switch message.kind {
 	case KindPing:
 		return c.answerPing(message, now)
 	case KindAck:
-		return c.takeAck(message, now)
+		return c.handleAck(message, now)
 	case KindPingRequest:
 		return c.relayPing(message, now)
 	case KindIndirectAck:
@@ -187,18 +187,19 @@
 	}
 }
 
-// hear notes that the sender, and so its zone, can be reached.
-func (c *Core) hear(message Message, now time.Time) {
-	if now.Sub(c.lastHeard) > c.config.IsolatedAfter {
+// recordContact records that the sender, and thus its zone, is reachable.
+func (c *Core) recordContact(message Message, now time.Time) {
+	if now.Sub(c.lastReceived) > c.config.IsolatedAfter {
 		c.endIsolation()
 	}
-	c.lastHeard = now
-	c.hearFromZone(message, now)
+	c.lastReceived = now
+	c.recordZoneContact(message, now)
 }
 
-// Tick does what the time asks for and returns the messages to send. Call it several times a probe period.
+// Tick performs the actions that are due and returns the messages to send. It must be called several times per probe
+// period.
 func (c *Core) Tick(now time.Time) []Outgoing {
-	c.forgivePause(now)
+	c.compensatePause(now)
 	var out []Outgoing
 	out = append(out, c.tickProbe(now)...)
 	c.tickSuspicions(now)
@@ -208,16 +209,16 @@
 	return out
 }
 
-// forgivePause moves the deadlines on after a pause of the process: messages that came meanwhile wait unread, so
-// the time that passed says nothing about the others.
-func (c *Core) forgivePause(now time.Time) {
+// compensatePause extends the deadlines after a pause of the process: messages that arrived during the pause are still
+// unread, so the elapsed time is no evidence against other members.
+func (c *Core) compensatePause(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
 	if gap < pauseFactor*c.config.ProbePeriod {
 		return
 	}
-	c.probe = probe{ends: now.Add(c.config.ProbePeriod)}
-	c.lastHeard = now
+	c.probe = probe{deadline: now.Add(c.config.ProbePeriod)}
+	c.lastReceived = now
 	for _, stored := range c.members {
 		if !stored.suspectedAt.IsZero() {
 			stored.suspectedAt = now
@@ -225,7 +226,7 @@
 	}
 }
 
-// Member returns one member as it is now.
+// Member returns the current state of a member.
 func (c *Core) Member(node ident.Node) (Member, bool) {
 	stored, known := c.members[node]
 	if !known {
@@ -234,18 +235,18 @@
 	return stored.member(c.zoneReachable(stored.zone)), true
 }
 
-// Changes grows with every change that Members would show.
+// Changes returns a counter that grows with every change visible in View.
 func (c *Core) Changes() uint64 { return c.changes }
 
-// learn merges a record from another node.
-func (c *Core) learn(received record, now time.Time) {
+// mergeRecord merges a record received from another node.
+func (c *Core) mergeRecord(received record, now time.Time) {
 	if received.node == c.self.node {
 		c.refute(received)
 		return
 	}
 	stored, known := c.members[received.node]
 	if !known {
-		c.learnNew(received, now)
+		c.addMember(received, now)
 		return
 	}
 	merged := merge(stored.record, received)
@@ -253,45 +254,45 @@
 		return
 	}
 	c.store(stored, merged, now)
-	c.queue.add(received.node, c.sendsOf(merged))
+	c.queue.add(received.node, c.sendCount(merged))
 }
 
-// learnNew takes in a member that wasn't known. A dead one is no loss and isn't remembered anew: if it were, tombstones
-// would be passed around for ever.
-func (c *Core) learnNew(received record, now time.Time) {
+// addMember adds a member that was not known. Dead members are not added: otherwise nodes would pass expired tombstones
+// to each other forever.
+func (c *Core) addMember(received record, now time.Time) {
 	if received.health == healthDead || len(c.members) >= c.config.MaxMembers {
 		return
 	}
 	stored := &entry{}
 	c.members[received.node] = stored
 	c.store(stored, received, now)
-	c.queue.add(received.node, c.sendsOf(received))
+	c.queue.add(received.node, c.sendCount(received))
 }
 
-// store replaces an entry's record and starts or ends the clocks that hang on its health.
+// store replaces an entry's record and updates the times of its suspicion and death.
 func (c *Core) store(stored *entry, merged record, now time.Time) {
-	fresh := merged.incarnation != stored.incarnation
-	if fresh || merged.health != healthSuspect {
+	newIncarnation := merged.incarnation != stored.incarnation
+	if newIncarnation || merged.health != healthSuspect {
 		stored.suspectedAt = time.Time{}
 		stored.ownSuspicion = false
 	}
 	if merged.health == healthSuspect && stored.suspectedAt.IsZero() {
 		stored.suspectedAt = now
 	}
-	moved := merged.zone != stored.zone
-	died := merged.health == healthDead && (stored.health != healthDead || fresh)
+	zoneChanged := merged.zone != stored.zone
+	died := merged.health == healthDead && (stored.health != healthDead || newIncarnation)
 	if died {
 		stored.diedAt = now
 	}
 	stored.record = merged
 	c.changes++
-	if moved || died || fresh {
+	if zoneChanged || died || newIncarnation {
 		c.refreshZones()
 	}
 }
 
-// learnRevision merges the short form. It says nothing about a record of another incarnation.
-func (c *Core) learnRevision(received revision) {
+// mergeRevision merges a record in short form. It applies only to the same incarnation.
+func (c *Core) mergeRevision(received revision) {
 	stored, known := c.members[received.node]
 	if !known || received.node == c.self.node || stored.incarnation != received.incarnation {
 		return
@@ -304,7 +305,8 @@
 	c.queue.addRevision(received.node, c.config.RevisionSends)
 }
 
-// refute answers a record of this node that isn't its own word: of an earlier life, or a suspicion or verdict.
+// refute raises the incarnation if a received record about this node did not originate from this process: it stems from
+// an earlier run, or is a suspicion or a death.
 func (c *Core) refute(received record) {
 	stale := received.incarnation < c.self.incarnation
 	own := received.incarnation == c.self.incarnation && received.health == c.self.health
@@ -312,10 +314,10 @@
 		return
 	}
 	c.counts.Refutations++
-	c.raise(received.incarnation)
+	c.raiseIncarnation(received.incarnation)
 }
 
-// dropTombstones forgets members that have been dead for long.
+// dropTombstones removes members that have been dead for longer than TombstoneTime.
 func (c *Core) dropTombstones(now time.Time) {
 	for node, stored := range c.members {
 		if stored.health == healthDead && node != c.self.node && now.Sub(stored.diedAt) > c.config.TombstoneTime {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,15 +9,15 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// gossipQueue holds the changes that are still to be passed on, at most one for each member.
+// gossipQueue holds the changes that are still to be sent to peers, at most one per member.
 type gossipQueue struct {
 	items map[ident.Node]*gossipItem
 }
 
 type gossipItem struct {
-	// left is how often the change is still sent.
-	left int
-	// short says that only the configuration revision changed.
+	// remaining is the number of times the change is still to be sent.
+	remaining int
+	// short is set if only the configuration revision changed.
 	short bool
 }
 
@@ -25,13 +25,13 @@
 	if q.items == nil {
 		q.items = map[ident.Node]*gossipItem{}
 	}
-	q.items[node] = &gossipItem{left: times}
+	q.items[node] = &gossipItem{remaining: times}
 }
 
-// addRevision queues the short form, unless the whole record waits anyway.
+// addRevision queues the short form, unless the full record is already queued.
 func (q *gossipQueue) addRevision(node ident.Node, times int) {
-	if waiting, queued := q.items[node]; queued && !waiting.short {
-		waiting.left = max(waiting.left, times)
+	if pending, queued := q.items[node]; queued && !pending.short {
+		pending.remaining = max(pending.remaining, times)
 		return
 	}
 	q.add(node, times)
@@ -40,8 +40,8 @@
 
 func (q *gossipQueue) drop(node ident.Node) { delete(q.items, node) }
 
-// take returns up to limit nodes whose changes go out with the next message, those sent least first, and counts them
-// as sent.
+// take returns up to limit nodes whose changes are sent with the next message, those with the most remaining sends first,
+// and counts them as sent.
 func (q *gossipQueue) take(limit int) (whole, short []ident.Node) {
 	if len(q.items) == 0 {
 		return nil, nil
@@ -51,15 +51,15 @@
 		nodes = append(nodes, node)
 	}
 	slices.SortFunc(nodes, func(first, second ident.Node) int {
-		if order := cmp.Compare(q.items[second].left, q.items[first].left); order != 0 {
+		if order := cmp.Compare(q.items[second].remaining, q.items[first].remaining); order != 0 {
 			return order
 		}
 		return cmp.Compare(first, second)
 	})
 	for _, node := range nodes[:min(limit, len(nodes))] {
 		item := q.items[node]
-		item.left--
-		if item.left <= 0 {
+		item.remaining--
+		if item.remaining <= 0 {
 			delete(q.items, node)
 		}
 		if item.short {
@@ -71,21 +71,22 @@
 	return whole, short
 }
 
-// retransmits is how often this node passes a change on: it grows with the logarithm of the zone's size.
+// retransmits returns how often this node sends a change: it grows with the logarithm of the zone's size.
 func (c *Core) retransmits() int {
 	return c.config.RetransmitFactor * bits.Len(uint(max(1, c.zoneSize)))
 }
 
-// sendsOf is how often this node passes a record on. That a node of another zone is alive can wait a little for the few
-// whom the word misses, which the next digest repairs; a start of the whole fleet makes very many such records.
-func (c *Core) sendsOf(changed record) int {
+// sendCount returns how often this node sends a changed record. Records of live nodes of other zones are sent fewer times,
+// because a simultaneous start of the whole fleet creates very many of them; peers that miss one get it with the next
+// digest.
+func (c *Core) sendCount(changed record) int {
 	if changed.zone != c.self.zone && changed.health == healthAlive && !changed.leaving {
 		return bits.Len(uint(max(1, c.zoneSize))) + 1
 	}
 	return c.retransmits()
 }
 
-// outgoing completes a message to a member with the sender and, within the zone, the gossip.
+// outgoing completes a message to a member with the sender and, within the zone, gossip and contact ages.
 func (c *Core) outgoing(to ident.Node, message Message, now time.Time) Outgoing {
 	message.from = c.self.node
 	message.fromZone = c.self.zone
@@ -94,7 +95,7 @@
 	if stored, known := c.members[to]; known {
 		out.Address = stored.peerAddress
 		if stored.zone == c.self.zone {
-			// What an isolated node believes about the others is likely its own fault and isn't passed on.
+			// An isolated node sends no gossip, since its suspicions are likely caused by its own fault.
 			if !c.isolated(now) {
 				c.piggyback(&message)
 			}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,9 +1,11 @@
-// Package membership is the failure detector of the fleet. Within a zone it probes in the manner of SWIM (Das, Gupta,
-// Motivala 2002): one random peer a period, indirect probes, suspicion that the suspect can refute, and changes
-// piggybacked on the probes. Between zones a few nodes chosen by rendezvous hashing compare digests. A zone alone judges
-// the health of its members; the others copy its verdicts and watch whether the zone can be reached at all.
+// Package membership maintains the list of the fleet's nodes and detects their failures. Within a zone it follows the
+// SWIM protocol (Das, Gupta, Motivala 2002): each node probes one random peer per period, requests indirect probes,
+// marks an unresponsive peer as suspect, which the suspect can refute, and piggybacks changes on the probes. Between
+// zones, a few nodes chosen by rendezvous hashing, the bridges, compare digests. Only a zone's own nodes decide about the
+// health of its members; other zones copy the result and track whether the zone is reachable at all.
 //
-// Core is the pure detector: time and randomness are its arguments and messages its output. Service carries it.
+// Core is the deterministic detector: it receives time and randomness as arguments and returns the messages to send.
+// Service runs a Core over the transport and publishes its state as a View, as metrics and as log events.
 package membership
 
 import (
@@ -17,14 +19,14 @@
 
 // The states of a member.
 const (
-	// Alive means that the member answers its zone's probes.
+	// Alive means that the member answers the probes of its zone.
 	Alive State = iota
-	// Leaving means that the member has announced a planned stop: give it no new work.
+	// Leaving means that the member has announced a planned stop and should get no new work.
 	Leaving
-	// Suspect means that a probe failed, or that the member's zone can't be reached from here: give it no work if
-	// another can take it.
+	// Suspect means that a probe failed, or that the member's zone is unreachable from this node. The member should
+	// get no work that another can take.
 	Suspect
-	// Dead means that the member's zone gave it up, or that it left.
+	// Dead means that the member's zone declared it dead, or that it left.
 	Dead
 )
 
@@ -42,7 +44,7 @@
 	}
 }
 
-// health is what a zone says about a member at one incarnation; it only ever grows there.
+// health is a zone's assessment of a member. Within one incarnation it never decreases.
 type health uint8
 
 const (
@@ -51,17 +53,17 @@
 	healthDead
 )
 
-// Attributes are what a node tells the others about itself, besides its addresses.
+// Attributes are properties that a node announces about itself, in addition to its addresses.
 type Attributes struct {
-	// HasDisk says that the node stores job shards; DiskIncarnation is the random number written on its disk.
+	// HasDisk is set if the node stores job shards; DiskIncarnation is the random number written on its disk.
 	HasDisk         bool
 	DiskIncarnation uint64
-	// ConfigRevision is the newest configuration revision the node has in force. It is kept up to date within the zone
-	// only; other zones have it as it was when something else about the node changed.
+	// ConfigRevision is the newest configuration revision that the node applies. It is current within the zone only;
+	// other zones have its value from the last time another part of the record changed.
 	ConfigRevision int64
 }
 
-// Member is a node as its zone last described it.
+// Member is the state of a node as last received from its zone.
 type Member struct {
 	Node   ident.Node
 	Zone   ident.Zone
@@ -69,7 +71,7 @@
 	// PeerAddress and CallerAddress are "IP:port" of the listeners for nodes and for callers.
 	PeerAddress   string
 	CallerAddress string
-	// Incarnation orders descriptions of the node: only the node itself raises it.
+	// Incarnation orders the records about the node. Only the node itself raises it.
 	Incarnation uint64
 	// Started is the Unix time in milliseconds of the process's start; it changes with every restart.
 	Started    uint64
@@ -77,9 +79,9 @@
 	Attributes Attributes
 }
 
-// record is a member as the detector keeps and sends it. Records form a join-semilattice under merge, so that nodes
-// which have seen the same records agree, in whatever order they came:
-// a higher incarnation replaces the whole record; at one incarnation only health and revision grow.
+// record is a member as the detector stores and sends it. Records form a join-semilattice under merge, so that nodes that
+// have received the same records agree, regardless of the order of arrival: a higher incarnation replaces the whole
+// record; within one incarnation only health and revision grow.
 type record struct {
 	node          ident.Node
 	zone          ident.Zone
@@ -108,7 +110,7 @@
 	return first
 }
 
-// state returns how others should treat the record's node.
+// state returns the state of the record's node, given whether its zone is reachable.
 func (r record) state(zoneReachable bool) State {
 	switch {
 	case r.health == healthDead:
@@ -136,7 +138,7 @@
 	}
 }
 
-// Self is what a node knows about itself when it starts.
+// Self describes the local node at its start.
 type Self struct {
 	Node          ident.Node
 	Zone          ident.Zone
--- a/internal/membership/membershipsim/fleet.go
+++ b/internal/membership/membershipsim/fleet.go
@@ -8,7 +8,7 @@
 	"mallowlatch.example/mallowlatch/internal/membership"
 )
 
-// zonesPerRegion spreads the zones over regions: eleven zones make three.
+// zonesPerRegion is the number of zones in a region: eleven zones form three regions.
 const zonesPerRegion = 4
 
 // Shape is the size of a fleet.
@@ -17,8 +17,8 @@
 	Zones int
 }
 
-// Place returns the description of the numbered node. Nodes go to the zones in turn.
-func (s Shape) Place(index int) membership.Self {
+// NodeAt returns the description of the node with the given index. Nodes are assigned to zones round-robin.
+func (s Shape) NodeAt(index int) membership.Self {
 	zone := index % s.Zones
 	return membership.Self{
 		Node:          ident.Node(fmt.Sprintf("node-%03d", index)),
@@ -29,41 +29,41 @@
 	}
 }
 
-// Seeds returns the addresses new nodes join by: the first two nodes of each of the first two zones.
+// Seeds returns the addresses through which new nodes join: those of the first two nodes of each of the first two zones.
 func (s Shape) Seeds() []string {
 	var seeds []string
 	for _, index := range []int{0, 1, s.Zones, s.Zones + 1} {
 		if index < s.Nodes {
-			seeds = append(seeds, s.Place(index).PeerAddress)
+			seeds = append(seeds, s.NodeAt(index).PeerAddress)
 		}
 	}
 	return seeds
 }
 
-// NewFleet returns a simulation with all nodes started at once.
+// NewFleet returns a simulation in which all nodes start simultaneously.
 func NewFleet(seed uint64, shape Shape, config membership.Config, network Network) *Simulation {
 	simulation := NewSimulation(seed, config, network)
 	for index := range shape.Nodes {
-		simulation.Add(shape.Place(index), shape.Seeds())
+		simulation.Add(shape.NodeAt(index), shape.Seeds())
 	}
 	return simulation
 }
 
-// Near and Far are the one-way delays of the stand-in network within a region and between regions.
+// IntraRegionDelay and InterRegionDelay are the one-way delays of the simulated network.
 const (
-	Near = time.Millisecond
-	Far  = 15 * time.Millisecond
+	IntraRegionDelay = time.Millisecond
+	InterRegionDelay = 15 * time.Millisecond
 )
 
 // Healthy is a network without faults.
 func Healthy(from, to membership.Self) Link {
 	if from.Region != to.Region {
-		return Link{Delay: Far}
+		return Link{Delay: InterRegionDelay}
 	}
-	return Link{Delay: Near}
+	return Link{Delay: IntraRegionDelay}
 }
 
-// Lossy returns a network that loses a share of the messages.
+// Lossy returns a network that loses the given fraction of the messages.
 func Lossy(share float64) Network {
 	return func(from, to membership.Self) Link {
 		link := Healthy(from, to)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Agree says whether every running node sees every other running one as alive, and no other.
+// Agree reports whether in the view of every running node exactly the running nodes are alive.
 func (s *Simulation) Agree() bool { return s.Disagreement() == "" }
 
 // Disagreement describes the first difference that Agree finds.
--- a/internal/membership/membershipsim/simulation.go
+++ b/internal/membership/membershipsim/simulation.go
@@ -1,5 +1,4 @@
-// Package membershipsim runs the failure detectors of many nodes in simulated time over a simulated network, for the
-// tests of package membership.
+// Package membershipsim runs the failure detectors of many nodes in simulated time over a simulated network for tests.
 package membershipsim
 
 import (
@@ -16,27 +15,27 @@
 )
 
 const (
-	// tickInterval is how often the detector of a node is woken.
+	// tickInterval is the time between two ticks of a node's detector.
 	tickInterval = 200 * time.Millisecond
-	// callOverhead is what a call adds to its messages on the wire, in bytes each way: drpc's frames, the call's name
-	// and the records of TLS.
-	callOverhead = 80
+	// callOverheadBytes is the overhead of a call on the wire in each direction: drpc frames, the name of the RPC and TLS
+	// records.
+	callOverheadBytes = 80
 )
 
-// Link describes what the network does to messages between two nodes.
+// Link describes the network between two nodes.
 type Link struct {
-	// Cut loses every message.
+	// Cut drops every message.
 	Cut bool
-	// Loss is the share of messages lost, 0 to 1.
+	// Loss is the fraction of messages lost, from 0 to 1.
 	Loss float64
-	// Delay is the one-way time; half of it again is added at random.
+	// Delay is the minimum one-way delay; a random delay of up to half of it is added.
 	Delay time.Duration
 }
 
-// Network says what the network does between two nodes at the moment.
+// Network returns the current state of the link between two nodes.
 type Network func(from, to membership.Self) Link
 
-// Traffic counts what a node sent and received.
+// Traffic counts the messages and bytes sent and received by a node.
 type Traffic struct {
 	MessagesOut, MessagesIn int64
 	BytesOut, BytesIn       int64
@@ -47,19 +46,19 @@
 	Self    membership.Self
 	Core    *membership.Core
 	Traffic Traffic
-	// Up is false for a node that is switched off.
+	// Up is false for a stopped node.
 	Up bool
-	// Paused nodes neither run nor read; messages to them wait.
-	Paused  bool
-	waiting []membership.Message
-	life    int
+	// Paused nodes neither run nor read; messages to them are buffered.
+	Paused     bool
+	buffered   []membership.Message
+	generation int
 }
 
-// Simulation is a fleet of nodes in simulated time. The same seed gives the same run.
+// Simulation is a fleet of nodes in simulated time. A simulated run is deterministic for a given seed.
 type Simulation struct {
 	Config  membership.Config
 	Network Network
-	// Encode sends messages through their wire form, to count bytes and processor time.
+	// Encode makes messages pass through their wire format, to count bytes and include the processor time of encoding.
 	Encode bool
 	Nodes  map[ident.Node]*Node
 	// Order lists the nodes in the order in which they were added.
@@ -90,7 +89,7 @@
 // Random returns the simulation's source of randomness.
 func (s *Simulation) Random() *rand.Rand { return s.random }
 
-// Add starts a node that joins by the seeds.
+// Add adds and starts a node that joins through the seeds.
 func (s *Simulation) Add(self membership.Self, seeds []string) *Node {
 	node := &Node{Self: self}
 	s.Nodes[self.Node] = node
@@ -100,48 +99,49 @@
 	return node
 }
 
-// Start starts a node that is new or switched off, with an empty memory.
+// Start starts a new or stopped node, without any state of an earlier run.
 func (s *Simulation) Start(node *Node, seeds []string) {
 	node.Self.Started = s.now
 	random := rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64()))
 	node.Core = membership.NewCore(s.Config, node.Self, seeds, random, s.now)
 	node.Up = true
-	node.waiting = nil
-	node.life++
-	s.scheduleTick(node, node.life, s.random.Int64N(int64(tickInterval)))
+	node.buffered = nil
+	node.generation++
+	s.scheduleTick(node, node.generation, s.random.Int64N(int64(tickInterval)))
 }
 
-// Stop switches a node off without a word.
+// Stop stops a node without an announcement.
 func (s *Simulation) Stop(node *Node) { node.Up = false }
 
-// Exit ends a node by plan: it tells a few peers and is gone.
+// Exit stops a node as planned, after it has announced its exit to a few peers.
 func (s *Simulation) Exit(node *Node) {
 	s.send(node, node.Core.Exit(s.now))
 	node.Up = false
 }
 
-// Resume ends a pause; the messages that waited are read first.
+// Resume ends the pause of a node; the buffered messages are processed first.
 func (s *Simulation) Resume(node *Node) {
 	node.Paused = false
-	waiting := node.waiting
-	node.waiting = nil
-	for _, message := range waiting {
+	buffered := node.buffered
+	node.buffered = nil
+	for _, message := range buffered {
 		s.send(node, node.Core.Step(message, s.now))
 	}
 }
 
-// Run lets simulated time pass.
+// Run advances the simulated time by the duration.
 func (s *Simulation) Run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
-		next := heap.Pop(&s.events).(*simulated)
+		next := heap.Pop(&s.events).(*scheduledEvent)
 		s.now = next.at
 		next.act()
 	}
 	s.now = end
 }
 
-// RunUntil lets time pass until the condition holds, looked at once a tick, and says whether it did within the limit.
+// RunUntil advances the time until the condition, checked once per tick, holds. It reports whether it did within the
+// limit.
 func (s *Simulation) RunUntil(limit time.Duration, condition func() bool) bool {
 	for end := s.now.Add(limit); s.now.Before(end); s.Run(tickInterval) {
 		if condition() {
@@ -153,18 +153,18 @@
 
 func (s *Simulation) schedule(after time.Duration, act func()) {
 	s.sequence++
-	heap.Push(&s.events, &simulated{at: s.now.Add(after), sequence: s.sequence, act: act})
+	heap.Push(&s.events, &scheduledEvent{at: s.now.Add(after), sequence: s.sequence, act: act})
 }
 
-func (s *Simulation) scheduleTick(node *Node, life int, after int64) {
+func (s *Simulation) scheduleTick(node *Node, generation int, after int64) {
 	s.schedule(time.Duration(after), func() {
-		if !node.Up || node.life != life {
+		if !node.Up || node.generation != generation {
 			return
 		}
 		if !node.Paused {
 			s.send(node, node.Core.Tick(s.now))
 		}
-		s.scheduleTick(node, life, int64(tickInterval))
+		s.scheduleTick(node, generation, int64(tickInterval))
 	})
 }
 
@@ -174,7 +174,7 @@
 		if !known {
 			continue
 		}
-		message, bytes := s.carry(out.Message)
+		message, bytes := s.encodeDecode(out.Message)
 		from.Traffic.MessagesOut++
 		from.Traffic.BytesOut += bytes
 		link := s.Network(from.Self, to.Self)
@@ -186,8 +186,8 @@
 	}
 }
 
-// carry returns the message as it arrives and its bytes on the wire.
-func (s *Simulation) carry(message membership.Message) (membership.Message, int64) {
+// encodeDecode returns the message as received and its size on the wire in bytes.
+func (s *Simulation) encodeDecode(message membership.Message) (membership.Message, int64) {
 	if !s.Encode {
 		return message, 0
 	}
@@ -203,7 +203,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("decode: %v", err))
 	}
-	return decoded, int64(len(encoded)) + callOverhead
+	return decoded, int64(len(encoded)) + callOverheadBytes
 }
 
 func (s *Simulation) deliver(to *Node, message membership.Message, bytes int64) {
@@ -211,7 +211,7 @@
 		return
 	}
 	if to.Paused {
-		to.waiting = append(to.waiting, message)
+		to.buffered = append(to.buffered, message)
 		return
 	}
 	to.Traffic.MessagesIn++
@@ -219,19 +219,19 @@
 	s.send(to, to.Core.Step(message, s.now))
 }
 
-// simulated is something that happens at a time.
-type simulated struct {
+// scheduledEvent is an action scheduled for a point in simulated time.
+type scheduledEvent struct {
 	at       time.Time
 	sequence uint64
 	act      func()
 }
 
-type eventQueue []*simulated
+type eventQueue []*scheduledEvent
 
-// Len, Less, Swap, Push and Pop implement heap.Interface; events of one time keep their order.
+// Len returns the number of events. Len, Less, Swap, Push and Pop implement heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
-// Less orders by time, then by the order of scheduling.
+// Less orders events by time, then by the order of scheduling.
 func (q eventQueue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
 		return q[i].sequence < q[j].sequence
@@ -242,8 +242,8 @@
 // Swap exchanges two events.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event.
-func (q *eventQueue) Push(added any) { *q = append(*q, added.(*simulated)) }
+// Push appends an event.
+func (q *eventQueue) Push(added any) { *q = append(*q, added.(*scheduledEvent)) }
 
 // Pop removes the last event.
 func (q *eventQueue) Pop() any {
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -14,7 +14,7 @@
 	"mallowlatch.example/mallowlatch/internal/membership/membershippb"
 )
 
-// drawRecord draws a record as honest nodes make it: what only the node itself sets depends on its incarnation alone.
+// drawRecord draws a valid record: fields that only the node itself sets depend on its incarnation alone.
 func drawRecord(t *rapid.T) record {
 	incarnation := rapid.Uint64Range(1, 4).Draw(t, "incarnation")
 	return record{
@@ -39,13 +39,13 @@
 	return NewCore(DefaultConfig(), self, nil, rand.New(rand.NewPCG(1, 1)), now)
 }
 
-// Nodes that have heard the same words about a member hold the same record, and never an older life's.
+// Nodes that have received the same records about a member store the same record, never one of an older incarnation.
 func TestOldIncarnationNeverOverridesNewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := testCore()
 		now := time.Unix(1000, 0)
 		alive := record{node: "a", zone: "z", peerAddress: "10.0.0.1:1", incarnation: 1}
-		core.learn(alive, now)
+		core.mergeRecord(alive, now)
 		highest, newest := alive, alive.incarnation
 		for _, received := range rapid.SliceOfN(rapid.Custom(drawRecord), 1, 12).Draw(t, "records") {
 			before := core.members["a"].record
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestRefutingARecordOfAnEarlierLife(t *testing.T) {
+func TestRefuteRecordOfEarlierRun(t *testing.T) {
 	core := testCore()
 	earlier := core.self
 	earlier.incarnation += 1000
@@ -71,7 +71,7 @@
 	assert.Equal(t, core.self.health, healthAlive)
 }
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := Message{
 			kind: Kind(rapid.IntRange(1, int(KindRecords)).Draw(t, "kind")), from: "a", fromZone: "z", fromAddress: "10.0.0.1:1",
@@ -109,11 +109,11 @@
 	})
 }
 
-// A suspicion from before a pause is given its time anew: what the others said meanwhile is still unread.
-func TestPauseGivesSuspectsTheirTimeAnew(t *testing.T) {
+// A pause of the process restarts the suspicion timeout, since messages received during the pause are still unread.
+func TestPauseRestartsSuspicionTimeout(t *testing.T) {
 	core := testCore()
 	now := time.Unix(1000, 0)
-	core.learn(record{node: "a", zone: "z", peerAddress: "10.0.0.1:1", incarnation: 1}, now)
+	core.mergeRecord(record{node: "a", zone: "z", peerAddress: "10.0.0.1:1", incarnation: 1}, now)
 	for core.members["a"].health == healthAlive {
 		now = now.Add(200 * time.Millisecond)
 		core.Tick(now)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,36 +2,38 @@
 
 import "mallowlatch.example/mallowlatch/internal/ident"
 
-// Kind says what a message asks for or answers.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of message.
 const (
-	// KindPing asks the receiver for a KindAck.
+	// KindPing requests a KindAck.
 	KindPing Kind = iota + 1
 	// KindAck answers a ping.
 	KindAck
-	// KindPingRequest asks the receiver to ping Target and to pass the answer on as KindIndirectAck.
+	// KindPingRequest requests that the receiver ping the target and report its answer as KindIndirectAck.
 	KindPingRequest
-	// KindIndirectAck tells the asker that Target has answered.
+	// KindIndirectAck reports to the sender of a KindPingRequest that the target has answered.
 	KindIndirectAck
-	// KindOffer carries a hash over the fleet, or digests of the zones that are known to differ. An empty KindSummary
-	// answers a hash that agrees and KindDigests one that differs; KindSummary answers digests.
+	// KindOffer carries a hash over the fleet, or digests of the zones that are known to differ. The answer to a hash is
+	// an empty KindSummary if it matches and KindDigests if it differs; the answer to digests is KindSummary.
 	KindOffer
 	// KindDigests carries a digest of each zone.
 	KindDigests
 	// KindSummary lists the members of the offered zones that differ.
 	KindSummary
-	// KindRecords carries the records the receiver lacks, and wants; a KindRecords without wants answers it.
+	// KindRecords carries records that the receiver lacks, and the names of members whose records the sender lacks. If
+	// it names any, the answer is a KindRecords with these records.
 	KindRecords
 )
 
-// IsAnswer says whether a message of the kind answers one from its receiver, so that it may travel in the reply.
+// IsAnswer reports whether a message of this kind answers a message of its receiver, so that it can be sent in the reply
+// of the call.
 func (k Kind) IsAnswer() bool {
 	return k == KindAck || k == KindDigests || k == KindSummary || k == KindRecords
 }
 
-// Message is what nodes tell each other.
+// Message is a protocol message between two nodes.
 type Message struct {
 	kind        Kind
 	from        ident.Node
@@ -62,13 +64,13 @@
 	revision    int64
 }
 
-// zoneDigest is a hash over the records of a zone's members that aren't dead.
+// zoneDigest is a hash over the records of a zone's members that are not dead.
 type zoneDigest struct {
 	zone ident.Zone
 	hash uint64
 }
 
-// summary names a version of a record.
+// summary identifies a version of a record.
 type summary struct {
 	node        ident.Node
 	incarnation uint64
@@ -80,7 +82,7 @@
 	return summary{node: r.node, incarnation: r.incarnation, health: r.health, revision: r.revision}
 }
 
-// newerThan says whether the record holds something that the summarised one lacks.
+// newerThan reports whether the record contains changes that the summarized one lacks.
 func (r record) newerThan(other summary) bool {
 	if r.incarnation != other.incarnation {
 		return r.incarnation > other.incarnation
@@ -88,7 +90,7 @@
 	return r.health > other.health || r.revision > other.revision
 }
 
-// olderThan says whether the summarised record holds something that this one lacks.
+// olderThan reports whether the summarized record contains changes that this one lacks.
 func (r record) olderThan(other summary) bool {
 	if r.incarnation != other.incarnation {
 		return r.incarnation < other.incarnation
@@ -96,7 +98,7 @@
 	return r.health < other.health || r.revision < other.revision
 }
 
-// Outgoing is a message to be sent.
+// Outgoing is a message to send, with its receiver.
 type Outgoing struct {
 	// To is the receiver; it is empty for a seed known by address only.
 	To      ident.Node
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -13,12 +13,12 @@
 	"mallowlatch.example/mallowlatch/internal/membership/membershipsim"
 )
 
-// settleTime is ample for a fleet of test size to form.
-const settleTime = 90 * time.Second
+// convergenceTime is more than a fleet of test size needs to form.
+const convergenceTime = 90 * time.Second
 
-func settled(t *rapid.T, shape membershipsim.Shape, network membershipsim.Network) *membershipsim.Simulation {
+func newConvergedFleet(t *rapid.T, shape membershipsim.Shape, network membershipsim.Network) *membershipsim.Simulation {
 	fleet := membershipsim.NewFleet(rapid.Uint64().Draw(t, "seed"), shape, membership.DefaultConfig(), network)
-	if !fleet.RunUntil(settleTime, fleet.Agree) {
+	if !fleet.RunUntil(convergenceTime, fleet.Agree) {
 		t.Fatalf("no agreement: %s", fleet.Disagreement())
 	}
 	return fleet
@@ -37,7 +37,7 @@
 	return member.State
 }
 
-func everyoneSees(fleet *membershipsim.Simulation, node ident.Node, state membership.State) func() bool {
+func allSee(fleet *membershipsim.Simulation, node ident.Node, state membership.State) func() bool {
 	return func() bool {
 		for _, viewer := range fleet.Order {
 			if viewer.Up && viewer.Self.Node != node && stateOf(viewer, node) != state {
@@ -52,39 +52,39 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
-		fleet := settled(t, shape, membershipsim.Healthy)
+		fleet := newConvergedFleet(t, shape, membershipsim.Healthy)
 		victim := rapid.SampledFrom(fleet.Order).Draw(t, "victim")
 		fleet.Stop(victim)
 		bound := fleet.Config.DetectionBound(shape.Nodes/shape.Zones) + 2*fleet.Config.BridgePeriod
 		if shape.Nodes == 2 {
-			bound = fleet.Config.LoneDetectionBound(shape.Nodes)
+			bound = fleet.Config.IsolatedDetectionBound(shape.Nodes)
 		}
-		if !fleet.RunUntil(bound, everyoneSees(fleet, victim.Self.Node, membership.Dead)) {
-			t.Fatalf("%s isn't dead to all after %s", victim.Self.Node, bound)
+		if !fleet.RunUntil(bound, allSee(fleet, victim.Self.Node, membership.Dead)) {
+			t.Fatalf("%s is not dead in every view after %s", victim.Self.Node, bound)
 		}
 	})
 }
 
-// The last node of a zone hears only from other zones, and seldom. It must not take that for a fault of its own, or it would
-// take back its suspicion of the dead neighbour again and again.
+// The last live node of a zone receives messages only from other zones, and rarely. It must not consider itself isolated,
+// or it would repeatedly revert its suspicion of the dead peer.
 func TestLastNodeOfAZoneFindsTheDead(t *testing.T) {
 	t.Parallel()
 	shape := membershipsim.Shape{Zones: 2, Nodes: 4}
 	for seed := range uint64(100) {
 		fleet := membershipsim.NewFleet(seed, shape, membership.DefaultConfig(), membershipsim.Healthy)
-		assert.Assert(t, fleet.RunUntil(settleTime, fleet.Agree), "seed %d: %s", seed, fleet.Disagreement())
+		assert.Assert(t, fleet.RunUntil(convergenceTime, fleet.Agree), "seed %d: %s", seed, fleet.Disagreement())
 		victim := fleet.Order[1]
 		fleet.Stop(victim)
 		bound := fleet.Config.DetectionBound(shape.Nodes/shape.Zones) + 2*fleet.Config.BridgePeriod
-		found := fleet.RunUntil(bound, everyoneSees(fleet, victim.Self.Node, membership.Dead))
-		assert.Check(t, found, "seed %d: not dead to all after %s", seed, bound)
+		found := fleet.RunUntil(bound, allSee(fleet, victim.Self.Node, membership.Dead))
+		assert.Check(t, found, "seed %d: not dead in every view after %s", seed, bound)
 	}
 }
 
 func TestLiveNodesSurviveLoss(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := settled(t, drawShape(t), membershipsim.Lossy(0.05))
+		fleet := newConvergedFleet(t, drawShape(t), membershipsim.Lossy(0.05))
 		end := fleet.Now().Add(time.Minute)
 		for fleet.Now().Before(end) {
 			fleet.Run(2 * time.Second)
@@ -99,15 +99,15 @@
 	})
 }
 
-// Whatever part of the fleet is cut off, and for however long, everybody agrees after the heal, also when nodes died,
-// restarted or were replaced meanwhile.
+// After a network partition of any part of the fleet and any duration heals, all nodes agree, even if nodes died,
+// restarted or were replaced during the partition.
 func TestAgreementAfterHeal(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		shape := drawShape(t)
 		side := map[ident.Node]bool{}
 		cut := false
-		fleet := settled(t, shape, func(from, to membership.Self) membershipsim.Link {
+		fleet := newConvergedFleet(t, shape, func(from, to membership.Self) membershipsim.Link {
 			link := membershipsim.Healthy(from, to)
 			link.Cut = cut && side[from.Node] != side[to.Node]
 			return link
@@ -130,7 +130,7 @@
 	})
 }
 
-// churn restarts, replaces or kills some nodes, but not the seeds.
+// churn restarts, replaces or stops some nodes, but not the seeds.
 func churn(t *rapid.T, fleet *membershipsim.Simulation, shape membershipsim.Shape) {
 	for _, node := range fleet.Order[min(len(fleet.Order), 2*shape.Zones):] {
 		switch rapid.IntRange(0, 5).Draw(t, "fate") {
@@ -142,7 +142,7 @@
 			fleet.Start(node, shape.Seeds())
 		case 2:
 			fleet.Exit(node)
-			replacement := shape.Place(len(fleet.Order))
+			replacement := shape.NodeAt(len(fleet.Order))
 			replacement.Zone, replacement.Region = node.Self.Zone, node.Self.Region
 			fleet.Add(replacement, shape.Seeds())
 		}
@@ -152,34 +152,34 @@
 func TestAnnouncedLeaveIsSeenWithinSeconds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := settled(t, drawShape(t), membershipsim.Healthy)
+		fleet := newConvergedFleet(t, drawShape(t), membershipsim.Healthy)
 		leaver := rapid.SampledFrom(fleet.Order).Draw(t, "leaver")
 		leaver.Core.Leave()
-		if !fleet.RunUntil(10*time.Second, everyoneSees(fleet, leaver.Self.Node, membership.Leaving)) {
-			t.Fatalf("%s isn't leaving to all", leaver.Self.Node)
+		if !fleet.RunUntil(10*time.Second, allSee(fleet, leaver.Self.Node, membership.Leaving)) {
+			t.Fatalf("%s is not leaving in every view", leaver.Self.Node)
 		}
 		fleet.Exit(leaver)
-		if !fleet.RunUntil(15*time.Second, everyoneSees(fleet, leaver.Self.Node, membership.Dead)) {
-			t.Fatalf("%s isn't gone to all", leaver.Self.Node)
+		if !fleet.RunUntil(15*time.Second, allSee(fleet, leaver.Self.Node, membership.Dead)) {
+			t.Fatalf("%s is not dead in every view", leaver.Self.Node)
 		}
 	})
 }
 
-// A paused process neither gives the others up when it wakes nor is it forgotten by them for good.
-func TestPausedNodeComesBackWithoutBlame(t *testing.T) {
+// A process that resumes after a pause does not declare others dead and becomes a live member again.
+func TestResumedNodeDeclaresNoOtherDead(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := settled(t, drawShape(t), membershipsim.Healthy)
-		sleeper := rapid.SampledFrom(fleet.Order).Draw(t, "sleeper")
-		sleeper.Paused = true
+		fleet := newConvergedFleet(t, drawShape(t), membershipsim.Healthy)
+		pausedNode := rapid.SampledFrom(fleet.Order).Draw(t, "sleeper")
+		pausedNode.Paused = true
 		fleet.Run(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
-		fleet.Resume(sleeper)
+		fleet.Resume(pausedNode)
 		for range 20 {
 			fleet.Run(2 * time.Second)
 			for _, viewer := range fleet.Order {
 				for _, member := range viewer.Core.View().Members {
-					if member.State == membership.Dead && member.Node != sleeper.Self.Node {
-						t.Fatalf("%s holds %s for dead", viewer.Self.Node, member.Node)
+					if member.State == membership.Dead && member.Node != pausedNode.Self.Node {
+						t.Fatalf("%s has %s as dead", viewer.Self.Node, member.Node)
 					}
 				}
 			}
@@ -190,8 +190,8 @@
 	})
 }
 
-// Two nodes that can't reach each other, but can reach a third, don't suspect each other.
-func TestBrokenLinkBetweenTwoIsNoSuspicion(t *testing.T) {
+// Two nodes that cannot reach each other but can both reach a third do not suspect each other.
+func TestBrokenLinkCausesNoSuspicion(t *testing.T) {
 	shape := membershipsim.Shape{Nodes: 4, Zones: 1}
 	cut := false
 	fleet := membershipsim.NewFleet(1, shape, membership.DefaultConfig(), func(from, to membership.Self) membershipsim.Link {
@@ -199,7 +199,7 @@
 		link.Cut = cut && from.Node < "node-002" && to.Node < "node-002"
 		return link
 	})
-	assert.Assert(t, fleet.RunUntil(settleTime, fleet.Agree), fleet.Disagreement())
+	assert.Assert(t, fleet.RunUntil(convergenceTime, fleet.Agree), fleet.Disagreement())
 	cut = true
 	for range 60 {
 		fleet.Run(time.Second)
@@ -207,28 +207,28 @@
 	}
 }
 
-// A node whose own link fails for a while blames nobody once the link is back.
-func TestIsolatedNodeBlamesNobody(t *testing.T) {
+// A node whose own link fails temporarily causes no suspicions once the link is restored.
+func TestIsolatedNodeCausesNoSuspicion(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		cut := ident.Node("")
 		shape := membershipsim.Shape{Zones: rapid.IntRange(1, 2).Draw(t, "zones")}
 		shape.Nodes = shape.Zones * rapid.IntRange(3, 6).Draw(t, "nodes of a zone")
-		fleet := settled(t, shape, func(from, to membership.Self) membershipsim.Link {
+		fleet := newConvergedFleet(t, shape, func(from, to membership.Self) membershipsim.Link {
 			link := membershipsim.Healthy(from, to)
 			link.Cut = from.Node == cut || to.Node == cut
 			return link
 		})
-		lonely := rapid.SampledFrom(fleet.Order).Draw(t, "lonely").Self.Node
-		cut = lonely
+		isolatedNode := rapid.SampledFrom(fleet.Order).Draw(t, "lonely").Self.Node
+		cut = isolatedNode
 		fleet.Run(time.Duration(rapid.IntRange(5, 20).Draw(t, "seconds")) * time.Second)
 		cut = ""
 		for range 50 {
 			fleet.Run(200 * time.Millisecond)
 			for _, viewer := range fleet.Order {
 				for _, member := range viewer.Core.View().Members {
-					if viewer.Self.Node != lonely && member.Node != lonely && member.State != membership.Alive {
-						t.Fatalf("%s holds %s for %s", viewer.Self.Node, member.Node, member.State)
+					if viewer.Self.Node != isolatedNode && member.Node != isolatedNode && member.State != membership.Alive {
+						t.Fatalf("%s has %s as %s", viewer.Self.Node, member.Node, member.State)
 					}
 				}
 			}
@@ -239,8 +239,9 @@
 	})
 }
 
-// A zone that is cut off is an island: its members know one another, and hold the others for suspect, not dead.
-func TestCutZoneIsAnIsland(t *testing.T) {
+// Members of a partitioned zone see each other as alive and the members of other zones as suspect, not dead, and vice
+// versa.
+func TestPartitionedZoneIsSuspect(t *testing.T) {
 	shape := membershipsim.Shape{Nodes: 24, Zones: 4}
 	cut := false
 	fleet := membershipsim.NewFleet(1, shape, membership.DefaultConfig(), func(from, to membership.Self) membershipsim.Link {
@@ -248,7 +249,7 @@
 		link.Cut = cut && (from.Zone == "zone-03") != (to.Zone == "zone-03")
 		return link
 	})
-	assert.Assert(t, fleet.RunUntil(settleTime, fleet.Agree), fleet.Disagreement())
+	assert.Assert(t, fleet.RunUntil(convergenceTime, fleet.Agree), fleet.Disagreement())
 	cut = true
 	fleet.Run(fleet.Config.ReachableWithin + 5*time.Second)
 	for _, viewer := range fleet.Order {
@@ -262,11 +263,12 @@
 	}
 }
 
-// A zone that is lost as a whole has nobody left to judge it; the others see that it can't be reached.
+// A zone that is lost as a whole has no members left to declare each other dead; the other zones treat its members as
+// suspect because the zone is unreachable.
 func TestLostZoneIsSuspect(t *testing.T) {
 	shape := membershipsim.Shape{Nodes: 24, Zones: 4}
 	fleet := membershipsim.NewFleet(1, shape, membership.DefaultConfig(), membershipsim.Healthy)
-	assert.Assert(t, fleet.RunUntil(settleTime, fleet.Agree), fleet.Disagreement())
+	assert.Assert(t, fleet.RunUntil(convergenceTime, fleet.Agree), fleet.Disagreement())
 	for _, node := range fleet.Order {
 		if node.Self.Zone == "zone-02" {
 			fleet.Stop(node)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,60 +7,61 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// probe is the one under way.
+// probe is the state of the current probe.
 type probe struct {
 	target   ident.Node
 	sequence uint64
-	// asks is when others are asked to probe too; ends is when the probe has failed and the next one starts.
-	asks, ends time.Time
-	asked      bool
-	answered   bool
+	// indirectAt is when indirect probes are requested; deadline is when an unanswered probe has failed and the next one
+	// starts.
+	indirectAt, deadline time.Time
+	indirectSent         bool
+	answered             bool
 }
 
-// relay is a ping this node makes for another.
+// relay is a ping that this node sends on behalf of another.
 type relay struct {
-	asker    ident.Node
-	sequence uint64
-	ends     time.Time
+	requester ident.Node
+	sequence  uint64
+	deadline  time.Time
 }
 
 func (c *Core) tickProbe(now time.Time) []Outgoing {
 	var out []Outgoing
-	if c.probe.target != "" && !c.probe.answered && !c.probe.asked && !now.Before(c.probe.asks) {
-		c.probe.asked = true
-		out = append(out, c.askOthers(now)...)
+	if c.probe.target != "" && !c.probe.answered && !c.probe.indirectSent && !now.Before(c.probe.indirectAt) {
+		c.probe.indirectSent = true
+		out = append(out, c.requestIndirectProbes(now)...)
 	}
-	if now.Before(c.probe.ends) {
+	if now.Before(c.probe.deadline) {
 		return out
 	}
 	if c.probe.target != "" && !c.probe.answered {
 		c.suspect(c.probe.target, now)
 	}
-	out = append(out, c.tellSuspects(now)...)
-	out = append(out, c.pingAbroad(now)...)
+	out = append(out, c.pingSuspects(now)...)
+	out = append(out, c.pingOtherZone(now)...)
 	return append(out, c.startProbe(now)...)
 }
 
-// pingAbroad pings a member of another zone while this node holds nobody of its own zone for alive but suspects some.
-// Its answer tells the death of all neighbours from a fault of this node's own links: without it, the node would hear from
-// other zones so seldom that it took itself for isolated in between, and took its suspicions back each time.
-func (c *Core) pingAbroad(now time.Time) []Outgoing {
+// pingOtherZone pings a live member of another zone while all remaining peers of this node's zone are suspect. The answer
+// distinguishes the death of all peers from a fault of this node's own links: without it, messages from other zones
+// would be so rare that the node would repeatedly consider itself isolated and revert its suspicions.
+func (c *Core) pingOtherZone(now time.Time) []Outgoing {
 	if len(c.zonePeers()) == 0 || len(c.randomPeers(1, "")) > 0 {
 		return nil
 	}
 	var out []Outgoing
-	for _, node := range c.anyLive(1) {
+	for _, node := range c.randomLive(1) {
 		c.sequence++
 		out = append(out, c.outgoing(node, Message{kind: KindPing, sequence: c.sequence}, now))
 	}
 	return out
 }
 
-// startProbe pings the next member of the zone. Each pass goes over all of them in a new random order, which bounds
-// the time until a given one is probed.
+// startProbe pings the next member of the zone. Each pass covers all of them in a new random order, which bounds the time
+// until a given member is probed.
 func (c *Core) startProbe(now time.Time) []Outgoing {
 	c.dropRelays(now)
-	c.probe = probe{ends: now.Add(c.config.ProbePeriod)}
+	c.probe = probe{deadline: now.Add(c.config.ProbePeriod)}
 	target := c.nextTarget()
 	if target == "" {
 		return nil
@@ -68,7 +69,7 @@
 	c.sequence++
 	c.probe.target = target
 	c.probe.sequence = c.sequence
-	c.probe.asks = now.Add(c.config.DirectTimeout)
+	c.probe.indirectAt = now.Add(c.config.DirectTimeout)
 	return []Outgoing{c.outgoing(target, Message{kind: KindPing, sequence: c.sequence}, now)}
 }
 
@@ -88,7 +89,7 @@
 	return ""
 }
 
-// zonePeers returns the other members of the zone that aren't dead, in name order.
+// zonePeers returns the other members of the zone that are not dead, sorted by name.
 func (c *Core) zonePeers() []ident.Node {
 	var peers []ident.Node
 	for node, stored := range c.members {
@@ -100,7 +101,7 @@
 	return peers
 }
 
-// randomPeers returns up to count live peers of the zone other than the given one.
+// randomPeers returns up to count live peers of the zone in random order, excluding the given node.
 func (c *Core) randomPeers(count int, except ident.Node) []ident.Node {
 	peers := slices.DeleteFunc(c.zonePeers(), func(node ident.Node) bool {
 		return node == except || c.members[node].health != healthAlive
@@ -109,8 +110,8 @@
 	return peers[:min(count, len(peers))]
 }
 
-// anyLive returns up to count live members of any zone.
-func (c *Core) anyLive(count int) []ident.Node {
+// randomLive returns up to count live members of any zone in random order.
+func (c *Core) randomLive(count int) []ident.Node {
 	var nodes []ident.Node
 	for node, stored := range c.members {
 		if node != c.self.node && stored.health == healthAlive {
@@ -122,7 +123,7 @@
 	return nodes[:min(count, len(nodes))]
 }
 
-func (c *Core) askOthers(now time.Time) []Outgoing {
+func (c *Core) requestIndirectProbes(now time.Time) []Outgoing {
 	var out []Outgoing
 	for _, helper := range c.randomPeers(c.config.IndirectProbes, c.probe.target) {
 		request := Message{kind: KindPingRequest, sequence: c.probe.sequence, target: c.probe.target}
@@ -131,7 +132,7 @@
 	return out
 }
 
-// answerPing answers, and tells a sender that is held for suspect or dead here, so that it refutes.
+// answerPing answers a ping. A sender recorded as suspect or dead gets that record with the answer, so that it refutes it.
 func (c *Core) answerPing(message Message, now time.Time) []Outgoing {
 	answer := Message{kind: KindAck, sequence: message.sequence}
 	if stored, known := c.members[message.from]; known && stored.health != healthAlive {
@@ -140,25 +141,25 @@
 	return []Outgoing{c.answerTo(message, answer, now)}
 }
 
-// relayPing pings the target of another node's probe.
+// relayPing pings the target of another node's probe on its behalf.
 func (c *Core) relayPing(message Message, now time.Time) []Outgoing {
 	if _, known := c.members[message.target]; !known {
 		return nil
 	}
 	c.sequence++
-	c.relays[c.sequence] = relay{asker: message.from, sequence: message.sequence, ends: now.Add(c.config.ProbePeriod)}
+	c.relays[c.sequence] = relay{requester: message.from, sequence: message.sequence, deadline: now.Add(c.config.ProbePeriod)}
 	return []Outgoing{c.outgoing(message.target, Message{kind: KindPing, sequence: c.sequence}, now)}
 }
 
-func (c *Core) takeAck(message Message, now time.Time) []Outgoing {
+func (c *Core) handleAck(message Message, now time.Time) []Outgoing {
 	c.acknowledge(message.from, message.sequence)
-	waiting, relayed := c.relays[message.sequence]
+	pending, relayed := c.relays[message.sequence]
 	if !relayed {
 		return nil
 	}
 	delete(c.relays, message.sequence)
-	answer := Message{kind: KindIndirectAck, sequence: waiting.sequence, target: message.from}
-	return []Outgoing{c.outgoing(waiting.asker, answer, now)}
+	answer := Message{kind: KindIndirectAck, sequence: pending.sequence, target: message.from}
+	return []Outgoing{c.outgoing(pending.requester, answer, now)}
 }
 
 func (c *Core) acknowledge(target ident.Node, sequence uint64) {
@@ -168,14 +169,14 @@
 }
 
 func (c *Core) dropRelays(now time.Time) {
-	for sequence, waiting := range c.relays {
-		if !now.Before(waiting.ends) {
+	for sequence, pending := range c.relays {
+		if !now.Before(pending.deadline) {
 			delete(c.relays, sequence)
 		}
 	}
 }
 
-// suspect marks a member whose probe failed. It is told so at once: a live one refutes in its answer.
+// suspect marks a member whose probe failed as suspect.
 func (c *Core) suspect(target ident.Node, now time.Time) {
 	stored, known := c.members[target]
 	if !known || stored.health == healthDead {
@@ -191,8 +192,9 @@
 	stored.ownSuspicion = true
 }
 
-// tellSuspects pings this node's own suspects, each period, with the suspicion itself on board.
-func (c *Core) tellSuspects(now time.Time) []Outgoing {
+// pingSuspects pings the members suspected by this node's own probes in every period and includes the suspicion, which a
+// live member refutes in its answer.
+func (c *Core) pingSuspects(now time.Time) []Outgoing {
 	if c.isolated(now) {
 		return nil
 	}
@@ -206,7 +208,7 @@
 	return out
 }
 
-// tickSuspicions gives up suspects of the own zone whose time to refute has run out.
+// tickSuspicions declares suspects of this node's zone dead after the suspicion timeout.
 func (c *Core) tickSuspicions(now time.Time) {
 	timeout := c.config.SuspicionTimeout
 	if c.isolated(now) {
@@ -223,13 +225,13 @@
 	}
 }
 
-// isolated says that nothing was heard for a while although others should have been.
+// isolated reports whether no message was received for longer than IsolatedAfter.
 func (c *Core) isolated(now time.Time) bool {
-	return now.Sub(c.lastHeard) > c.config.IsolatedAfter
+	return now.Sub(c.lastReceived) > c.config.IsolatedAfter
 }
 
-// endIsolation takes back the suspicions of the time in which this node heard nobody: they were its own fault, and it
-// hasn't passed them on. The probe under way proves nothing either.
+// endIsolation reverts the suspicions raised by this node's own probes: they were likely caused by its own isolation,
+// and it sends no gossip while isolated. The current probe is discarded for the same reason.
 func (c *Core) endIsolation() {
 	c.probe.answered = true
 	for node, stored := range c.members {
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -36,7 +36,7 @@
 	return created
 }
 
-// registerCounts exports the detector's totals.
+// registerCounts registers the detector's totals as metrics.
 func (s *Service) registerCounts(registerer prometheus.Registerer) {
 	if registerer == nil {
 		return
@@ -53,7 +53,7 @@
 	)
 }
 
-// publish replaces the snapshot if anything changed and tells the subscribers. The caller holds the mutex.
+// publish replaces the snapshot and notifies the subscribers if anything changed. The caller must hold the mutex.
 func (s *Service) publish() {
 	if s.published == s.core.Changes() {
 		return
@@ -64,9 +64,9 @@
 	s.view.Store(view)
 	s.metrics.show(view)
 	logChanges(s.options.Logger, before, view)
-	for waiting := range s.subscribers {
+	for target := range s.subscribers {
 		select {
-		case waiting.changed <- struct{}{}:
+		case target.changed <- struct{}{}:
 		default:
 		}
 	}
@@ -90,7 +90,7 @@
 	Dead:    event.MemberDead,
 }
 
-// logChanges logs what happened to the own zone's members and to the links to other zones.
+// logChanges logs state changes of the members of the node's zone and of the reachability of other zones.
 func logChanges(logger zerolog.Logger, before, after *View) {
 	for _, member := range after.Members {
 		earlier, known := before.Member(member.Node)
@@ -103,7 +103,8 @@
 	logZones(logger, event.ZoneReached, before.CutOff, after.CutOff)
 }
 
-// knownZones returns those of the zones that the view has members of. One that is new and not reached yet is not lost.
+// knownZones returns those of the zones that have members in the view. It excludes new zones that were not reached yet,
+// which would otherwise be logged as lost.
 func knownZones(view *View, zones []ident.Zone) []ident.Zone {
 	var known []ident.Zone
 	for _, zone := range zones {
@@ -114,7 +115,7 @@
 	return known
 }
 
-// logZones logs the zones that are in the first list only.
+// logZones logs the zones that are only in the first list.
 func logZones(logger zerolog.Logger, what event.Event, in, notIn []ident.Zone) {
 	known := map[ident.Zone]bool{}
 	for _, zone := range notIn {
@@ -130,11 +131,11 @@
 // View returns the newest snapshot; it is never nil.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Members returns the members of the newest snapshot, ordered by node. Callers must not change it.
+// Members returns the members of the newest snapshot, sorted by node. Callers must not modify the slice.
 func (s *Service) Members() []Member { return s.View().Members }
 
-// Subscribe returns a channel that holds a value whenever the snapshot changed since it was last read, and the function
-// that ends the subscription.
+// Subscribe returns a channel that has a value whenever the snapshot has changed since the channel was last read, and a
+// function that cancels the subscription.
 func (s *Service) Subscribe() (changed <-chan struct{}, cancel func()) {
 	added := &subscriber{changed: make(chan struct{}, 1)}
 	s.mutex.Lock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// Address returns a member's peer address. It is known for suspect and dead members too.
+// Address returns a member's peer address, including that of suspect and dead members.
 func (s *Service) Address(node ident.Node) (string, bool) {
 	member, known := s.View().Member(node)
 	return member.PeerAddress, known
@@ -159,7 +160,7 @@
 	return member.CallerAddress, known && member.CallerAddress != ""
 }
 
-// Alive says whether a member is alive and can be reached.
+// Alive reports whether a member is alive and its zone reachable.
 func (s *Service) Alive(node ident.Node) bool {
 	member, known := s.View().Member(node)
 	return known && member.State == Alive
--- a/internal/membership/reach.go
+++ b/internal/membership/reach.go
@@ -8,17 +8,17 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// The ages of contacts travel as one byte each, in contactAgeUnit; maxContactAge stands for "long ago or never".
+// The ages of contacts are sent as one byte each, in units of contactAgeUnit; maxContactAge means "long ago or never".
 const (
 	contactAgeUnit = 250 * time.Millisecond
 	maxContactAge  = 255
 )
 
-// hearFromZone notes contact with another zone, or takes over the ages that a peer of the own zone reports. The ages
-// spread with every probe, so that all nodes of a zone learn what its bridges see.
-func (c *Core) hearFromZone(message Message, now time.Time) {
+// recordZoneContact records contact with another zone, or merges the contact ages reported by a peer of this node's zone.
+// The ages are sent with every probe, so that the contacts of a zone's bridges reach all nodes of the zone.
+func (c *Core) recordZoneContact(message Message, now time.Time) {
 	if message.fromZone != c.self.zone {
-		c.noteContact(message.fromZone, now)
+		c.updateContact(message.fromZone, now)
 		return
 	}
 	if message.zoneSet != c.zoneSet || len(message.contactAges) != len(c.zones) {
@@ -26,19 +26,19 @@
 	}
 	for index, age := range message.contactAges {
 		if age < maxContactAge {
-			c.noteContact(c.zones[index], now.Add(-time.Duration(age)*contactAgeUnit))
+			c.updateContact(c.zones[index], now.Add(-time.Duration(age)*contactAgeUnit))
 		}
 	}
 }
 
-func (c *Core) noteContact(zone ident.Zone, at time.Time) {
+func (c *Core) updateContact(zone ident.Zone, at time.Time) {
 	if at.After(c.contacts[zone]) {
 		c.contacts[zone] = at
 	}
 }
 
-// contactAges returns the time since the last contact with each zone, rounded up so that an age never shrinks on
-// its way through the nodes.
+// contactAges returns the time since the last contact with each zone, rounded up so that an age never shrinks when
+// nodes pass it on.
 func (c *Core) contactAges(now time.Time) []byte {
 	ages := make([]byte, len(c.zones))
 	for index, zone := range c.zones {
@@ -48,7 +48,7 @@
 	return ages
 }
 
-// refreshZones brings the list of zones with live members, and the size of the own one, up to date.
+// refreshZones updates the list of zones with members that are not dead, its hash, and the size of this node's zone.
 func (c *Core) refreshZones() {
 	known := map[ident.Zone]bool{}
 	c.zoneSize = 0
@@ -74,12 +74,12 @@
 	c.zoneSet = hash.Sum32()
 }
 
-// zoneReachable says whether the zone was in contact with the own one lately.
+// zoneReachable reports whether the zone had contact with this node's zone within ReachableWithin.
 func (c *Core) zoneReachable(zone ident.Zone) bool {
 	return zone == c.self.zone || c.reachable[zone]
 }
 
-// refreshReachable works out anew which zones are cut off.
+// refreshReachable updates which zones count as reachable.
 func (c *Core) refreshReachable(now time.Time) {
 	for _, zone := range c.zones {
 		reachable := now.Sub(c.contacts[zone]) <= c.config.ReachableWithin
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -19,29 +19,30 @@
 )
 
 const (
-	// ticksPerPeriod is how often the detector is woken in a probe period.
+	// ticksPerPeriod is the number of ticks of the detector per probe period.
 	ticksPerPeriod = 5
-	// maxSending bounds the messages under way at once; what comes beyond is dropped like a message lost on the way.
+	// maxSending is the maximum number of concurrent calls; further messages are dropped, like messages lost on the
+	// network.
 	maxSending = 256
-	// callPeriods is how many probe periods a call may take. The detector judges by its own clock; a call given up closes
-	// its connection, and a busy machine must not pay for new handshakes on top.
+	// callPeriods is the timeout of a call in probe periods. It is longer than the detector's own timeouts, because a
+	// call that times out closes its connection, and an overloaded machine should not spend time on new handshakes.
 	callPeriods = 5
-	// leavePeriods is how many probe periods an announced leave is given to spread.
+	// leavePeriods is the time, in probe periods, for an announced leave to reach the other nodes.
 	leavePeriods = 3
 )
 
-// Caller opens calls to members and seeds; transport.Pool implements it.
+// Caller opens connections to members and seeds; transport.Pool implements it.
 type Caller interface {
 	transport.Dialer
 	ConnAddress(address string) (drpc.Conn, error)
 }
 
-// Options sets up a service.
+// Options configures a Service.
 type Options struct {
 	// Config defaults to DefaultConfig.
 	Config Config
 	Self   Self
-	// Seeds are peer addresses, "IP:port", of nodes to join by; the own one does no harm.
+	// Seeds are the peer addresses, "IP:port", of nodes through which to join. They may include the node's own address.
 	Seeds      []string
 	Random     *rand.Rand
 	Registerer prometheus.Registerer
@@ -49,7 +50,7 @@
 }
 
 // Service runs a Core over drpc. Register it with the transport's server by membershippb.DRPCRegisterMembership, then
-// call Start. Its methods are safe for concurrent use and, but for Leave, never wait.
+// call Start. Its methods are safe for concurrent use. Leave and Stop block; the others do not wait for other nodes.
 type Service struct {
 	options Options
 	caller  Caller
@@ -69,7 +70,7 @@
 
 var _ membershippb.DRPCMembershipServer = (*Service)(nil)
 
-// NewService returns a service that knows only itself. The transport's pool may use Address as its lookup.
+// NewService returns a service whose only member is the node itself. The transport's pool may use Address as its lookup.
 func NewService(options Options) *Service {
 	if options.Config == (Config{}) {
 		options.Config = DefaultConfig()
@@ -86,7 +87,7 @@
 	return service
 }
 
-// Start begins to probe by the caller's connections.
+// Start starts probing over the connections of the caller.
 func (s *Service) Start(caller Caller) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -125,7 +126,7 @@
 	return s.core.Counts()
 }
 
-// Exchange serves a message of another node.
+// Exchange processes a message of another node and returns the answers to it.
 func (s *Service) Exchange(ctx context.Context, encoded *membershippb.Message) (*membershippb.Answers, error) {
 	message, err := Decode(encoded)
 	if err == nil {
@@ -148,7 +149,7 @@
 	return answers, nil
 }
 
-// checkSender refuses a message whose sender isn't the node that the connection's certificate names.
+// checkSender rejects a message whose sender is not the node named in the certificate of the connection.
 func checkSender(ctx context.Context, message Message) error {
 	peer, secured := transport.Peer(ctx)
 	if secured && peer != message.from {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// send sends each message by a call of its own and takes the answers in.
+// send starts a separate call for each message; the answers are processed when they arrive.
 func (s *Service) send(messages []Outgoing) {
 	for _, out := range messages {
 		select {
@@ -184,8 +185,8 @@
 	}
 }
 
-// sendOne starts a call, or returns false before Start and after Stop. Calls served meanwhile come from outside the
-// tomb, so the check and the start are one step under the mutex: a tomb that has ended takes no more goroutines.
+// sendOne starts a call. It returns false before Start and after Stop. Exchange may call it from goroutines outside the
+// tomb, so the mutex is held for both the check and the start: a tomb whose goroutines have all ended panics on Go.
 func (s *Service) sendOne(out Outgoing) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -200,7 +201,7 @@
 	return true
 }
 
-// exchange makes one call. A failed one needs no word: the detector works from the answers that don't come.
+// exchange makes one call. Errors are ignored, since the detector acts on missing answers.
 func (s *Service) exchange(ctx context.Context, out Outgoing) {
 	ctx, cancel := context.WithTimeout(ctx, callPeriods*s.options.Config.ProbePeriod)
 	defer cancel()
@@ -222,7 +223,7 @@
 	}
 }
 
-// connect names the node where it is known at the address, so that the transport checks its certificate.
+// connect connects by node name if the address is that of a known member, so that the transport verifies its certificate.
 func (s *Service) connect(ctx context.Context, out Outgoing) (drpc.Conn, error) {
 	if address, known := s.Address(out.To); known && address == out.Address {
 		return s.caller.Conn(ctx, out.To)
@@ -230,8 +231,8 @@
 	return s.caller.ConnAddress(out.Address)
 }
 
-// Leave announces a planned stop and waits, no longer than ctx, until the word has had time to spread. The node goes on
-// answering probes until Stop.
+// Leave announces a planned stop and waits leavePeriods, or until ctx is done, for the announcement to reach the other
+// nodes. The node answers probes until Stop.
 func (s *Service) Leave(ctx context.Context) error {
 	s.mutex.Lock()
 	s.core.Leave()
@@ -247,13 +248,13 @@
 	}
 }
 
-// Stop tells a few peers that the node is gone and ends the service.
+// Stop announces the exit of the node to a few peers and stops the service.
 func (s *Service) Stop(ctx context.Context) error {
-	var farewells sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, out := range s.exit() {
-		farewells.Go(func() { s.exchange(ctx, out) })
+		calls.Go(func() { s.exchange(ctx, out) })
 	}
-	farewells.Wait()
+	calls.Wait()
 	event.MembershipEnded.Log(s.options.Logger).Send()
 	if !s.started() {
 		return nil
@@ -281,7 +282,7 @@
 	return s.caller != nil
 }
 
-// SetAttributes tells the other nodes about a change of this one.
+// SetAttributes announces changed attributes of this node to the other nodes.
 func (s *Service) SetAttributes(attributes Attributes) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Calls that are served while the service stops, or before it has started, must not break it.
+// Calls served before the service has started, or while it stops, must neither fail nor panic.
 func TestCallsAroundStartAndStop(t *testing.T) {
 	for range 200 {
 		now := time.Now()
@@ -78,7 +78,7 @@
 		})
 		peer := membership.Self{Node: "b", Zone: "z", PeerAddress: "127.0.0.1:2", Started: now}
 		core := membership.NewCore(membership.DefaultConfig(), peer, []string{"127.0.0.1:1"}, rand.New(rand.NewPCG(2, 2)), now)
-		// An indirect acknowledgement goes out by a call of its own, so each relayed ping makes the service send.
+		// A relayed ping and its indirect acknowledgement are sent by separate calls, so each request makes the service send.
 		ask := core.Tick(now.Add(time.Second))[0].Message.Encode()
 		ask.Kind, ask.Target = uint32(membership.KindPingRequest), "b"
 		ask.Members = []*membershippb.Member{{Node: "b", Zone: "z", PeerAddress: "127.0.0.1:2", Incarnation: 1}}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -11,7 +11,8 @@
 	"mallowlatch.example/mallowlatch/internal/rendezvous"
 )
 
-// tickSync sends the digests that are due: to other zones, to a peer of the own zone, to seeds and lost members.
+// tickSync returns the digest messages that are due: to other zones, to a peer of this node's zone, and to seeds and lost
+// members.
 func (c *Core) tickSync(now time.Time) []Outgoing {
 	var out []Outgoing
 	if !now.Before(c.nextBridge) {
@@ -25,14 +26,14 @@
 		}
 	}
 	if !now.Before(c.nextReconnect) {
-		c.nextReconnect = now.Add(c.config.ReconnectPeriod/2 + c.spread(c.config.ReconnectPeriod))
+		c.nextReconnect = now.Add(c.config.ReconnectPeriod/2 + c.randomDelay(c.config.ReconnectPeriod))
 		out = append(out, c.reconnect(now)...)
 	}
 	return out
 }
 
-// offer returns the fleet's hash for a member, or for whatever node serves the address. As a rule it agrees, so that
-// digests and summaries travel only after changes.
+// offer returns a message with the fleet's hash to a member, or to any node that serves the address. The hash usually
+// matches, so that digests and summaries are sent only after changes.
 func (c *Core) offer(to ident.Node, address string, now time.Time) Outgoing {
 	out := c.outgoing(to, Message{kind: KindOffer, fleetHash: fleetHash(c.digests())}, now)
 	if address != "" {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// offerToZones sends digests to the zones this node is a bridge to.
+// offerToZones returns offers to the zones for which this node is a bridge.
 func (c *Core) offerToZones(now time.Time) []Outgoing {
 	var out []Outgoing
 	byZone := c.liveByZone()
@@ -49,7 +50,7 @@
 		if zone == c.self.zone {
 			continue
 		}
-		if !c.begins(zone, now) {
+		if !c.initiates(zone, now) {
 			continue
 		}
 		if !slices.Contains(bridges(byZone[c.self.zone], c.self.zone, zone, c.config.Bridges), c.self.node) {
@@ -62,23 +63,24 @@
 	return out
 }
 
-// begins says whether this zone's bridges offer to the other zone's. One side of each pair does, since an answer shows
-// both that they can reach each other; the other side joins in once it has heard nothing for half of the time allowed.
-func (c *Core) begins(zone ident.Zone, now time.Time) bool {
+// initiates reports whether this zone's bridges send offers to the other zone. Only one side of each pair does, since an
+// offer and its answer confirm the link to both; the other side also sends once it has had no contact for half of
+// ReachableWithin.
+func (c *Core) initiates(zone ident.Zone, now time.Time) bool {
 	first, second := min(zone, c.self.zone), max(zone, c.self.zone)
-	beginner := first
+	initiator := first
 	if rendezvous.Weight(string(first), second)%2 == 1 {
-		beginner = second
+		initiator = second
 	}
-	return beginner == c.self.zone || now.Sub(c.contacts[zone]) > c.config.ReachableWithin/2
+	return initiator == c.self.zone || now.Sub(c.contacts[zone]) > c.config.ReachableWithin/2
 }
 
-// bridgeTarget prefers the other zone's bridges, whose connections are open already. Once the zone has been silent for
-// half of the time allowed, any of its members will do.
+// bridgeTarget selects one of the other zone's bridges, to which connections are already open. After half of
+// ReachableWithin without contact it selects any member of the zone.
 func (c *Core) bridgeTarget(live []ident.Node, zone ident.Zone, now time.Time) ident.Node {
 	candidates := bridges(live, zone, c.self.zone, c.config.Bridges)
 	if now.Sub(c.contacts[zone]) > c.config.ReachableWithin/2 {
-		candidates = c.everyone(zone)
+		candidates = c.zoneMembers(zone)
 	}
 	if len(candidates) == 0 {
 		return ""
@@ -86,8 +88,9 @@
 	return candidates[c.random.IntN(len(candidates))]
 }
 
-// everyone returns the members of a zone in name order, the dead too: behind a cut, word of their return is missing.
-func (c *Core) everyone(zone ident.Zone) []ident.Node {
+// zoneMembers returns all members of a zone sorted by name, including dead ones: across a network partition their return
+// would go unnoticed.
+func (c *Core) zoneMembers(zone ident.Zone) []ident.Node {
 	var nodes []ident.Node
 	for node, stored := range c.members {
 		if stored.zone == zone {
@@ -108,18 +111,19 @@
 	return byZone
 }
 
-// bridges returns the members of a zone that keep contact with another zone: those of the highest weight.
+// bridges returns the members of a zone that maintain contact with another zone: those with the highest rendezvous
+// weight.
 func bridges(members []ident.Node, zone, other ident.Zone, count int) []ident.Node {
 	ranked := slices.Clone(members)
-	duty := string(zone) + "\x00" + string(other)
+	bridgeKey := string(zone) + "\x00" + string(other)
 	slices.SortFunc(ranked, func(first, second ident.Node) int {
-		return rendezvous.Compare(duty, first, second)
+		return rendezvous.Compare(bridgeKey, first, second)
 	})
 	return ranked[:min(count, len(ranked))]
 }
 
-// reconnect tries a seed that no live member is known at, or a member of the own zone given up: after a cut inside a
-// zone both sides hold the other for dead, and no probe would ever find out.
+// reconnect sends an offer to a seed address without a known live member, or to a dead member of this node's zone: after
+// a partition inside a zone, both sides consider the other dead, and probes would never detect the reconnection.
 func (c *Core) reconnect(now time.Time) []Outgoing {
 	live := map[string]bool{c.self.peerAddress: true}
 	var lost []ident.Node
@@ -149,9 +153,9 @@
 	return []Outgoing{c.offer(lost[index-len(seeds)], "", now)}
 }
 
-// digests returns a hash for each zone. Suspicions don't count, since they end by themselves; the dead don't either,
-// since nodes forget them at different times; nor do configuration revisions, which would make all zones differ with
-// every change and are of use within a zone only.
+// digests returns a hash for each zone. The hash excludes suspicions, since they are temporary; dead members, since nodes
+// remove their records at different times; and configuration revisions, which are needed within a zone only and would
+// make all zones differ with every change.
 func (c *Core) digests() []zoneDigest {
 	hashes := map[ident.Zone]uint64{}
 	for _, stored := range c.members {
@@ -168,22 +172,23 @@
 }
 
 func (r record) hash() uint64 {
-	const odd = 0x9e3779b97f4a7c15
+	const multiplier = 0x9e3779b97f4a7c15
 	hash := xxhash.Sum64String(string(r.node))
-	hash = (hash ^ r.incarnation) * odd
+	hash = (hash ^ r.incarnation) * multiplier
 	return hash ^ hash>>32
 }
 
 func fleetHash(digests []zoneDigest) uint64 {
-	const odd = 0x9e3779b97f4a7c15
+	const multiplier = 0x9e3779b97f4a7c15
 	var hash uint64
 	for _, digest := range digests {
-		hash = (hash ^ xxhash.Sum64String(string(digest.zone)) ^ digest.hash) * odd
+		hash = (hash ^ xxhash.Sum64String(string(digest.zone)) ^ digest.hash) * multiplier
 	}
 	return hash
 }
 
-// answerOffer answers a hash by agreement or by digests, and digests by the members of the zones that differ.
+// answerOffer answers a matching hash with an empty summary, another hash with digests, and digests with a summary of
+// the members of the zones that differ.
 func (c *Core) answerOffer(message Message, now time.Time) []Outgoing {
 	own := c.digests()
 	if len(message.digests) > 0 {
@@ -196,13 +201,13 @@
 	return []Outgoing{c.answerTo(message, answer, now)}
 }
 
-// differing returns the digests of the first list that the second lacks or has otherwise.
+// differing returns the digests of the first list that are missing from the second or differ there.
 func differing(first, second []zoneDigest) []zoneDigest {
 	return slices.DeleteFunc(slices.Clone(first), func(digest zoneDigest) bool { return slices.Contains(second, digest) })
 }
 
-// summarize lists the members of the zones. The zones are named even if nobody of them is known here, so that the other
-// side pushes them.
+// summarize lists the members of the zones. Zones without known members are included in the digests, so that the receiver
+// sends their records.
 func (c *Core) summarize(zones []zoneDigest) Message {
 	answer := Message{kind: KindSummary, digests: zones}
 	listed := map[ident.Zone]bool{}
@@ -218,7 +223,7 @@
 	return answer
 }
 
-// answerDigests offers the digests of the zones that differ, those that only the other side knows with a zero hash.
+// answerDigests offers the digests of the zones that differ; zones known only to the sender get a zero hash.
 func (c *Core) answerDigests(message Message, now time.Time) []Outgoing {
 	own := c.digests()
 	offered := differing(own, message.digests)
@@ -234,7 +239,7 @@
 	return []Outgoing{c.answerTo(message, Message{kind: KindOffer, digests: offered}, now)}
 }
 
-// answerSummary pushes the records the other side lacks and asks for those this side lacks.
+// answerSummary sends the records that the other node lacks and requests those that this node lacks.
 func (c *Core) answerSummary(message Message, now time.Time) []Outgoing {
 	answer := Message{kind: KindRecords}
 	listed := map[ident.Node]bool{}
@@ -278,7 +283,7 @@
 	}
 }
 
-// answerWants sends the records asked for.
+// answerWants sends the requested records.
 func (c *Core) answerWants(message Message, now time.Time) []Outgoing {
 	if len(message.wants) == 0 {
 		return nil
@@ -292,7 +297,7 @@
 	return []Outgoing{c.answerTo(message, answer, now)}
 }
 
-// answerTo addresses an answer to a sender that may not be known as a member yet.
+// answerTo addresses an answer to the sender of a message, which may not be a known member yet.
 func (c *Core) answerTo(message, answer Message, now time.Time) Outgoing {
 	out := c.outgoing(message.from, answer, now)
 	out.Address = message.fromAddress
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,19 +7,19 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// View is an immutable snapshot of the members as one node sees them.
+// View is an immutable snapshot of the members known to one node.
 type View struct {
-	// Self is the node's own name and zone.
+	// Self and Zone are the name and zone of the node that took the snapshot.
 	Self ident.Node
 	Zone ident.Zone
-	// Members is ordered by node and includes the node itself and the dead that are still remembered.
+	// Members is sorted by node and includes the node itself and dead members whose tombstones are retained.
 	Members []Member
-	// CutOff lists the known zones that can't be reached, in name order.
+	// CutOff lists the known zones that are unreachable, sorted by name.
 	CutOff []ident.Zone
 	index  map[ident.Node]int
 }
 
-// View returns the snapshot of now.
+// View returns a snapshot of the current members.
 func (c *Core) View() *View {
 	view := &View{
 		Self:    c.self.node,
@@ -51,7 +51,7 @@
 	return v.Members[index], true
 }
 
-// Live returns the members of a zone that are alive, in name order; an empty zone means all zones.
+// Live returns the members of a zone that are alive, sorted by name; an empty zone selects all zones.
 func (v *View) Live(zone ident.Zone) []Member {
 	var live []Member
 	for _, member := range v.Members {
--- a/internal/placement/agent.go
+++ b/internal/placement/agent.go
@@ -19,43 +19,43 @@
 	"mallowlatch.example/mallowlatch/internal/transport"
 )
 
-// ErrNotPlanner means that a call came from a node other than the one it names.
+// ErrNotPlanner is returned for a call whose authenticated peer is not the planner named in the request.
 const ErrNotPlanner = failure.Kind("placement: caller is not the planner it names")
 
 const (
-	// pendingTimeout is how long a load is waited for before it counts as failed.
+	// pendingTimeout is the time after which an unfinished order counts as failed.
 	pendingTimeout = 10 * time.Minute
 	engineTimeout  = 2 * time.Second
 )
 
-// Owner is what the agent needs of ownership; *ownership.Service implements it.
+// Owner is the part of ownership that the agent uses; *ownership.Service implements it.
 type Owner interface {
 	Owned() []ownership.Owned
 	Fenced(runner ident.Runner, epoch uint64)
 }
 
-// AgentOptions sets up an agent.
+// AgentOptions configures an Agent.
 type AgentOptions struct {
 	Owner  Owner
 	Engine func(runner ident.Runner) (engine.Engine, bool)
-	// Demand returns the sequences at once that this node's callers ask for, by model.
+	// Demand returns the number of concurrent sequences that this node's callers request, by model.
 	Demand func() map[string]float64
-	// Leaving says whether an operator drains the runner or the machine list has it leaving.
+	// Leaving reports whether an operator drains the runner or the machine list marks it as leaving.
 	Leaving func(runner ident.Runner) bool
-	// FirstTicket is a random number, so that tickets of an earlier life are not taken for new ones.
+	// FirstTicket is a random number, so that tickets issued before a restart are not accepted as current.
 	FirstTicket uint64
 	// Now defaults to time.Now.
 	Now    func() time.Time
 	Logger zerolog.Logger
 }
 
-// Agent carries out the planner's orders on the runners that its node owns. Register it with the transport's server by
+// Agent executes the planner's orders on the runners that its node owns. Register it with the transport's server by
 // placementpb.DRPCRegisterPlacement.
 type Agent struct {
 	options AgentOptions
 
-	// mutex is held over whole calls: a planner that collects sees the effect of every order given before, and no order
-	// of an earlier planner is given after.
+	// mutex is held for whole calls: a planner that collects sees the effect of every order sent before, and no order
+	// of an earlier planner is sent afterwards.
 	mutex   sync.Mutex
 	ticket  uint64
 	planner string
@@ -64,12 +64,12 @@
 
 type pendingOrder struct {
 	Order
-	given time.Time
+	sentAt time.Time
 }
 
 var _ placementpb.DRPCPlacementServer = (*Agent)(nil)
 
-// NewAgent returns an agent that accepts orders from whoever collects first.
+// NewAgent returns an agent that accepts orders from the first planner that collects.
 func NewAgent(options AgentOptions) *Agent {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -77,7 +77,7 @@
 	return &Agent{options: options, ticket: options.FirstTicket}
 }
 
-// Collect reports what the node's callers ask for and its runners hold, under a new ticket.
+// Collect reports the demand of the node's callers and the models and adapters on its runners, under a new ticket.
 func (a *Agent) Collect(ctx context.Context, request *placementpb.CollectRequest) (*placementpb.CollectReply, error) {
 	if err := checkCaller(ctx, request.GetPlanner()); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 }
 
 func (a *Agent) describe(runner ident.Runner, report engine.LoadReport) *placementpb.Runner {
-	a.settlePending(runner, report)
+	a.removeFinished(runner, report)
 	described := &placementpb.Runner{
 		Runner:       string(runner),
 		Adapters:     report.Adapters,
@@ -131,26 +131,26 @@
 	for _, loaded := range report.Models {
 		described.Models = append(described.Models, &placementpb.LoadedModel{Name: loaded.Name, Version: loaded.Version})
 	}
-	for _, waiting := range a.pending {
-		if waiting.Runner == runner {
-			described.Pending = append(described.Pending, encodeOrder(waiting.Order))
+	for _, entry := range a.pending {
+		if entry.Runner == runner {
+			described.Pending = append(described.Pending, encodeOrder(entry.Order))
 		}
 	}
 	return described
 }
 
-// settlePending forgets the orders that the engine's report shows as done, and those it never will.
-func (a *Agent) settlePending(runner ident.Runner, report engine.LoadReport) {
+// removeFinished removes the pending orders that the engine's report shows as completed and those that timed out.
+func (a *Agent) removeFinished(runner ident.Runner, report engine.LoadReport) {
 	now := a.options.Now()
-	a.pending = slices.DeleteFunc(a.pending, func(waiting pendingOrder) bool {
-		if waiting.Runner != runner {
+	a.pending = slices.DeleteFunc(a.pending, func(entry pendingOrder) bool {
+		if entry.Runner != runner {
 			return false
 		}
-		return done(waiting.Order, report) || now.Sub(waiting.given) > pendingTimeout
+		return completed(entry.Order, report) || now.Sub(entry.sentAt) > pendingTimeout
 	})
 }
 
-func done(order Order, report engine.LoadReport) bool {
+func completed(order Order, report engine.LoadReport) bool {
 	model := engine.LoadedModel{Name: order.Model, Version: order.Version}
 	switch order.Kind {
 	case engine.OrderLoadModel:
@@ -164,8 +164,8 @@
 	}
 }
 
-// Apply gives the orders to the engines, under the epochs of this node's claims. It refuses them all if another planner
-// has collected since.
+// Apply sends the orders to the engines under the epochs of this node's claims. It refuses all of them if another
+// collection has been made since the one that issued the request's ticket.
 func (a *Agent) Apply(ctx context.Context, request *placementpb.ApplyRequest) (*placementpb.ApplyReply, error) {
 	if err := checkCaller(ctx, request.GetPlanner()); err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 		if !owned {
 			continue
 		}
-		if err := a.give(ctx, order, epoch); err != nil {
+		if err := a.send(ctx, order, epoch); err != nil {
 			event.PlacementRefused.Log(a.options.Logger).Err(err).Str("runner", string(order.Runner)).Send()
 			continue
 		}
@@ -197,8 +197,8 @@
 	return reply, nil
 }
 
-// give gives one order. One whose answer was lost counts as given, since the engine may be at it.
-func (a *Agent) give(ctx context.Context, order Order, epoch uint64) error {
+// send sends one order to its engine. An order whose reply was lost counts as pending, since the engine may execute it.
+func (a *Agent) send(ctx context.Context, order Order, epoch uint64) error {
 	adapter, known := a.options.Engine(order.Runner)
 	if !known {
 		return fmt.Errorf("order: %w", engine.ErrUnreachable)
@@ -215,7 +215,7 @@
 	if errors.Is(err, engine.ErrUnreachable) || errors.Is(err, engine.ErrRejected) {
 		return fmt.Errorf("order %s: %w", order.Kind, err)
 	}
-	a.pending = append(a.pending, pendingOrder{Order: order, given: a.options.Now()})
+	a.pending = append(a.pending, pendingOrder{Order: order, sentAt: a.options.Now()})
 	if err != nil {
 		return fmt.Errorf("order %s: %w", order.Kind, err)
 	}
--- a/internal/placement/permits.go
+++ b/internal/placement/permits.go
@@ -9,15 +9,15 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// reserve asks the weight store for the loads that lack a permit, but for those whose permit waits already.
+// reserve requests permits from the weight store for the wanted loads, except those that already have an unused permit.
 func (s *Service) reserve(ctx context.Context, wanted []weight.Artifact) {
-	waiting := map[weight.Artifact]int{}
+	unused := map[weight.Artifact]int{}
 	for artifact, permits := range s.permits {
-		waiting[artifact] = len(permits)
+		unused[artifact] = len(permits)
 	}
 	for _, artifact := range wanted {
-		if waiting[artifact] > 0 {
-			waiting[artifact]--
+		if unused[artifact] > 0 {
+			unused[artifact]--
 			continue
 		}
 		if !s.reserveOne(ctx, artifact) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// reserveOne returns false if the store can't be asked now; the next round tries again.
+// reserveOne reserves a permit for one load. It returns false if the store fails or refuses; the next round retries.
 func (s *Service) reserveOne(ctx context.Context, artifact weight.Artifact) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -46,14 +46,14 @@
 	return true
 }
 
-// ready counts the permits that may be used now and drops those that nobody used.
-func (s *Service) ready() map[weight.Artifact]int {
+// usablePermits counts the permits that may be used now and removes those that expired unused.
+func (s *Service) usablePermits() map[weight.Artifact]int {
 	now := s.options.Now()
 	counts := map[weight.Artifact]int{}
 	for artifact, permits := range s.permits {
 		var kept []time.Time
 		for _, usable := range permits {
-			if now.Sub(usable) > permitLife {
+			if now.Sub(usable) > permitLifetime {
 				continue
 			}
 			kept = append(kept, usable)
@@ -70,8 +70,8 @@
 	return counts
 }
 
-// use spends the permits of orders that were sent, the oldest first.
-func (s *Service) use(orders []Order) {
+// consumePermits removes the permits of orders that were sent, oldest first.
+func (s *Service) consumePermits(orders []Order) {
 	for _, order := range orders {
 		if !order.loads() {
 			continue
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,9 +1,12 @@
-// Package placement decides which models and adapters the engines of a zone hold. One node of each zone plans, chosen
-// by rendezvous hashing: it collects from its peers what their runners hold and what their callers ask for, and sends
-// orders to the runners' owners, who pass them to the engines under the epoch of their claim. An owner accepts orders
-// only from the planner that asked it last, so a planner that was paused orders nothing on an old view.
+// Package placement decides which models and adapters are loaded on the engines of a zone. One node of each zone, chosen
+// by rendezvous hashing, is the planner: it collects the state of the runners and the demand of the callers from the
+// zone's nodes and sends orders to the runners' owners, which pass them to the engines under the epoch of their claim.
+// An owner accepts orders only from the planner that collected from it last, so that a planner that was paused cannot
+// act on an outdated view.
 //
-// Plan is pure; Service collects, reserves the weight store's rate, and sends; Agent is the owners' side.
+// Targets computes the desired copies of each model, and Plan the orders that lead to them; both are pure functions.
+// Service collects the state, reserves permits of the rate-limited weight store and sends the orders. Agent answers the
+// planner on the owners.
 package placement
 
 import (
@@ -16,42 +19,42 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// Limits bound what one zone does at a time.
+// Limits bounds the concurrent changes in one zone.
 type Limits struct {
-	// Loads is the number of models under way to the zone's engines.
+	// Loads is the maximum number of models being loaded on the zone's engines.
 	Loads int
-	// RollShare is the part of a model's copies that may be on the way to a new version at once; one always may.
-	RollShare float64
+	// RolloutShare is the fraction of a model's copies that may be updated to a new version at once; one always may.
+	RolloutShare float64
 }
 
-// DefaultLimits returns the limits used in service.
-func DefaultLimits() Limits { return Limits{Loads: 4, RollShare: 0.25} }
+// DefaultLimits returns the limits used in production.
+func DefaultLimits() Limits { return Limits{Loads: 4, RolloutShare: 0.25} }
 
-// Runner is what the plan knows about one engine of the zone.
+// Runner is the state of one engine of the zone.
 type Runner struct {
 	ID ident.Runner
-	// MemoryBytes is what the engine has for weights.
+	// MemoryBytes is the memory that the engine has for weights.
 	MemoryBytes int64
 	Models      []engine.LoadedModel
 	Adapters    []string
-	// Pending are orders given but not yet seen in the engine's report.
+	// Pending are orders that were sent but do not show as completed in the engine's report yet.
 	Pending []Order
-	// Leaving runners get no orders, and their copies don't count.
+	// Leaving excludes the runner from new orders and its copies from the counts.
 	Leaving bool
 }
 
-// Model is a model as it ought to be.
+// Model is the desired state of a model in the zone.
 type Model struct {
 	Name    string
 	Version string
 	Bytes   int64
-	// Copies is how many runners of the zone ought to hold it.
+	// Copies is the number of runners of the zone that should have the model loaded.
 	Copies int
-	// Adapters ought to be on every runner that holds the model.
+	// Adapters should be loaded on every runner that serves the model.
 	Adapters []weight.Artifact
 }
 
-// Order is one change of a runner's weights.
+// Order is one change to the weights loaded on a runner.
 type Order struct {
 	Runner  ident.Runner
 	Kind    engine.OrderKind
@@ -64,7 +67,7 @@
 	return o.Kind == engine.OrderLoadModel || o.Kind == engine.OrderLoadAdapter
 }
 
-// Artifact names the weights that a load fetches, without their size.
+// artifact returns the weights that a load fetches, without their size.
 func (o Order) artifact() weight.Artifact {
 	if o.Kind == engine.OrderLoadAdapter {
 		return weight.Artifact{Name: o.Adapter, Version: o.Version}
@@ -72,45 +75,45 @@
 	return weight.Artifact{Name: o.Model, Version: o.Version}
 }
 
-// Input is the state that a plan starts from.
+// Input is the state that Plan starts from.
 type Input struct {
 	Limits  Limits
 	Runners []Runner
 	Models  []Model
-	// Permits counts the loads of an artifact that the weight store's rate allows now; sizes are zero.
+	// Permits is the number of loads of each artifact that the weight store permits now; the artifacts have no size.
 	Permits map[weight.Artifact]int
 }
 
-// Output is what ought to be done now.
+// Output is the result of Plan.
 type Output struct {
-	// Orders are to be given now.
+	// Orders are to be sent now.
 	Orders []Order
 	// Reserve lists the loads that lack a permit, one entry for each.
 	Reserve []weight.Artifact
-	// Short lists the models that can't be given their copies.
+	// Short lists the models for which the desired number of copies cannot be reached.
 	Short []string
 }
 
-// plan is a plan in the making. Its runners change as orders are decided, so that later decisions see earlier ones.
+// plan is the working state of Plan. Its runners are updated with each order, so that later decisions see earlier ones.
 type plan struct {
-	input   Input
-	output  Output
-	runners []*site
-	models  map[string]Model
-	loading int
+	input           Input
+	output          Output
+	runners         []*plannedRunner
+	models          map[string]Model
+	loadsInProgress int
 }
 
-// site is a runner as it will be once all orders given so far are done.
-type site struct {
+// plannedRunner is a runner together with the changes ordered so far.
+type plannedRunner struct {
 	Runner
-	// gone are models under order to unload; they don't count as copies any more, but still fill memory.
-	gone map[string]bool
-	// coming are models under order to load, with their version.
-	coming map[string]string
+	// unloading are copies with an unload order; they no longer count as copies, but still occupy memory.
+	unloading map[string]bool
+	// loadingVersions are the models with a load order, with their version.
+	loadingVersions map[string]string
 }
 
-// Plan works out the orders of now. Later calls continue: an unload that makes room comes first, the load it is for
-// only after the engine has reported the room.
+// Plan computes the orders to send now. A change may take several calls: the unload that frees memory is ordered first,
+// and the load that needs the memory only after the engine has reported the unload.
 func Plan(input Input) Output {
 	p := &plan{input: input, models: map[string]Model{}}
 	for _, model := range input.Models {
@@ -124,42 +127,43 @@
 	}
 	p.dropUnlisted()
 	p.dropOldVersions()
-	for _, model := range p.byNeed() {
+	for _, model := range p.byPriority() {
 		p.fill(model)
 	}
-	for _, model := range p.byNeed() {
-		p.roll(model)
+	for _, model := range p.byPriority() {
+		p.rollOut(model)
 	}
 	p.placeAdapters()
 	return p.output
 }
 
 func (p *plan) add(runner Runner) {
-	added := &site{Runner: runner, gone: map[string]bool{}, coming: map[string]string{}}
+	added := &plannedRunner{Runner: runner, unloading: map[string]bool{}, loadingVersions: map[string]string{}}
 	for _, order := range runner.Pending {
 		switch order.Kind {
 		case engine.OrderLoadModel:
-			added.coming[order.Model] = order.Version
+			added.loadingVersions[order.Model] = order.Version
 		case engine.OrderUnloadModel:
-			added.gone[copyKey(order.Model, order.Version)] = true
+			added.unloading[copyKey(order.Model, order.Version)] = true
 		}
 	}
 	p.runners = append(p.runners, added)
 }
 
-// countLoads counts the loads under way, which take of the weight store's rate whatever becomes of the runner.
+// countLoads counts the model loads in progress. Those of leaving runners count too, since they also use the weight
+// store's rate.
 func (p *plan) countLoads(runner Runner) {
 	for _, order := range runner.Pending {
 		if order.Kind == engine.OrderLoadModel {
-			p.loading++
+			p.loadsInProgress++
 		}
 	}
 }
 
 func copyKey(model, version string) string { return model + "\x00" + version }
 
-// byNeed orders the models so that those without any copy come first, then by name.
-func (p *plan) byNeed() []Model {
+// byPriority returns the models sorted by name, those without any copy first.
+func (p *plan) byPriority() []Model {
 	models := slices.Clone(p.input.Models)
 	slices.SortFunc(models, func(a, b Model) int {
 		if order := cmp.Compare(min(p.copies(a.Name), 1), min(p.copies(b.Name), 1)); order != 0 {
@@ -170,25 +174,25 @@
 	return models
 }
 
-// serves says whether the runner holds a copy of any version that isn't on its way out.
-func (s *site) serves(model string) bool {
-	return slices.ContainsFunc(s.Models, func(loaded engine.LoadedModel) bool {
-		return loaded.Name == model && !s.gone[copyKey(loaded.Name, loaded.Version)]
+// serves reports whether the runner has a copy of the model, of any version, that is not being unloaded.
+func (r *plannedRunner) serves(model string) bool {
+	return slices.ContainsFunc(r.Models, func(loaded engine.LoadedModel) bool {
+		return loaded.Name == model && !r.unloading[copyKey(loaded.Name, loaded.Version)]
 	})
 }
 
-func (s *site) holds(model, version string) bool {
-	return slices.ContainsFunc(s.Models, func(loaded engine.LoadedModel) bool {
-		return loaded.Name == model && loaded.Version == version && !s.gone[copyKey(model, version)]
+func (r *plannedRunner) holds(model, version string) bool {
+	return slices.ContainsFunc(r.Models, func(loaded engine.LoadedModel) bool {
+		return loaded.Name == model && loaded.Version == version && !r.unloading[copyKey(model, version)]
 	})
 }
 
-func (s *site) expects(model string) bool {
-	_, expected := s.coming[model]
+func (r *plannedRunner) isLoading(model string) bool {
+	_, expected := r.loadingVersions[model]
 	return expected
 }
 
-// copies counts the runners that serve the model now.
+// copies returns the number of runners that serve the model now.
 func (p *plan) copies(model string) int {
 	count := 0
 	for _, runner := range p.runners {
@@ -199,25 +203,25 @@
 	return count
 }
 
-// planned counts the runners that serve the model or will.
+// planned returns the number of runners that serve the model or are loading it.
 func (p *plan) planned(model string) int {
 	count := 0
 	for _, runner := range p.runners {
-		if runner.serves(model) || runner.expects(model) {
+		if runner.serves(model) || runner.isLoading(model) {
 			count++
 		}
 	}
 	return count
 }
 
-// free returns the bytes left on a runner once what is on its way has come; what is on its way out still counts. A model
-// of which nothing is known any more counts as all of the memory.
-func (p *plan) free(runner *site) int64 {
+// free returns the bytes that remain on a runner after all pending loads; copies being unloaded still count as used. A
+// model missing from the input has an unknown size and counts as using all of the memory.
+func (p *plan) free(runner *plannedRunner) int64 {
 	left := runner.MemoryBytes
 	for _, loaded := range runner.Models {
 		left -= p.bytes(loaded.Name, runner)
 	}
-	for name, version := range runner.coming {
+	for name, version := range runner.loadingVersions {
 		if !runner.holds(name, version) {
 			left -= p.bytes(name, runner)
 		}
@@ -225,16 +229,16 @@
 	return left
 }
 
-func (p *plan) bytes(model string, runner *site) int64 {
+func (p *plan) bytes(model string, runner *plannedRunner) int64 {
 	if known, listed := p.models[model]; listed {
 		return known.Bytes
 	}
 	return runner.MemoryBytes
 }
 
-// mayUnload says whether the model stays in service without the runner: nobody wants it, or another runner serves it.
-// It is the one place that keeps the last copy in use; every unload of a whole model asks it.
-func (p *plan) mayUnload(model string, runner *site) bool {
+// mayUnload reports whether the runner's copy may be unloaded: no copy is wanted, or another runner serves the model.
+// It protects the last copy in use; every unload that could remove the last copy of a listed model must check it.
+func (p *plan) mayUnload(model string, runner *plannedRunner) bool {
 	if p.models[model].Copies == 0 {
 		return true
 	}
@@ -246,20 +250,21 @@
 	return false
 }
 
-func (p *plan) unload(runner *site, model, version string) {
-	runner.gone[copyKey(model, version)] = true
+func (p *plan) unload(runner *plannedRunner, model, version string) {
+	runner.unloading[copyKey(model, version)] = true
 	p.output.Orders = append(p.output.Orders, Order{
 		Runner: runner.ID, Kind: engine.OrderUnloadModel, Model: model, Version: version,
 	})
 }
 
-// load orders a load if a permit is at hand, else asks for one. It returns false if the zone loads enough already.
-func (p *plan) load(runner *site, model Model) bool {
-	if p.loading >= p.input.Limits.Loads {
+// load orders a load if a permit is available, and otherwise requests a permit. It returns false if the zone has reached
+// its limit of concurrent loads.
+func (p *plan) load(runner *plannedRunner, model Model) bool {
+	if p.loadsInProgress >= p.input.Limits.Loads {
 		return false
 	}
-	p.loading++
-	runner.coming[model.Name] = model.Version
+	p.loadsInProgress++
+	runner.loadingVersions[model.Name] = model.Version
 	p.orderWithPermit(Order{Runner: runner.ID, Kind: engine.OrderLoadModel, Model: model.Name, Version: model.Version})
 	return true
 }
@@ -274,10 +279,10 @@
 	p.output.Orders = append(p.output.Orders, order)
 }
 
-// preferred orders runners by rendezvous weight for the model, so that copies don't move as runners come and go.
-func preferred(runners []*site, model string) []*site {
+// preferred sorts runners by rendezvous weight for the model, so that few copies move when runners join or leave.
+func preferred(runners []*plannedRunner, model string) []*plannedRunner {
 	ranked := slices.Clone(runners)
-	slices.SortFunc(ranked, func(a, b *site) int {
+	slices.SortFunc(ranked, func(a, b *plannedRunner) int {
 		return rendezvous.Compare(model, a.ID, b.ID)
 	})
 	return ranked
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -13,8 +13,8 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// world is a zone's engines under the planner's orders. Loads finish when the test says so.
-type world struct {
+// simulatedZone is a zone whose engines execute the planner's orders. Loads complete in finish.
+type simulatedZone struct {
 	limits  Limits
 	runners []Runner
 	models  []Model
@@ -23,11 +23,16 @@
 	used    map[weight.Artifact]int
 }
 
-func drawWorld(t *rapid.T) *world {
-	w := &world{limits: DefaultLimits(), permits: map[weight.Artifact]int{}, granted: map[weight.Artifact]int{}, used: map[weight.Artifact]int{}}
+func drawZone(t *rapid.T) *simulatedZone {
+	w := &simulatedZone{
+		limits:  DefaultLimits(),
+		permits: map[weight.Artifact]int{}, granted: map[weight.Artifact]int{}, used: map[weight.Artifact]int{},
+	}
 	w.limits.Loads = rapid.IntRange(1, 4).Draw(t, "loads")
 	for index := range rapid.IntRange(1, 6).Draw(t, "runners") {
-		w.runners = append(w.runners, Runner{ID: ident.Runner(fmt.Sprintf("r%d", index)), MemoryBytes: int64(rapid.IntRange(1, 4).Draw(t, "memory"))})
+		w.runners = append(w.runners, Runner{
+			ID: ident.Runner(fmt.Sprintf("r%d", index)), MemoryBytes: int64(rapid.IntRange(1, 4).Draw(t, "memory")),
+		})
 	}
 	for index := range rapid.IntRange(1, 4).Draw(t, "models") {
 		w.models = append(w.models, Model{Name: fmt.Sprintf("m%d", index), Version: "1", Bytes: 1})
@@ -36,7 +41,7 @@
 	return w
 }
 
-func (w *world) retarget(t *rapid.T) {
+func (w *simulatedZone) retarget(t *rapid.T) {
 	for index := range w.models {
 		w.models[index].Copies = rapid.IntRange(0, len(w.runners)).Draw(t, "copies")
 		w.models[index].Adapters = nil
@@ -46,8 +51,8 @@
 	}
 }
 
-// round plans, checks the orders, and gives them.
-func (w *world) round(t *rapid.T) Output {
+// round runs Plan, checks its orders and applies them.
+func (w *simulatedZone) round(t *rapid.T) Output {
 	before := w.serving()
 	runners := make([]Runner, len(w.runners))
 	copy(runners, w.runners)
@@ -61,7 +66,7 @@
 		w.granted[artifact]++
 	}
 	for _, order := range output.Orders {
-		w.give(t, order)
+		w.send(t, order)
 	}
 	after := w.serving()
 	for _, model := range w.models {
@@ -72,7 +77,7 @@
 	return output
 }
 
-func (w *world) give(t *rapid.T, order Order) {
+func (w *simulatedZone) send(t *rapid.T, order Order) {
 	runner := &w.runners[slices.IndexFunc(w.runners, func(r Runner) bool { return r.ID == order.Runner })]
 	assert.Assert(t, !runner.Leaving, "an order for a leaving runner")
 	if !order.loads() {
@@ -84,8 +89,8 @@
 	assert.Assert(t, w.used[order.artifact()] <= w.granted[order.artifact()], "a load without a permit")
 	runner.Pending = append(runner.Pending, order)
 	loading := 0
-	for _, each := range w.runners {
-		for _, pending := range each.Pending {
+	for _, other := range w.runners {
+		for _, pending := range other.Pending {
 			if pending.Kind == engine.OrderLoadModel {
 				loading++
 			}
@@ -94,7 +99,7 @@
 	assert.Assert(t, loading <= w.limits.Loads, "too many loads at once")
 }
 
-func (w *world) apply(runner *Runner, order Order) {
+func (w *simulatedZone) apply(runner *Runner, order Order) {
 	switch order.Kind {
 	case engine.OrderLoadModel:
 		runner.Models = append(slices.Clone(runner.Models), engine.LoadedModel{Name: order.Model, Version: order.Version})
@@ -109,8 +114,8 @@
 	}
 }
 
-// finish ends the loads that the choice picks and checks that memory holds them.
-func (w *world) finish(t *rapid.T, choose func() bool) {
+// finish completes the loads for which choose returns true and checks that the models fit in memory.
+func (w *simulatedZone) finish(t *rapid.T, choose func() bool) {
 	for index := range w.runners {
 		runner := &w.runners[index]
 		var still []Order
@@ -126,8 +131,8 @@
 	}
 }
 
-// serving counts the runners that serve each model and aren't leaving.
-func (w *world) serving() map[string]int {
+// serving counts the runners that serve each model and are not leaving.
+func (w *simulatedZone) serving() map[string]int {
 	counts := map[string]int{}
 	for _, runner := range w.runners {
 		seen := map[string]bool{}
@@ -143,8 +148,8 @@
 
 func always() bool { return true }
 
-// settle plans until nothing is left to do.
-func (w *world) settle(t *rapid.T) Output {
+// settle plans until no orders or reservations remain.
+func (w *simulatedZone) settle(t *rapid.T) Output {
 	for range 300 {
 		w.finish(t, always)
 		output := w.round(t)
@@ -152,15 +157,15 @@
 			return output
 		}
 	}
-	t.Fatalf("the plan never comes to rest: %+v %+v", w.runners, w.models)
+	t.Fatalf("the plan does not converge: %+v %+v", w.runners, w.models)
 	return Output{}
 }
 
-// Whatever happens to targets, versions and runners, the last copy in use stays, loads keep to their bounds, and the
-// plan comes to rest with every model at its copies or reported short.
+// Under random changes of targets, versions and runners, the last copy in use is never unloaded, loads stay within their
+// limits, and the plan converges with every model at its desired copies or reported short.
 func TestPlanUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawZone(t)
 		w.settle(t)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "change") {
@@ -189,10 +194,13 @@
 	})
 }
 
-// A new version reaches every copy, and some copy serves throughout.
-func TestRollHasNoGap(t *testing.T) {
+// A rollout reaches every copy, and at any time at most a quarter of the copies, or one, is out of service.
+func TestRolloutKeepsCopiesInService(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{limits: DefaultLimits(), permits: map[weight.Artifact]int{}, granted: map[weight.Artifact]int{}, used: map[weight.Artifact]int{}}
+		w := &simulatedZone{
+			limits:  DefaultLimits(),
+			permits: map[weight.Artifact]int{}, granted: map[weight.Artifact]int{}, used: map[weight.Artifact]int{},
+		}
 		count := rapid.IntRange(2, 8).Draw(t, "runners")
 		memory := int64(rapid.IntRange(1, 2).Draw(t, "memory"))
 		for index := range count {
@@ -201,13 +209,13 @@
 			})
 		}
 		w.models = []Model{{Name: "m", Version: "2", Bytes: 1, Copies: count}}
-		least := count
+		fewest := count
 		for range 200 {
 			w.round(t)
-			least = min(least, w.serving()["m"])
+			fewest = min(fewest, w.serving()["m"])
 			w.finish(t, func() bool { return rapid.Bool().Draw(t, "finished") })
 		}
-		assert.Assert(t, least >= count-max(1, count/4), "%d of %d copies served", least, count)
+		assert.Assert(t, fewest >= count-max(1, count/4), "%d of %d copies served", fewest, count)
 		for _, runner := range w.runners {
 			assert.DeepEqual(t, runner.Models, []engine.LoadedModel{{Name: "m", Version: "2"}})
 		}
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -21,25 +21,26 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// ErrIncomplete means that a member of the zone did not report, so that nothing is planned in this round.
+// ErrIncomplete is returned by a round that planned nothing because a member of the zone did not report.
 const ErrIncomplete = failure.Kind("placement: a member of the zone did not report")
 
 const (
-	// roundPeriod is the time between two plans of a zone.
+	// roundPeriod is the mean time between two planning rounds of a zone.
 	roundPeriod = 10 * time.Second
 	callTimeout = 5 * time.Second
-	// settleRounds is how many rounds in a row a node must be the choice before it plans.
-	settleRounds = 2
-	// patientRounds is how many rounds a silent member holds the plan up; after that it goes on without its runners.
-	patientRounds = 3
-	// permitSpread spreads the use of permits at random, so that zones which all miss the same copies after the loss
-	// of another don't load them in one instant.
+	// minChosenRounds is the number of consecutive rounds in which a node must be the chosen planner before it plans.
+	minChosenRounds = 2
+	// maxIncompleteRounds is the number of rounds skipped because of an unresponsive member; after that the planner
+	// plans without its runners.
+	maxIncompleteRounds = 3
+	// permitSpread is the maximum random delay before a permit is used, so that zones that all lack the same copies
+	// after the loss of another zone do not load them at the same moment.
 	permitSpread = 10 * time.Second
-	// permitLife is how long an unused permit is kept.
-	permitLife = 5 * time.Minute
+	// permitLifetime is the time after which an unused permit expires.
+	permitLifetime = 5 * time.Minute
 )
 
-// Options sets up a service.
+// Options configures a Service.
 type Options struct {
 	Self ident.Node
 	Zone ident.Zone
@@ -47,13 +48,13 @@
 	Limits  Limits
 	Members func() []membership.Member
 	Catalog catalog.Source
-	// Zones returns the zones that can be reached, with their runners; see ReachableZones.
+	// Zones returns the reachable zones with their numbers of runners; see ReachableZones.
 	Zones func() []ZoneSize
-	// MemoryBytes returns what a runner has for weights.
+	// MemoryBytes returns the memory that a runner has for weights.
 	MemoryBytes func(runner ident.Runner) int64
 	Store       weight.Store
 	Dialer      transport.Dialer
-	// Local serves the calls to this node itself.
+	// Local serves the calls that this node would send to itself.
 	Local *Agent
 	// Random returns a number in [0, 1).
 	Random func() float64
@@ -62,16 +63,16 @@
 	Logger zerolog.Logger
 }
 
-// Service plans for a zone while its node is the zone's choice.
+// Service plans for a zone while its node is the zone's chosen planner.
 type Service struct {
 	options Options
 	tomb    tomb.Tomb
 	mutex   sync.Mutex
 	started bool
 
-	chosenRounds int
-	silentRounds int
-	permits      map[weight.Artifact][]time.Time
+	chosenRounds     int
+	incompleteRounds int
+	permits          map[weight.Artifact][]time.Time
 }
 
 // NewService returns a service that has not planned yet.
@@ -85,7 +86,7 @@
 	return &Service{options: options, permits: map[weight.Artifact][]time.Time{}}
 }
 
-// Start begins to plan when chosen.
+// Start starts the planning loop.
 func (s *Service) Start() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -93,7 +94,7 @@
 	s.tomb.Go(s.run)
 }
 
-// Stop ends planning.
+// Stop stops the planning loop and waits for it to end.
 func (s *Service) Stop() error {
 	s.mutex.Lock()
 	started := s.started
@@ -121,17 +122,17 @@
 	}
 }
 
-// PlannerOf returns the node that plans for a zone: the one of the highest rendezvous weight among its live members.
+// PlannerOf returns the node that plans for a zone: the live member with the highest rendezvous weight.
 func PlannerOf(zone ident.Zone, members []membership.Member) (ident.Node, bool) {
-	choice, found := ownership.Choose(ident.Runner("placement/"+string(zone)), zone, members, nowhere)
+	choice, found := ownership.Choose(ident.Runner("placement/"+string(zone)), zone, members, uniformDistance)
 	return choice.Node, found && !choice.Foreign
 }
 
-// nowhere makes all other zones equally far; a foreign choice isn't used.
-func nowhere(ident.Zone, ident.Zone) float64 { return 1 }
+// uniformDistance makes all other zones equally far; a planner chosen from another zone is not used.
+func uniformDistance(ident.Zone, ident.Zone) float64 { return 1 }
 
-// ReachableZones counts the runners of the zones that have a live member as seen from here. A zone without one is lost
-// or cut off, and the others take over its share.
+// ReachableZones counts the runners of each zone that has a live member in this node's view. A zone without one is lost
+// or unreachable, and the others take over its share.
 func ReachableZones(runners []ownership.Runner, members []membership.Member) []ZoneSize {
 	live := map[ident.Zone]bool{}
 	for _, member := range members {
@@ -152,8 +153,8 @@
 	return sizes
 }
 
-// Round plans once if this node is, and has been for a while, the zone's choice. The loop of Start calls it; tests call
-// it themselves. ErrIncomplete says that the view was not whole.
+// Round plans once if this node has been the zone's chosen planner for minChosenRounds. It is called periodically after
+// Start, and directly by tests. It returns ErrIncomplete if a member of the zone did not report.
 func (s *Service) Round(ctx context.Context) error {
 	members := s.options.Members()
 	if planner, found := PlannerOf(s.options.Zone, members); !found || planner != s.options.Self {
@@ -161,52 +162,52 @@
 		return nil
 	}
 	s.chosenRounds++
-	if s.chosenRounds < settleRounds {
+	if s.chosenRounds < minChosenRounds {
 		return nil
 	}
-	seen, err := s.collect(ctx, members)
+	collected, err := s.collect(ctx, members)
 	if err != nil {
 		return err
 	}
-	output := Plan(s.input(seen))
+	output := Plan(s.input(collected))
 	if len(output.Short) > 0 {
 		event.PlacementShort.Log(s.options.Logger).Strs("models", output.Short).Send()
 	}
 	s.reserve(ctx, output.Reserve)
-	return s.apply(ctx, seen, output.Orders)
+	return s.apply(ctx, collected, output.Orders)
 }
 
-// view is what one round has collected.
+// view is the state collected in one round.
 type view struct {
 	runners []Runner
-	// holders names the node that reported a runner, tickets the ticket of each node.
-	holders map[ident.Runner]ident.Node
-	tickets map[ident.Node]uint64
-	demand  map[string]float64
-	perCopy int
+	// reporters maps each runner to the node that reported it, tickets each node to its ticket.
+	reporters map[ident.Runner]ident.Node
+	tickets   map[ident.Node]uint64
+	demand    map[string]float64
+	perCopy   int
 }
 
 func (s *Service) collect(ctx context.Context, members []membership.Member) (view, error) {
-	seen := view{holders: map[ident.Runner]ident.Node{}, tickets: map[ident.Node]uint64{}, demand: map[string]float64{}}
+	collected := view{reporters: map[ident.Runner]ident.Node{}, tickets: map[ident.Node]uint64{}, demand: map[string]float64{}}
 	for _, member := range members {
 		if member.Zone != s.options.Zone || member.State != membership.Alive {
 			continue
 		}
 		reply, err := s.collectFrom(ctx, member.Node)
 		if err == nil {
-			s.take(&seen, member.Node, reply)
+			s.addReport(&collected, member.Node, reply)
 			continue
 		}
-		// Without the member's runners, copies would be missed and loaded elsewhere for nothing.
-		if s.silentRounds < patientRounds {
-			s.silentRounds++
+		// Without the member's runners, its copies would count as missing and be loaded elsewhere needlessly.
+		if s.incompleteRounds < maxIncompleteRounds {
+			s.incompleteRounds++
 			return view{}, fmt.Errorf("%s: %w: %w", member.Node, ErrIncomplete, err)
 		}
 	}
-	if len(seen.tickets) > 0 {
-		s.silentRounds = 0
+	if len(collected.tickets) > 0 {
+		s.incompleteRounds = 0
 	}
-	return seen, nil
+	return collected, nil
 }
 
 func (s *Service) collectFrom(ctx context.Context, node ident.Node) (*placementpb.CollectReply, error) {
@@ -227,10 +228,10 @@
 	return reply, nil
 }
 
-func (s *Service) take(seen *view, node ident.Node, reply *placementpb.CollectReply) {
-	seen.tickets[node] = reply.GetTicket()
+func (s *Service) addReport(collected *view, node ident.Node, reply *placementpb.CollectReply) {
+	collected.tickets[node] = reply.GetTicket()
 	for _, demand := range reply.GetDemands() {
-		seen.demand[demand.GetModel()] += demand.GetSequences()
+		collected.demand[demand.GetModel()] += demand.GetSequences()
 	}
 	for _, encoded := range reply.GetRunners() {
 		runner := Runner{
@@ -245,38 +246,38 @@
 		for _, pending := range encoded.GetPending() {
 			runner.Pending = append(runner.Pending, decodeOrder(pending))
 		}
-		if _, twice := seen.holders[runner.ID]; twice {
+		if _, twice := collected.reporters[runner.ID]; twice {
 			continue
 		}
-		seen.holders[runner.ID] = node
-		seen.runners = append(seen.runners, runner)
-		seen.perCopy = max(seen.perCopy, int(encoded.GetMaxSequences()))
+		collected.reporters[runner.ID] = node
+		collected.runners = append(collected.runners, runner)
+		collected.perCopy = max(collected.perCopy, int(encoded.GetMaxSequences()))
 	}
 }
 
-func (s *Service) input(seen view) Input {
+func (s *Service) input(collected view) Input {
 	return Input{
 		Limits:  s.options.Limits,
-		Runners: seen.runners,
-		Models:  Targets(s.options.Catalog.Current(), s.options.Zone, s.options.Zones(), seen.demand, seen.perCopy),
-		Permits: s.ready(),
+		Runners: collected.runners,
+		Models:  Targets(s.options.Catalog.Current(), s.options.Zone, s.options.Zones(), collected.demand, collected.perCopy),
+		Permits: s.usablePermits(),
 	}
 }
 
-// apply sends each node the orders for its runners and takes back the permits of orders that were not accepted.
-func (s *Service) apply(ctx context.Context, seen view, orders []Order) error {
+// apply sends each node the orders for its runners and consumes the permits of all orders sent without an error.
+func (s *Service) apply(ctx context.Context, collected view, orders []Order) error {
 	byNode := map[ident.Node][]Order{}
 	for _, order := range orders {
-		node := seen.holders[order.Runner]
+		node := collected.reporters[order.Runner]
 		byNode[node] = append(byNode[node], order)
 	}
 	var failed error
 	for node, list := range byNode {
-		if err := s.applyAt(ctx, node, seen.tickets[node], list); err != nil {
+		if err := s.applyAt(ctx, node, collected.tickets[node], list); err != nil {
 			failed = err
 			continue
 		}
-		s.use(list)
+		s.consumePermits(list)
 	}
 	return failed
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -24,7 +24,7 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// fakeEngine refuses orders below the owner's epoch and finishes loads when told.
+// fakeEngine refuses orders with an epoch below its owner's epoch and completes loads in finish.
 type fakeEngine struct {
 	engine.Engine
 	epoch   uint64
@@ -100,11 +100,11 @@
 	views    map[ident.Node][]membership.Member
 	snapshot *catalog.Snapshot
 	store    *fakeStore
-	// beforeApply runs once when orders are about to arrive at a node.
+	// beforeApply runs once, just before a node receives orders.
 	beforeApply func()
 }
 
-// directConn carries a call to an agent in its wire form.
+// directConn passes calls to an agent as protobuf messages without a network.
 type directConn struct {
 	drpc.Conn
 	fleet *fleet
@@ -135,7 +135,7 @@
 	return directConn{fleet: d.fleet, agent: d.fleet.agents[node]}, nil
 }
 
-func newFleet(nodes, runnersOfNode int) *fleet {
+func newFleet(nodes, runnersPerNode int) *fleet {
 	f := &fleet{
 		now: time.Unix(1000, 0), engines: map[ident.Runner]*fakeEngine{}, owners: map[ident.Node]*fakeOwner{},
 		agents: map[ident.Node]*Agent{}, services: map[ident.Node]*Service{}, views: map[ident.Node][]membership.Member{},
@@ -147,7 +147,7 @@
 	}
 	for _, member := range members {
 		owner := &fakeOwner{}
-		for range runnersOfNode {
+		for range runnersPerNode {
 			id := ident.Runner(fmt.Sprintf("r%d", len(f.engines)))
 			f.engines[id] = &fakeEngine{epoch: 1}
 			owner.owned = append(owner.owned, ownership.Owned{Runner: id, Epoch: 1})
@@ -239,7 +239,7 @@
 	assert.Equal(t, f.store.reserved, 4)
 }
 
-// Permits are used after a random wait, so that zones which miss copies at one time don't load at one time.
+// Permits are used after a random delay, so that zones that lack copies at the same time do not load simultaneously.
 func TestPermitsAreSpread(t *testing.T) {
 	f := newFleet(1, 1)
 	f.store.wait = 0
@@ -255,7 +255,7 @@
 	assert.Equal(t, f.orders(), 1)
 }
 
-// A planner that was paused between its look and its orders gives none of them once another has looked.
+// The orders of a planner that was paused after collecting are refused once another planner has collected.
 func TestPausedPlannerOrdersNothing(t *testing.T) {
 	f := newFleet(1, 1)
 	f.engines["r0"].models = []engine.LoadedModel{{Name: "old", Version: "1"}}
@@ -265,13 +265,15 @@
 	_, err = f.agents["n0"].Collect(ctx, &placementpb.CollectRequest{Planner: "b"})
 	assert.NilError(t, err)
 	unload := &placementpb.Order{Runner: "r0", Kind: string(engine.OrderUnloadModel), Model: "old", Version: "1"}
-	reply, err := f.agents["n0"].Apply(ctx, &placementpb.ApplyRequest{Planner: "a", Ticket: first.Ticket, Orders: []*placementpb.Order{unload}})
+	reply, err := f.agents["n0"].Apply(ctx, &placementpb.ApplyRequest{
+		Planner: "a", Ticket: first.Ticket, Orders: []*placementpb.Order{unload},
+	})
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Stale)
 	assert.Equal(t, f.copies("old"), 1)
 }
 
-// A paused former owner's orders carry the epoch of its claim, and the engine refuses them.
+// Orders of a former owner that was paused carry the epoch of its old claim, and the engine refuses them.
 func TestFormerOwnersOrderIsRefused(t *testing.T) {
 	f := newFleet(1, 1)
 	f.engines["r0"].models = []engine.LoadedModel{{Name: "old", Version: "1"}}
@@ -289,7 +291,7 @@
 	f.want("m", "1", 1)
 	f.views[planner] = append(f.views[planner], membership.Member{Node: "silent", Zone: "z"})
 	f.services[planner].options.Dialer = failingDialer{}
-	for range patientRounds + 1 {
+	for range maxIncompleteRounds + 1 {
 		f.now = f.now.Add(roundPeriod)
 		_ = f.services[planner].Round(context.Background())
 		assert.Equal(t, f.store.reserved, 0)
@@ -304,8 +306,8 @@
 	return nil, fmt.Errorf("dial: %w", engine.ErrUnreachable)
 }
 
-// Two nodes that both take themselves for the planner, each paused anywhere between look and orders, never unload the
-// last copy between them.
+// Two nodes that both consider themselves the planner, each paused at any point between collecting and sending orders,
+// never unload the last copy together.
 func TestTwoPlannersKeepTheLastCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(2, 2)
--- a/internal/placement/steps.go
+++ b/internal/placement/steps.go
@@ -7,23 +7,23 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// dropUnlisted unloads models that the configuration no longer names.
+// dropUnlisted unloads models that are no longer in the configuration.
 func (p *plan) dropUnlisted() {
 	for _, runner := range p.runners {
 		for _, loaded := range runner.Models {
-			if _, listed := p.models[loaded.Name]; !listed && !runner.gone[copyKey(loaded.Name, loaded.Version)] {
+			if _, listed := p.models[loaded.Name]; !listed && !runner.unloading[copyKey(loaded.Name, loaded.Version)] {
 				p.unload(runner, loaded.Name, loaded.Version)
 			}
 		}
 	}
 }
 
-// dropOldVersions unloads an old version where the new one is loaded beside it: the second half of a roll.
+// dropOldVersions unloads an old version from runners that have also loaded the new one; this completes a rollout step.
 func (p *plan) dropOldVersions() {
 	for _, runner := range p.runners {
 		for _, loaded := range runner.Models {
 			model, listed := p.models[loaded.Name]
-			old := listed && loaded.Version != model.Version && !runner.gone[copyKey(loaded.Name, loaded.Version)]
+			old := listed && loaded.Version != model.Version && !runner.unloading[copyKey(loaded.Name, loaded.Version)]
 			if old && runner.holds(model.Name, model.Version) {
 				p.unload(runner, loaded.Name, loaded.Version)
 			}
@@ -31,14 +31,14 @@
 	}
 }
 
-// fill loads the copies a model lacks, where there is room, or makes room for them.
+// fill loads the missing copies of a model on runners with enough free memory, or else frees memory for them.
 func (p *plan) fill(model Model) {
 	missing := model.Copies - p.planned(model.Name)
 	for _, runner := range preferred(p.runners, model.Name) {
 		if missing <= 0 {
 			return
 		}
-		if runner.serves(model.Name) || runner.expects(model.Name) || runner.hasCopyLeft(model.Name) {
+		if runner.serves(model.Name) || runner.isLoading(model.Name) || runner.hasCopyInMemory(model.Name) {
 			continue
 		}
 		if p.free(runner) < model.Bytes {
@@ -53,7 +53,7 @@
 		if missing <= 0 {
 			return
 		}
-		if !runner.serves(model.Name) && !runner.expects(model.Name) && p.makeRoom(runner, model) {
+		if !runner.serves(model.Name) && !runner.isLoading(model.Name) && p.freeMemory(runner, model) {
 			missing--
 		}
 	}
@@ -62,72 +62,73 @@
 	}
 }
 
-// hasCopyLeft says whether a copy on its way out still fills memory.
-func (s *site) hasCopyLeft(model string) bool {
-	return slices.ContainsFunc(s.Models, func(loaded engine.LoadedModel) bool { return loaded.Name == model })
+// hasCopyInMemory reports whether any copy of the model, even one being unloaded, occupies memory.
+func (r *plannedRunner) hasCopyInMemory(model string) bool {
+	return slices.ContainsFunc(r.Models, func(loaded engine.LoadedModel) bool { return loaded.Name == model })
 }
 
-// makeRoom unloads copies beyond what is wanted, if that gives the model room on the runner. Room that earlier unloads
-// make is counted first. It says whether there will be room.
-func (p *plan) makeRoom(runner *site, model Model) bool {
-	room := p.free(runner)
+// freeMemory unloads surplus copies from the runner if that frees enough memory for the model. Memory that earlier
+// unloads will free is counted first. It reports whether there will be enough memory.
+func (p *plan) freeMemory(runner *plannedRunner, model Model) bool {
+	available := p.free(runner)
 	for _, loaded := range runner.Models {
-		if runner.gone[copyKey(loaded.Name, loaded.Version)] {
-			room += p.bytes(loaded.Name, runner)
+		if runner.unloading[copyKey(loaded.Name, loaded.Version)] {
+			available += p.bytes(loaded.Name, runner)
 		}
 	}
-	var spare []engine.LoadedModel
+	var surplus []engine.LoadedModel
 	for _, loaded := range runner.Models {
-		if room >= model.Bytes {
+		if available >= model.Bytes {
 			break
 		}
-		if p.isSpare(runner, loaded) {
-			spare = append(spare, loaded)
-			room += p.bytes(loaded.Name, runner)
+		if p.isSurplus(runner, loaded) {
+			surplus = append(surplus, loaded)
+			available += p.bytes(loaded.Name, runner)
 		}
 	}
-	if room < model.Bytes {
+	if available < model.Bytes {
 		return false
 	}
-	for _, loaded := range spare {
+	for _, loaded := range surplus {
 		p.unload(runner, loaded.Name, loaded.Version)
 	}
 	return true
 }
 
-// isSpare says whether a copy is beyond what its model wants. Copies are unloaded for room only, never for tidiness.
-func (p *plan) isSpare(runner *site, loaded engine.LoadedModel) bool {
-	if runner.gone[copyKey(loaded.Name, loaded.Version)] || runner.expects(loaded.Name) {
+// isSurplus reports whether a copy exceeds the desired copies of its model. Surplus copies are unloaded only when their
+// memory is needed.
+func (p *plan) isSurplus(runner *plannedRunner, loaded engine.LoadedModel) bool {
+	if runner.unloading[copyKey(loaded.Name, loaded.Version)] || runner.isLoading(loaded.Name) {
 		return false
 	}
 	return p.copies(loaded.Name) > p.models[loaded.Name].Copies && p.mayUnload(loaded.Name, runner)
 }
 
-// roll brings some copies of old versions to the new one. Where there is room the new version is loaded beside the old
-// one; else the old one is unloaded first, if others serve the model meanwhile.
-func (p *plan) roll(model Model) {
-	var old []*site
-	rolling := 0
+// rollOut updates some copies of old versions to the new one. With enough free memory the new version is loaded beside
+// the old one; otherwise the old one is unloaded first, provided that other runners serve the model meanwhile.
+func (p *plan) rollOut(model Model) {
+	var old []*plannedRunner
+	updating := 0
 	for _, runner := range preferred(p.runners, model.Name) {
 		switch {
-		case runner.expects(model.Name), runner.hasCopyLeft(model.Name) && !runner.serves(model.Name):
-			rolling++
+		case runner.isLoading(model.Name), runner.hasCopyInMemory(model.Name) && !runner.serves(model.Name):
+			updating++
 		case runner.serves(model.Name) && !runner.holds(model.Name, model.Version):
 			old = append(old, runner)
 		}
 	}
-	atOnce := max(1, int(float64(p.planned(model.Name))*p.input.Limits.RollShare))
+	maxUpdating := max(1, int(float64(p.planned(model.Name))*p.input.Limits.RolloutShare))
 	for _, runner := range old {
-		if rolling >= atOnce {
+		if updating >= maxUpdating {
 			return
 		}
-		if p.rollOne(runner, model) {
-			rolling++
+		if p.rollOutOn(runner, model) {
+			updating++
 		}
 	}
 }
 
-func (p *plan) rollOne(runner *site, model Model) bool {
+func (p *plan) rollOutOn(runner *plannedRunner, model Model) bool {
 	if p.free(runner) >= model.Bytes {
 		return p.load(runner, model)
 	}
@@ -135,14 +136,14 @@
 		return false
 	}
 	for _, loaded := range runner.Models {
-		if loaded.Name == model.Name && !runner.gone[copyKey(loaded.Name, loaded.Version)] {
+		if loaded.Name == model.Name && !runner.unloading[copyKey(loaded.Name, loaded.Version)] {
 			p.unload(runner, loaded.Name, loaded.Version)
 		}
 	}
 	return true
 }
 
-// placeAdapters brings the adapters of each model to the runners that serve it, and drops those nobody names.
+// placeAdapters loads the adapters of each model on the runners that serve it and unloads adapters no longer wanted.
 func (p *plan) placeAdapters() {
 	for _, runner := range p.runners {
 		wanted := p.wantedAdapters(runner)
@@ -164,7 +165,7 @@
 	}
 }
 
-func (p *plan) wantedAdapters(runner *site) []weight.Artifact {
+func (p *plan) wantedAdapters(runner *plannedRunner) []weight.Artifact {
 	var wanted []weight.Artifact
 	for _, model := range p.input.Models {
 		if runner.serves(model.Name) {
@@ -174,6 +175,6 @@
 	return wanted
 }
 
-func (s *site) adapterPending(name string) bool {
-	return slices.ContainsFunc(s.Pending, func(order Order) bool { return order.Adapter == name })
+func (r *plannedRunner) adapterPending(name string) bool {
+	return slices.ContainsFunc(r.Pending, func(order Order) bool { return order.Adapter == name })
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -11,18 +11,18 @@
 	"mallowlatch.example/mallowlatch/internal/weight"
 )
 
-// headroom is by how much copies for demand exceed what they would just carry.
+// headroom is the factor by which the capacity planned for a model exceeds its demand.
 const headroom = 1.25
 
-// ZoneSize is the number of runners in a zone that can be reached.
+// ZoneSize is the number of runners in a reachable zone.
 type ZoneSize struct {
 	Zone    ident.Zone
 	Runners int
 }
 
-// Targets works out what a zone's engines ought to hold. Demand is the zone's, by model, in sequences at once, and
-// perCopy the sequences one copy runs at once. Each service's MinCopies are over the whole fleet: zones holds the zones
-// that can be reached, so that after the loss of one the others take over its share, each only its own part.
+// Targets computes the desired state of the models in a zone. demand is the zone's demand in concurrent sequences by
+// model, and perCopy the concurrent sequences that one copy runs. MinCopies of a service counts copies over the whole
+// fleet: zones lists the reachable zones, so that after the loss of one the others divide its copies among themselves.
 func Targets(snapshot *catalog.Snapshot, zone ident.Zone, zones []ZoneSize, demand map[string]float64, perCopy int) []Model {
 	copies := map[string]int{}
 	adapters := map[string]map[string]bool{}
@@ -74,8 +74,9 @@
 }
 
 // Share returns a zone's part of copies that are spread over zones in proportion to their runners. The parts of all
-// zones add up to the copies, or to the runners if there are fewer. What doesn't divide goes to the zones of the largest
-// remainders, and between equal ones by rendezvous weight, so that not every service's odd copy lands in one zone.
+// zones add up to the copies, or to the runners if there are fewer. Copies left over by the division go to the zones with
+// the largest remainders; ties are broken by rendezvous weight of the service, so that the extra copies of all services
+// are not placed in the same zone.
 func Share(service string, copies int, zones []ZoneSize, zone ident.Zone) int {
 	total := 0
 	for _, size := range zones {
