--- a/internal/jobpeer/feed.go
+++ b/internal/jobpeer/feed.go
@@ -35,8 +35,8 @@
 // one that the store refuses, or may be about to receive the update.
 const maxPassedOver = 2
 
-// PassOver implements follower.Passing.
-func (w *WorkerFeed) PassOver() {
+// SwitchNode implements follower.SwitchableSource.
+func (w *WorkerFeed) SwitchNode() {
 	if now := w.Client.Now(); now.Sub(w.passWindow) >= skipDuration {
 		w.passWindow, w.passedInWindow = now, 0
 	}
--- a/internal/jobpeer/leader.go
+++ b/internal/jobpeer/leader.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// PassOver implements follower.Passing.
-func (l *LeaderFeed) PassOver() {
+// SwitchNode implements follower.SwitchableSource.
+func (l *LeaderFeed) SwitchNode() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.stale.skip(l.last, l.Now())
