--- a/internal/connpool/call.go
+++ b/internal/connpool/call.go
@@ -47,7 +47,7 @@
 }
 
 // Do sends one request and reads the response header. When ctx ends, the connection is closed, also while the body is
-// being read. An error wraps ErrNotSent or ErrNoAnswer.
+// being read. An error wraps ErrNotSent or ErrNoResponse.
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
 	acquired, err := p.acquire(ctx, call.Address)
 	if err != nil {
--- a/internal/credit/steps_test.go
+++ b/internal/credit/steps_test.go
@@ -80,7 +80,7 @@
 }
 
 // TestPrefillIsSentJustBeforeAStepEnds checks that with constant step times prompts are only sent in the last part of a step,
-// and that LookAt returns the start of that part.
+// and that NextChange returns the start of that part.
 func TestPrefillIsSentJustBeforeAStepEnds(t *testing.T) {
 	controller := NewController()
 	now := begin
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -16,7 +16,7 @@
 	"mallowlatch.example/mallowlatch/internal/work"
 )
 
-// Lifetime is how long a node's report counts. It is a few times IdleRefreshEvery, so that one lost call does not
+// Lifetime is how long a node's report counts. It is a few times IdleRefreshInterval, so that one lost call does not
 // discard the report, and no longer than the requests of a dead node may continue at their runners.
 const Lifetime = 1500 * time.Millisecond
 
@@ -31,7 +31,7 @@
 	Online int               `json:"online"`
 	// Suspect means that the node avoids the runner, because it could not be reached or did not answer.
 	Suspect bool `json:"suspect,omitempty"`
-	// Old is the number of online requests sent more than OldAfter ago. It is reported until the owner has
+	// Old is the number of online requests sent more than MaxReportAge ago. It is reported until the owner has
 	// answered once, so that the owner does not take these requests for orphaned runs.
 	Old int `json:"old,omitempty"`
 	// Tokens is the number of tokens of the node's online requests there: the prompts plus the most that may be
--- a/internal/demand/poll.go
+++ b/internal/demand/poll.go
@@ -27,12 +27,12 @@
 
 // PollOwnZone polls the workers of this node's zone whose last answer is older than the given age, and waits for the
 // answers until the context ends. Calls that take longer continue in the background, and their answers are applied
-// when they arrive. AskNear returns at once if all answers are fresh.
+// when they arrive. PollOwnZone returns at once if all answers are fresh.
 func (t *Reporter) PollOwnZone(ctx context.Context, maxAge time.Duration) {
 	t.poll(ctx, pollRequest{maxAge: maxAge})
 }
 
-// Poll is like AskNear for the workers at the given addresses, in any zone. It reports whether any
+// Poll is like PollOwnZone for the workers at the given addresses, in any zone. It reports whether any
 // worker was called or waited for.
 func (t *Reporter) Poll(ctx context.Context, addresses []string, maxAge time.Duration) bool {
 	return len(addresses) > 0 && t.poll(ctx, pollRequest{addresses: addresses, maxAge: maxAge})
--- a/internal/demand/uses.go
+++ b/internal/demand/uses.go
@@ -11,7 +11,7 @@
 	return len(uses) > 0 && now.Sub(c.usesSentAt) >= UsesInterval && !now.Before(c.notBefore)
 }
 
-// nextUses returns the uses for the next report: all of them, or none within UsesEvery of the previous ones.
+// nextUses returns the uses for the next report: all of them, or none within UsesInterval of the previous ones.
 func (c *workerState) nextUses(uses []Use, now time.Time) []Use {
 	if !c.usesDue(uses, now) {
 		return nil
--- a/internal/fleetfeed/feed.go
+++ b/internal/fleetfeed/feed.go
@@ -66,7 +66,7 @@
 	// Retire lists the workers to be drained.
 	Retire []work.Retirement `json:"retire,omitempty"`
 	// Workers are the workers last seen by the feeding node. The list is empty if the feed does not know them, or if
-	// the requesting node already has the list with this fingerprint. WorkersPrint is its fingerprint.
+	// the requesting node already has the list with this fingerprint. WorkersFingerprint is its fingerprint.
 	Workers            []Worker `json:"workers,omitempty"`
 	WorkersFingerprint uint64   `json:"workers_print,omitempty"`
 	// HeldMs is how long the feed delayed the answer. The rest of the call's duration is transmission time.
@@ -86,7 +86,7 @@
 	Now func() time.Time
 	// Workers returns the nodes that run batch jobs; if it is nil, snapshots list no workers.
 	Workers func() []Worker
-	// Refresh reads the orders anew and passes them to Orders; if it is nil, Newest reports that it cannot read.
+	// Refresh reads the orders anew and passes them to RecordOrders; if it is nil, Newest reports that it cannot read.
 	Refresh func(ctx context.Context) error
 
 	mutex       sync.Mutex
@@ -251,7 +251,7 @@
 // reading that is used, and can be added to without overflow, unlike the time since the zero time.
 const MaxAge = 24 * time.Hour
 
-// ageMs returns the time since a reading in milliseconds, at most LongestAge.
+// ageMs returns the time since a reading in milliseconds, at most MaxAge.
 func ageMs(at, now time.Time) int64 {
 	if at.IsZero() {
 		return MaxAge.Milliseconds()
--- a/internal/follower/start_test.go
+++ b/internal/follower/start_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// turnSource is a lateSource that returns ErrReadAlone from the time turn on.
+// turnSource is a lateSource that returns ErrNoSource from the time turn on.
 type turnSource struct {
 	lateSource
 	turn time.Time
--- a/internal/jobrecord/accept.go
+++ b/internal/jobrecord/accept.go
@@ -35,7 +35,7 @@
 	Items    []work.Item
 	// Released is called once the items are no longer in use. It may be nil.
 	Released func()
-	// holders is the number of users of the items: calls of Hold without a LetGo.
+	// holders is the number of users of the items: calls of Retain without a Release.
 	holders atomic.Int32
 }
 
@@ -167,7 +167,7 @@
 	return sum
 }
 
-// checkTenant returns nil if a job that exists belongs to the tenant that submits it again, and otherwise ErrOthersJob.
+// checkTenant returns nil if a job that exists belongs to the tenant that submits it again, and otherwise ErrOtherTenant.
 func checkTenant(present kv.Pair, header *Header) error {
 	var before Header
 	if err := decode(present, &before); err != nil {
--- a/internal/jobworker/claim.go
+++ b/internal/jobworker/claim.go
@@ -140,7 +140,7 @@
 // assumedItems is the number of items that a job being claimed is assumed to add before it is read.
 const assumedItems = 10
 
-// startClaim claims a candidate in the background. The error wraps memorybudget.ErrOver if there is no memory for the job.
+// startClaim claims a candidate in the background. The error wraps memorybudget.ErrBudgetExceeded if there is no memory for the job.
 // The caller must hold the mutex.
 func (w *Worker) startClaim(candidate *openJob) error {
 	reservation, overBudget := w.reserve(candidate.entry, w.Now())
--- a/internal/jobworker/memory.go
+++ b/internal/jobworker/memory.go
@@ -50,7 +50,7 @@
 }
 
 // reserve reserves the memory for a job that is about to be read, evicting results that can be read from the store if
-// necessary. The error wraps memorybudget.ErrOver. The caller must hold the mutex.
+// necessary. The error wraps memorybudget.ErrBudgetExceeded. The caller must hold the mutex.
 func (w *Worker) reserve(entry jobrecord.Open, now time.Time) (*memorybudget.Held, error) {
 	for {
 		reservation, err := w.Budget.Reserve(memorybudget.Job, memorybudget.Whose{Tenant: entry.Tenant}, entry.Size())
--- a/internal/jobworker/worker.go
+++ b/internal/jobworker/worker.go
@@ -128,7 +128,7 @@
 	Accounts Accounts
 	// Tolerance is how many workers may be lost at once with their disks.
 	Tolerance int
-	// Seeds are addresses of workers that may be asked before any is known, SeedsFor how long that is tried after the
+	// Seeds are addresses of workers that may be asked before any is known, SeedPeriod how long that is tried after the
 	// start.
 	Seeds      []string
 	SeedPeriod time.Duration
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -13,7 +13,7 @@
 	"mallowlatch.example/mallowlatch/internal/ident"
 )
 
-// Lifetime is how long slots stay lent without a request from the borrower: three times RenewEvery, so that one
+// Lifetime is how long slots stay lent without a request from the borrower: three times RenewInterval, so that one
 // lost call does not end a loan.
 const Lifetime = 1500 * time.Millisecond
 
--- a/internal/memorybudget/budget_test.go
+++ b/internal/memorybudget/budget_test.go
@@ -269,7 +269,7 @@
 }
 
 // TestTenantLimitIsDistinguishedFromTotal has the jobs of one tenant refused while those of another still fit: only the refusal by the
-// tenant's limit must wrap ErrShare.
+// tenant's limit must wrap ErrOwnerLimit.
 func TestTenantLimitIsDistinguishedFromTotal(t *testing.T) {
 	held := newBudget(smallFront)
 	mustReserve(t, held, memorybudget.Job, owner{Tenant: "a"}, 12*megabyte)
--- a/internal/online/body.go
+++ b/internal/online/body.go
@@ -18,7 +18,7 @@
 const initialBodyBuffer = 8 << 10
 
 // ReadBody reads a whole body. The given length, zero if unknown, is reserved already; each growth of the buffer is reserved
-// before it is allocated. The error wraps memorybudget.ErrOver if a reservation fails.
+// before it is allocated. The error wraps memorybudget.ErrBudgetExceeded if a reservation fails.
 func ReadBody(source io.Reader, held *memorybudget.Held, length int64) ([]byte, error) {
 	// One extra byte lets the read of EOF succeed without growing the buffer.
 	body := make([]byte, 0, length+1)
--- a/internal/work/attempt.go
+++ b/internal/work/attempt.go
@@ -40,7 +40,7 @@
 // ErrOtherIncarnation means that the requested incarnation has ended and another one answers at its address.
 const ErrOtherIncarnation = failure.Kind("work: another incarnation answers")
 
-// Caller sends attempts to runners. Its errors wrap connpool.ErrNotSent or connpool.ErrNoAnswer.
+// Caller sends attempts to runners. Its errors wrap connpool.ErrNotSent or connpool.ErrNoResponse.
 type Caller interface {
 	Send(ctx context.Context, attempt Attempt) (*Reply, error)
 	// Report reads a runner's report of its load. Its error wraps ErrOtherIncarnation if another incarnation has the address.
